--- a/crates/bluebellreel_gateway/src/request.rs
+++ b/crates/bluebellreel_gateway/src/request.rs
@@ -80,7 +80,7 @@
     }
 
     /// How long it may wait in line and still meet its objective.
-    pub(crate) fn patience(&self) -> Duration {
+    pub(crate) fn max_wait(&self) -> Duration {
         self.route.objective.mul_f64(LONGEST_QUEUEING_SHARE)
     }
 
@@ -94,7 +94,7 @@
         let waiting = gw
             .board
             .borrow()
-            .seat(worker)
+            .worker_view(worker)
             .map_or(0, |s| s.running().online.saturating_sub(s.record.slots));
         let wait = FIRST_BYTE_LONGEST + FIRST_BYTE_PER_WAITING * waiting;
         (Instant::now() + wait).min(self.deadline)
