--- a/crates/bluebellreel_dispatch/src/board.rs
+++ b/crates/bluebellreel_dispatch/src/board.rs
@@ -1,8 +1,8 @@
 //! The slots of all workers, and who uses them.
 
 use crate::{
-    Boot, Catalog, Class, Doubt, Paces, PeerLoad, Running, Ticket, WorkerRecord, WorkerState,
-    WorkerTag,
+    Boot, Catalog, Class, Doubt, PeerLoad, Running, Ticket, WorkerRecord, WorkerSpeeds,
+    WorkerState, WorkerTag,
 };
 use bluebellreel_types::{DataCentre, EntryName, Moment, WorkerName};
 use std::collections::{BTreeMap, HashMap};
@@ -34,14 +34,14 @@
     /// It is new, or in another state than before.
     Listed(WorkerState),
     /// It has started again under its id, and is in this state.
-    StartedAgain(WorkerState),
+    Restarted(WorkerState),
     /// It left.
     Left,
 }
 
 /// One worker with its load.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct WorkerView {
     /// What it says of itself.
     pub record: WorkerRecord,
     /// Our own runs there.
@@ -56,7 +56,7 @@
     left: bool,
 }
 
-impl Seat {
+impl WorkerView {
     fn new(record: WorkerRecord) -> Self {
         Self {
             record,
@@ -103,8 +103,8 @@
     /// Bounds.
     pub limits: PlacementLimits,
     /// How fast workers are.
-    pub paces: Paces,
-    seats: BTreeMap<WorkerName, Seat>,
+    pub speeds: WorkerSpeeds,
+    worker_views: BTreeMap<WorkerName, WorkerView>,
     tags: HashMap<WorkerTag, WorkerName>,
     peers: BTreeMap<EntryName, PeerLoad>,
     /// Where peers stand.
@@ -118,8 +118,8 @@
         Self {
             local,
             limits,
-            paces: Paces::default(),
-            seats: BTreeMap::new(),
+            speeds: WorkerSpeeds::default(),
+            worker_views: BTreeMap::new(),
             tags: HashMap::new(),
             peers: BTreeMap::new(),
             places: BTreeMap::new(),
@@ -127,7 +127,7 @@
     }
 
     /// Notes where a peer stands.
-    pub fn note_place(&mut self, peer: &EntryName, place: DataCentre) {
+    pub fn note_data_centre(&mut self, peer: &EntryName, place: DataCentre) {
         if self.places.get(peer) != Some(&place) {
             self.places.insert(peer.clone(), place);
         }
@@ -149,63 +149,64 @@
         let listed: BTreeMap<&WorkerName, &WorkerRecord> =
             catalog.workers().map(|r| (&r.id, r)).collect();
         let mut changes = Vec::new();
-        for (id, seat) in &mut self.seats {
-            if !listed.contains_key(id) && !std::mem::replace(&mut seat.left, true) {
-                seat.record.state = WorkerState::Draining;
+        for (id, worker_view) in &mut self.worker_views {
+            if !listed.contains_key(id) && !std::mem::replace(&mut worker_view.left, true) {
+                worker_view.record.state = WorkerState::Draining;
                 changes.push((id.clone(), WorkerChange::Left));
             }
         }
-        self.seats.retain(|_, s| !s.left || s.own.total() > 0);
+        self.worker_views
+            .retain(|_, s| !s.left || s.own.total() > 0);
         for (id, record) in listed {
             if let Some(change) = self.seat_listed(record) {
                 changes.push((id.clone(), change));
             }
         }
-        let seats = self.seats.iter();
-        self.tags = seats.map(|(id, s)| (s.tag(), id.clone())).collect();
+        let worker_views = self.worker_views.iter();
+        self.tags = worker_views.map(|(id, s)| (s.tag(), id.clone())).collect();
         self.sum_peers();
         changes
     }
 
     /// The life of a worker that a tag names, if it is known.
     #[must_use]
-    pub fn tagged(&self, tag: WorkerTag) -> Option<(&WorkerName, Option<Boot>)> {
+    pub fn worker_by_tag(&self, tag: WorkerTag) -> Option<(&WorkerName, Option<Boot>)> {
         let id = self.tags.get(&tag)?;
-        Some((id, self.seats.get(id)?.record.boot))
+        Some((id, self.worker_views.get(id)?.record.boot))
     }
 
     /// Takes over what a listed worker says of itself.
     fn seat_listed(&mut self, record: &WorkerRecord) -> Option<WorkerChange> {
-        let Some(seat) = self.seats.get_mut(&record.id) else {
-            let seat = Seat::new(record.clone());
-            self.seats.insert(record.id.clone(), seat);
+        let Some(worker_view) = self.worker_views.get_mut(&record.id) else {
+            let worker_view = WorkerView::new(record.clone());
+            self.worker_views.insert(record.id.clone(), worker_view);
             return Some(WorkerChange::Listed(record.state));
         };
-        if seat.record.boot != record.boot {
-            *seat = Seat::new(record.clone());
-            self.paces.forget(&record.id);
-            return Some(WorkerChange::StartedAgain(record.state));
+        if worker_view.record.boot != record.boot {
+            *worker_view = WorkerView::new(record.clone());
+            self.speeds.forget(&record.id);
+            return Some(WorkerChange::Restarted(record.state));
         }
-        let returned = std::mem::replace(&mut seat.left, false);
-        let changed = returned || seat.record.state != record.state;
-        seat.record = record.clone();
+        let returned = std::mem::replace(&mut worker_view.left, false);
+        let changed = returned || worker_view.record.state != record.state;
+        worker_view.record = record.clone();
         changed.then_some(WorkerChange::Listed(record.state))
     }
 
     /// All workers with their load.
-    pub fn seats(&self) -> impl Iterator<Item = &Seat> {
-        self.seats.values()
+    pub fn worker_views(&self) -> impl Iterator<Item = &WorkerView> {
+        self.worker_views.values()
     }
 
     /// One worker with its load.
     #[must_use]
-    pub fn seat(&self, id: &WorkerName) -> Option<&Seat> {
-        self.seats.get(id)
+    pub fn worker_view(&self, id: &WorkerName) -> Option<&WorkerView> {
+        self.worker_views.get(id)
     }
 
     /// Workers of a service that take new work.
-    pub fn takers<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Seat> {
-        self.seats
+    pub fn takers<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a WorkerView> {
+        self.worker_views
             .values()
             .filter(move |s| &*s.record.service == service && s.record.state == WorkerState::Ready)
     }
@@ -213,13 +214,13 @@
     /// Counts a run at a worker.
     pub fn start(&mut self, worker: &WorkerName, class: Class) -> Ticket {
         let mut boot = None;
-        if let Some(seat) = self.seats.get_mut(worker) {
-            boot = seat.record.boot;
+        if let Some(worker_view) = self.worker_views.get_mut(worker) {
+            boot = worker_view.record.boot;
             match class {
-                Class::Online => seat.own.online += 1,
-                Class::Batch => seat.own.batch += 1,
+                Class::Online => worker_view.own.online += 1,
+                Class::Batch => worker_view.own.batch += 1,
             }
-            seat.doubt.sent();
+            worker_view.doubt.sent();
         }
         Ticket {
             worker: worker.clone(),
@@ -232,50 +233,50 @@
     ///
     /// What a run tells of a former life must not be held against the present
     /// one, or be counted for it.
-    fn seat_of(&mut self, ticket: &Ticket) -> Option<&mut Seat> {
-        let seat = self.seats.get_mut(&ticket.worker)?;
-        (seat.record.boot == ticket.boot).then_some(seat)
+    fn seat_of(&mut self, ticket: &Ticket) -> Option<&mut WorkerView> {
+        let worker_view = self.worker_views.get_mut(&ticket.worker)?;
+        (worker_view.record.boot == ticket.boot).then_some(worker_view)
     }
 
     /// Whether a run's worker has started again since the run was sent there.
     #[must_use]
-    pub fn is_of_former_life(&self, ticket: &Ticket) -> bool {
-        let seat = self.seats.get(&ticket.worker);
-        seat.is_some_and(|s| s.record.boot != ticket.boot)
+    pub fn is_from_previous_incarnation(&self, ticket: &Ticket) -> bool {
+        let worker_view = self.worker_views.get(&ticket.worker);
+        worker_view.is_some_and(|s| s.record.boot != ticket.boot)
     }
 
     /// A run is over.
     pub fn end(&mut self, ticket: &Ticket) {
-        let Some(seat) = self.seat_of(ticket) else {
+        let Some(worker_view) = self.seat_of(ticket) else {
             return;
         };
         let count = match ticket.class {
-            Class::Online => &mut seat.own.online,
-            Class::Batch => &mut seat.own.batch,
+            Class::Online => &mut worker_view.own.online,
+            Class::Batch => &mut worker_view.own.batch,
         };
         *count = count.saturating_sub(1);
-        seat.doubt.trial_over();
+        worker_view.doubt.trial_over();
     }
 
     /// A run gave an event or a whole answer.
     pub fn succeeded(&mut self, ticket: &Ticket, now: Moment) {
-        if let Some(seat) = self.seat_of(ticket) {
-            seat.doubt.succeeded();
-            seat.last_event_at = now;
+        if let Some(worker_view) = self.seat_of(ticket) {
+            worker_view.doubt.succeeded();
+            worker_view.last_event_at = now;
         }
     }
 
     /// Two events of a run came so far apart.
     pub fn note_interval(&mut self, ticket: &Ticket, interval: Duration, now: Moment) {
         if self.seat_of(ticket).is_some() {
-            self.paces.note_interval(&ticket.worker, interval, now);
+            self.speeds.note_interval(&ticket.worker, interval, now);
         }
     }
 
     /// A run failed in a way that speaks against its worker.
     pub fn failed(&mut self, ticket: &Ticket, now: Moment) {
-        if let Some(seat) = self.seat_of(ticket) {
-            seat.doubt.failed(now);
+        if let Some(worker_view) = self.seat_of(ticket) {
+            worker_view.doubt.failed(now);
         }
     }
 
@@ -284,10 +285,10 @@
     /// The fault may be the item's, which then fails everywhere. It speaks against
     /// the worker only if no run of ours there gives events meanwhile.
     pub fn failed_item(&mut self, ticket: &Ticket, now: Moment) {
-        if let Some(seat) = self.seat_of(ticket)
-            && (seat.last_event_at + HEALTHY_AFTER_EVENT).is_past(now)
+        if let Some(worker_view) = self.seat_of(ticket)
+            && (worker_view.last_event_at + HEALTHY_AFTER_EVENT).is_past(now)
         {
-            seat.doubt.failed(now);
+            worker_view.doubt.failed(now);
         }
     }
 
@@ -301,9 +302,11 @@
         // of them up anew for each report would take most of a small core.
         let before = self.peers.remove(peer);
         for (id, runs) in before.into_iter().flat_map(|b| b.running) {
-            if let Some(seat) = peer_seat(&mut self.seats, &id, runs.boot) {
-                seat.peers.online = seat.peers.online.saturating_sub(runs.running.online);
-                seat.peers.batch = seat.peers.batch.saturating_sub(runs.running.batch);
+            if let Some(worker_view) = peer_seat(&mut self.worker_views, &id, runs.boot) {
+                worker_view.peers.online =
+                    worker_view.peers.online.saturating_sub(runs.running.online);
+                worker_view.peers.batch =
+                    worker_view.peers.batch.saturating_sub(runs.running.batch);
             }
         }
         self.add_peer(&load);
@@ -312,7 +315,7 @@
 
     /// Stops counting peers that were not heard in time: their runs ended with
     /// them, or will.
-    pub fn evict_silent(&mut self, now: Moment) {
+    pub fn evict_expired_peers(&mut self, now: Moment) {
         let before = self.peers.len();
         self.peers.retain(|_, load| !load.expires_at.is_past(now));
         self.places.retain(|peer, _| self.peers.contains_key(peer));
@@ -329,15 +332,15 @@
 
     /// Our own runs at each worker that has any, with the life that it lives.
     pub fn own(&self) -> impl Iterator<Item = (&WorkerName, Option<Boot>, Running)> {
-        self.seats
+        self.worker_views
             .iter()
             .filter(|(_, s)| s.own.total() > 0)
             .map(|(id, s)| (id, s.record.boot, s.own))
     }
 
     fn sum_peers(&mut self) {
-        for seat in self.seats.values_mut() {
-            seat.peers = Running::default();
+        for worker_view in self.worker_views.values_mut() {
+            worker_view.peers = Running::default();
         }
         let peers = std::mem::take(&mut self.peers);
         for load in peers.values() {
@@ -348,9 +351,9 @@
 
     fn add_peer(&mut self, load: &PeerLoad) {
         for (id, runs) in &load.running {
-            if let Some(seat) = peer_seat(&mut self.seats, id, runs.boot) {
-                seat.peers.online += runs.running.online;
-                seat.peers.batch += runs.running.batch;
+            if let Some(worker_view) = peer_seat(&mut self.worker_views, id, runs.boot) {
+                worker_view.peers.online += runs.running.online;
+                worker_view.peers.batch += runs.running.batch;
             }
         }
     }
@@ -359,9 +362,9 @@
 /// The seat that a peer's runs count at. A peer may not know yet that a worker
 /// has started again; the runs that it names are gone then.
 fn peer_seat<'a>(
-    seats: &'a mut BTreeMap<WorkerName, Seat>,
+    worker_views: &'a mut BTreeMap<WorkerName, WorkerView>,
     id: &WorkerName,
     boot: Option<Boot>,
-) -> Option<&'a mut Seat> {
-    seats.get_mut(id).filter(|s| s.record.boot == boot)
+) -> Option<&'a mut WorkerView> {
+    worker_views.get_mut(id).filter(|s| s.record.boot == boot)
 }
--- a/crates/bluebellreel_dispatch/src/catalog.rs
+++ b/crates/bluebellreel_dispatch/src/catalog.rs
@@ -170,7 +170,7 @@
         for (revision, id, record) in facts {
             changed |= self.take(revision, &id, record);
         }
-        self.seen_to(complete_to);
+        self.advance_to(complete_to);
         changed
     }
 
@@ -182,12 +182,12 @@
     /// that had happened, kept such a worker for good and sent it work until it was
     /// gone.
     #[must_use]
-    pub fn tells_all_after(&self, revision: i64) -> bool {
+    pub fn has_all_changes_after(&self, revision: i64) -> bool {
         revision == 0 || revision >= self.removals_after
     }
 
     /// All changes up to this revision are known.
-    pub fn seen_to(&mut self, revision: i64) {
+    pub fn advance_to(&mut self, revision: i64) {
         self.revision = self.revision.max(revision);
     }
 
@@ -227,7 +227,7 @@
                 None => self.remove(revision, &id),
             };
         }
-        self.seen_to(revision);
+        self.advance_to(revision);
         changed
     }
 
--- a/crates/bluebellreel_dispatch/src/lib.rs
+++ b/crates/bluebellreel_dispatch/src/lib.rs
@@ -29,16 +29,16 @@
 mod suspects;
 mod ticket;
 
-pub use board::{Board, PlacementLimits, Seat, WorkerChange};
+pub use board::{Board, PlacementLimits, WorkerChange, WorkerView};
 pub use catalog::{Boot, Catalog, WorkerRecord, WorkerState, WorkerTag};
 pub use doubt::Doubt;
 pub use fingerprint::{Fingerprint, NoFingerprint};
-pub use overload::{Overloads, return_after};
-pub use pace::Paces;
+pub use overload::{Overloads, retry_delay};
+pub use pace::WorkerSpeeds;
 pub use peer::{PeerLoad, PeerRuns, Running};
 pub use place::{
-    BatchRun, Placement, Query, batch_to_yield, place_batch, place_online, should_leave,
+    BatchRun, Placement, Query, batch_to_yield, place_batch, place_online, should_reroute,
 };
 pub use routes::{CallerLimits, Configuration, Route, RouteKind, Service, Target};
-pub use suspects::{Cleared, CrashNotice, Sender, Standing, Strike, Suspects, may_try};
+pub use suspects::{Cleared, CrashNotice, CrashedRun, QuarantineStatus, Sender, Suspects, may_try};
 pub use ticket::{Class, Ticket};
--- a/crates/bluebellreel_dispatch/src/overload.rs
+++ b/crates/bluebellreel_dispatch/src/overload.rs
@@ -58,7 +58,7 @@
 /// for so long, and that waits for `left` at the most. `draw` lies between 0 and
 /// 1 and spreads the callers.
 #[must_use]
-pub fn return_after(lasted: Duration, left: Duration, draw: f64) -> Duration {
+pub fn retry_delay(lasted: Duration, left: Duration, draw: f64) -> Duration {
     let latest = (lasted.max(SHORTEST_GUESS) * 2).min(left / HEEDED_PART);
     let earliest = latest / EARLIEST_PART;
     earliest + latest.saturating_sub(earliest).mul_f64(draw)
--- a/crates/bluebellreel_dispatch/src/pace.rs
+++ b/crates/bluebellreel_dispatch/src/pace.rs
@@ -23,13 +23,13 @@
 
 /// Paces of all workers, and how long an online run takes.
 #[derive(Clone, Debug)]
-pub struct Paces {
+pub struct WorkerSpeeds {
     events: BTreeMap<WorkerName, Sample>,
     run_seconds: f64,
     usual_seconds: Option<f64>,
 }
 
-impl Default for Paces {
+impl Default for WorkerSpeeds {
     fn default() -> Self {
         Self {
             events: BTreeMap::new(),
@@ -39,7 +39,7 @@
     }
 }
 
-impl Paces {
+impl WorkerSpeeds {
     /// Two events of one stream came so far apart.
     pub fn note_interval(&mut self, worker: &WorkerName, interval: Duration, now: Moment) {
         let seconds = interval.as_secs_f64();
--- a/crates/bluebellreel_dispatch/src/place.rs
+++ b/crates/bluebellreel_dispatch/src/place.rs
@@ -6,7 +6,7 @@
 //! refused at once, while the caller can still come back in time. Batch takes
 //! what is free and leaves as soon as the sum of all runs passes the slots.
 
-use crate::{Board, Seat, WorkerRecord};
+use crate::{Board, WorkerRecord, WorkerView};
 use bluebellreel_types::{DataCentre, EntryName, Moment, WorkerName};
 use std::time::Duration;
 use twox_hash::XxHash64;
@@ -44,12 +44,12 @@
 /// one of them rather than to none.
 #[must_use]
 pub fn place_online(board: &Board, query: &Query) -> Placement {
-    let takers: Vec<&Seat> = board.takers(query.service).collect();
+    let takers: Vec<&WorkerView> = board.takers(query.service).collect();
     if takers.is_empty() {
         return Placement::NoWorker;
     }
-    let untried = |s: &&&Seat| !query.avoid.contains(&s.record.id);
-    let trusted: Vec<&Seat> = takers
+    let untried = |s: &&&WorkerView| !query.avoid.contains(&s.record.id);
+    let trusted: Vec<&WorkerView> = takers
         .iter()
         .filter(untried)
         .filter(|s| s.doubt.takes(query.now))
@@ -60,13 +60,13 @@
             .iter()
             .filter(untried)
             .copied()
-            .collect::<Vec<&Seat>>()
+            .collect::<Vec<&WorkerView>>()
     } else {
         trusted
     };
-    let ranks: Vec<(Rank, &Seat)> = pool
+    let ranks: Vec<(Rank, &WorkerView)> = pool
         .into_iter()
-        .map(|seat| (rank(board, seat, query.now), seat))
+        .map(|worker_view| (rank(board, worker_view, query.now), worker_view))
         .collect();
     let Some(best) = ranks.iter().map(|(rank, _)| *rank).min() else {
         return Placement::NoWorker;
@@ -75,7 +75,7 @@
         return Placement::Full;
     }
     let alike = ranks.iter().filter(|(rank, _)| *rank == best);
-    let alike: Vec<&Seat> = alike.map(|(_, seat)| *seat).collect();
+    let alike: Vec<&WorkerView> = alike.map(|(_, worker_view)| *worker_view).collect();
     Placement::Send(better_of_two(&alike, query.salt).record.id.clone())
 }
 
@@ -83,7 +83,7 @@
 ///
 /// What is known of peers' runs is a moment old. If every daemon chose the
 /// emptiest worker, all would choose the same one.
-fn better_of_two<'a>(alike: &[&'a Seat], salt: u64) -> &'a Seat {
+fn better_of_two<'a>(alike: &[&'a WorkerView], salt: u64) -> &'a WorkerView {
     let count = alike.len() as u64;
     let first = salt % count;
     let step = if count > 1 {
@@ -104,18 +104,18 @@
 ///
 /// Slots come free as often as runs end: four times as slowly at a worker that is
 /// four times as slow.
-fn expected_wait(board: &Board, seat: &Seat, now: Moment) -> Duration {
-    let before = (seat.running().online + 1).saturating_sub(seat.record.slots);
-    let one = board.paces.wait_for_one(seat.record.slots);
-    let slowness = board.paces.slowness(&seat.record.id, now);
+fn expected_wait(board: &Board, worker_view: &WorkerView, now: Moment) -> Duration {
+    let before = (worker_view.running().online + 1).saturating_sub(worker_view.record.slots);
+    let one = board.speeds.wait_for_one(worker_view.record.slots);
+    let slowness = board.speeds.slowness(&worker_view.record.id, now);
     (one * before).mul_f64(slowness)
 }
 
 /// How much slower than usual a worker is from which on others are preferred.
 const SLOW_FACTOR: f64 = 1.6;
 
-fn is_slow(board: &Board, seat: &Seat, now: Moment) -> bool {
-    board.paces.slowness(&seat.record.id, now) > SLOW_FACTOR
+fn is_slow(board: &Board, worker_view: &WorkerView, now: Moment) -> bool {
+    board.speeds.slowness(&worker_view.record.id, now) > SLOW_FACTOR
 }
 
 /// Time without any event from a worker after which it counts as silent, and
@@ -129,13 +129,15 @@
 /// streams go on it leaves only for a free slot: a place in a second line is
 /// no better than its place in the first.
 #[must_use]
-pub fn should_leave(board: &Board, query: &Query, worker: &WorkerName) -> bool {
+pub fn should_reroute(board: &Board, query: &Query, worker: &WorkerName) -> bool {
     let Placement::Send(other) = place_online(board, query) else {
         return false;
     };
-    let last_event_at = board.seat(worker).map_or(Moment(0), |s| s.last_event_at);
+    let last_event_at = board
+        .worker_view(worker)
+        .map_or(Moment(0), |s| s.last_event_at);
     let busy = !(last_event_at + SILENT_AFTER).is_past(query.now);
-    let free = board.seat(&other).is_some_and(|s| s.free() > 0);
+    let free = board.worker_view(&other).is_some_and(|s| s.free() > 0);
     free || !busy
 }
 
@@ -150,16 +152,16 @@
     far: bool,
 }
 
-fn rank(board: &Board, seat: &Seat, now: Moment) -> Rank {
+fn rank(board: &Board, worker_view: &WorkerView, now: Moment) -> Rank {
     Rank {
-        wait: expected_wait(board, seat, now),
-        slow: is_slow(board, seat, now),
-        slot: match (seat.free(), seat.own.batch) {
+        wait: expected_wait(board, worker_view, now),
+        slow: is_slow(board, worker_view, now),
+        slot: match (worker_view.free(), worker_view.own.batch) {
             (1.., _) => 0,
             (0, 1..) => 1,
             (0, 0) => 2,
         },
-        far: seat.record.data_centre != board.local,
+        far: worker_view.record.data_centre != board.local,
     }
 }
 
@@ -184,7 +186,7 @@
     let trusted = board
         .takers(query.service)
         .filter(|s| s.doubt.takes(query.now));
-    let (ours, others): (Vec<&Seat>, Vec<&Seat>) =
+    let (ours, others): (Vec<&WorkerView>, Vec<&WorkerView>) =
         trusted.partition(|s| is_first(board, me, &s.record));
     let free: u32 = ours.iter().map(|s| s.free()).sum();
     let online: u32 = ours.iter().map(|s| s.running().online).sum();
@@ -210,28 +212,32 @@
 fn place_failed_item(
     board: &Board,
     query: &Query,
-    ours: &[&Seat],
-    others: &[&Seat],
+    ours: &[&WorkerView],
+    others: &[&WorkerView],
 ) -> Option<WorkerName> {
     let (mine, theirs) = (untried(ours, query), untried(others, query));
     if mine.is_empty() && theirs.is_empty() {
         return best_for_batch(board, query, ours);
     }
-    let is_proven = |s: &&Seat| !(s.last_event_at + PROVEN_AFTER_EVENT).is_past(query.now);
+    let is_proven = |s: &&WorkerView| !(s.last_event_at + PROVEN_AFTER_EVENT).is_past(query.now);
     let both = mine.iter().chain(&theirs).copied();
-    let proven: Vec<&Seat> = both.filter(is_proven).collect();
+    let proven: Vec<&WorkerView> = both.filter(is_proven).collect();
     [&proven, &mine, &theirs]
         .into_iter()
-        .find_map(|seats| best_for_batch(board, query, seats))
+        .find_map(|worker_views| best_for_batch(board, query, worker_views))
 }
 
-fn untried<'a>(seats: &[&'a Seat], query: &Query) -> Vec<&'a Seat> {
-    let is_untried = |s: &&Seat| !query.avoid.contains(&s.record.id);
-    seats.iter().copied().filter(is_untried).collect()
+fn untried<'a>(worker_views: &[&'a WorkerView], query: &Query) -> Vec<&'a WorkerView> {
+    let is_untried = |s: &&WorkerView| !query.avoid.contains(&s.record.id);
+    worker_views.iter().copied().filter(is_untried).collect()
 }
 
-fn best_for_batch(board: &Board, query: &Query, seats: &[&Seat]) -> Option<WorkerName> {
-    seats
+fn best_for_batch(
+    board: &Board,
+    query: &Query,
+    worker_views: &[&WorkerView],
+) -> Option<WorkerName> {
+    worker_views
         .iter()
         .filter(|s| s.free() > 0)
         .max_by_key(|s| {
@@ -278,17 +284,19 @@
 #[must_use]
 pub fn batch_to_yield<T: Clone>(board: &Board, runs: &[BatchRun<T>]) -> Vec<T> {
     let mut yields = Vec::new();
-    for seat in board.seats() {
-        let mut here: Vec<&BatchRun<T>> =
-            runs.iter().filter(|r| r.worker == seat.record.id).collect();
+    for worker_view in board.worker_views() {
+        let mut here: Vec<&BatchRun<T>> = runs
+            .iter()
+            .filter(|r| r.worker == worker_view.record.id)
+            .collect();
         if here.is_empty() {
             continue;
         }
         here.sort_by_key(|r| r.events);
-        let count = if seat.record.state == crate::WorkerState::Draining {
+        let count = if worker_view.record.state == crate::WorkerState::Draining {
             here.len()
         } else {
-            own_share_of_excess(seat)
+            own_share_of_excess(worker_view)
         };
         yields.extend(here.iter().take(count).map(|r| r.key.clone()));
     }
@@ -297,12 +305,12 @@
 
 /// How many of our batch runs must go: our part of the runs beyond the slots,
 /// rounded up, as the other daemons with batch there do the same.
-fn own_share_of_excess(seat: &Seat) -> usize {
-    let batch = seat.running().batch;
+fn own_share_of_excess(worker_view: &WorkerView) -> usize {
+    let batch = worker_view.running().batch;
     if batch == 0 {
         return 0;
     }
-    let excess = seat.excess().min(batch);
-    let share = (excess * seat.own.batch).div_ceil(batch);
-    usize::try_from(share.min(seat.own.batch)).unwrap_or(usize::MAX)
+    let excess = worker_view.excess().min(batch);
+    let share = (excess * worker_view.own.batch).div_ceil(batch);
+    usize::try_from(share.min(worker_view.own.batch)).unwrap_or(usize::MAX)
 }
--- a/crates/bluebellreel_dispatch/src/suspects/mod.rs
+++ b/crates/bluebellreel_dispatch/src/suspects/mod.rs
@@ -23,7 +23,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub use record::{CrashNotice, Strike};
+pub use record::{CrashNotice, CrashedRun};
 pub use trial::may_try;
 
 /// Crashes after which a request is quarantined. Fewer would quarantine those that met
@@ -61,14 +61,14 @@
 
 /// Whether a request may be sent to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// Nothing speaks against it.
     Clear,
     /// It was at crashes that may have other causes.
     Suspect,
     /// Its quarantine ended at this moment: one run shows whether workers can run it now.
     /// See [`may_try`].
-    OnTrial(Moment),
+    TrialOnly(Moment),
     /// It is quarantined until then.
     Quarantined(Moment),
 }
@@ -121,7 +121,7 @@
         let Some(record) = self.records.get_mut(&notice.fingerprint) else {
             return 0;
         };
-        if let Some(known) = record.strikes.get_mut(&notice.worker) {
+        if let Some(known) = record.crashed_runs.get_mut(&notice.worker) {
             known.notify_until = now + NOTIFY_FOR;
         }
         record.weight()
@@ -132,31 +132,31 @@
         let CrashNotice {
             fingerprint,
             worker,
-            strike,
+            crashed_run,
         } = notice;
-        let never = strike.crashed < strike.began || strike.crashed > now;
-        if never || (strike.crashed + CRASH_KEPT).is_past(now) {
+        let never = crashed_run.crashed < crashed_run.began || crashed_run.crashed > now;
+        if never || (crashed_run.crashed + CRASH_KEPT).is_past(now) {
             return false;
         }
         let record = self.records.entry(fingerprint).or_default();
-        if let Some(known) = record.strikes.get_mut(&worker) {
-            let changed = strike.excused && !known.strike.excused;
-            known.strike.excused |= strike.excused;
+        if let Some(known) = record.crashed_runs.get_mut(&worker) {
+            let changed = crashed_run.cleared && !known.crashed_run.cleared;
+            known.crashed_run.cleared |= crashed_run.cleared;
             return changed;
         }
         record.evict_oldest();
         let known = Known {
-            strike,
+            crashed_run,
             notify_until: Moment(0),
         };
-        record.strikes.insert(worker, known);
+        record.crashed_runs.insert(worker, known);
         self.evict_weakest();
         true
     }
 
     /// The lives of workers that crashed under a request.
     #[must_use]
-    pub fn workers_of(&self, fingerprint: Fingerprint) -> Vec<WorkerTag> {
+    pub fn crashed_workers(&self, fingerprint: Fingerprint) -> Vec<WorkerTag> {
         let record = self.records.get(&fingerprint);
         let charges = record.into_iter().flat_map(Record::charges);
         charges.map(|(worker, _)| *worker).collect()
@@ -166,15 +166,15 @@
     /// is not known: it is quarantined as if the last one had just crashed.
     pub fn recall(&mut self, fingerprint: Fingerprint, workers: &[WorkerTag], now: Moment) {
         for worker in workers.iter().take(MAX_CRASHES) {
-            let strike = Strike {
+            let crashed_run = CrashedRun {
                 began: now,
                 crashed: now,
-                excused: false,
+                cleared: false,
             };
             let notice = CrashNotice {
                 fingerprint,
                 worker: *worker,
-                strike,
+                crashed_run,
             };
             self.note_crash(notice, now);
         }
@@ -187,9 +187,12 @@
         };
         let weight = record.weight();
         record.trial_until = Moment(0);
-        let charges = record.strikes.values_mut().filter(|k| !k.strike.excused);
+        let charges = record
+            .crashed_runs
+            .values_mut()
+            .filter(|k| !k.crashed_run.cleared);
         let excuse = |known: &mut Known| {
-            known.strike.excused = true;
+            known.crashed_run.cleared = true;
             known.notify_until = now + NOTIFY_FOR;
         };
         if charges.map(excuse).count() == 0 {
@@ -212,11 +215,11 @@
             return (weight, record.last());
         }
         let crashes = self.crashes();
-        let own = record.charges().filter(|(worker, strike)| {
+        let own = record.charges().filter(|(worker, crashed_run)| {
             let is_heaviest = crashes[worker].heaviest <= weight;
-            is_heaviest && !is_one_of_many(&crashes, record, strike)
+            is_heaviest && !is_one_of_many(&crashes, record, crashed_run)
         });
-        in_turn(own.map(|(_, strike)| *strike))
+        in_turn(own.map(|(_, crashed_run)| *crashed_run))
     }
 
     /// All crashes that are remembered.
@@ -224,12 +227,12 @@
         let mut crashes: BTreeMap<WorkerTag, Crash> = BTreeMap::new();
         for record in self.records.values() {
             let weight = record.weight();
-            for (worker, Known { strike, .. }) in &record.strikes {
+            for (worker, Known { crashed_run, .. }) in &record.crashed_runs {
                 let crash = crashes.entry(*worker).or_insert(Crash {
-                    at: strike.crashed,
+                    at: crashed_run.crashed,
                     heaviest: 0,
                 });
-                let counts = if strike.excused { 0 } else { weight };
+                let counts = if crashed_run.cleared { 0 } else { weight };
                 crash.heaviest = crash.heaviest.max(counts);
             }
         }
@@ -238,13 +241,18 @@
 
     /// Whether a request may be sent.
     #[must_use]
-    pub fn standing(&self, fingerprint: Fingerprint, sender: Sender, now: Moment) -> Standing {
+    pub fn quarantine_status(
+        &self,
+        fingerprint: Fingerprint,
+        sender: Sender,
+        now: Moment,
+    ) -> QuarantineStatus {
         let (charged, last) = self.charged(fingerprint);
         if charged == 0 {
-            return Standing::Clear;
+            return QuarantineStatus::Clear;
         }
         let Some(beyond) = charged.checked_sub(QUARANTINE_CRASHES) else {
-            return Standing::Suspect;
+            return QuarantineStatus::Suspect;
         };
         let more = match sender {
             Sender::Caller => QUARANTINE_ONLINE,
@@ -257,11 +265,11 @@
         let until = last + lasts;
         let trial_until = self.records[&fingerprint].trial_until;
         if !until.is_past(now) {
-            Standing::Quarantined(until)
+            QuarantineStatus::Quarantined(until)
         } else if !trial_until.is_past(now) {
-            Standing::Quarantined(trial_until)
+            QuarantineStatus::Quarantined(trial_until)
         } else {
-            Standing::OnTrial(until)
+            QuarantineStatus::TrialOnly(until)
         }
     }
 
@@ -308,7 +316,7 @@
         let mut known = Vec::new();
         for (fingerprint, record) in &self.records {
             let weight = record.weight();
-            for (worker, k) in &record.strikes {
+            for (worker, k) in &record.crashed_runs {
                 let list = match (k.notify_until.is_past(now), weight) {
                     (false, _) => &mut seen,
                     (true, QUARANTINE_CRASHES..) if all => &mut known,
@@ -317,7 +325,7 @@
                 let notice = CrashNotice {
                     fingerprint: *fingerprint,
                     worker: *worker,
-                    strike: k.strike,
+                    crashed_run: k.crashed_run,
                 };
                 list.push((weight, notice));
             }
@@ -339,10 +347,10 @@
     pub fn sweep(&mut self, now: Moment) {
         for record in self.records.values_mut() {
             record
-                .strikes
-                .retain(|_, k| !(k.strike.crashed + CRASH_KEPT).is_past(now));
+                .crashed_runs
+                .retain(|_, k| !(k.crashed_run.crashed + CRASH_KEPT).is_past(now));
         }
-        self.records.retain(|_, r| !r.strikes.is_empty());
+        self.records.retain(|_, r| !r.crashed_runs.is_empty());
     }
 
     /// Keeps the stronger half once there are too many: a mass kill then costs one sort
--- a/crates/bluebellreel_dispatch/src/suspects/record.rs
+++ b/crates/bluebellreel_dispatch/src/suspects/record.rs
@@ -18,13 +18,13 @@
 
 /// A worker's crash, as far as a request is concerned that was there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Strike {
+pub struct CrashedRun {
     /// When the request was sent there.
     pub began: Moment,
     /// When its run was broken off.
     pub crashed: Moment,
     /// Whether the request has run well since.
-    pub excused: bool,
+    pub cleared: bool,
 }
 
 /// One crash under one request, as daemons notify each other.
@@ -35,20 +35,20 @@
     /// The life of the worker that crashed.
     pub worker: WorkerTag,
     /// The crash.
-    pub strike: Strike,
+    pub crashed_run: CrashedRun,
 }
 
 /// A crash as it is remembered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Known {
-    pub(super) strike: Strike,
+    pub(super) crashed_run: CrashedRun,
     /// Until when peers are notified, as it was seen here.
     pub(super) notify_until: Moment,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Record {
-    pub(super) strikes: BTreeMap<WorkerTag, Known>,
+    pub(super) crashed_runs: BTreeMap<WorkerTag, Known>,
     /// Until when one request is tried out, here or at a peer.
     pub(super) trial_until: Moment,
     /// Whether that is here.
@@ -56,9 +56,12 @@
 }
 
 impl Record {
-    pub(super) fn charges(&self) -> impl Iterator<Item = (&WorkerTag, &Strike)> {
-        let strikes = self.strikes.iter().map(|(worker, k)| (worker, &k.strike));
-        strikes.filter(|(_, s)| !s.excused)
+    pub(super) fn charges(&self) -> impl Iterator<Item = (&WorkerTag, &CrashedRun)> {
+        let crashed_runs = self
+            .crashed_runs
+            .iter()
+            .map(|(worker, k)| (worker, &k.crashed_run));
+        crashed_runs.filter(|(_, s)| !s.cleared)
     }
 
     /// Crashes one after the other, whoever caused them.
@@ -67,16 +70,19 @@
     }
 
     pub(super) fn last(&self) -> Moment {
-        let crashes = self.strikes.values().map(|k| k.strike.crashed);
+        let crashes = self.crashed_runs.values().map(|k| k.crashed_run.crashed);
         crashes.max().unwrap_or_default()
     }
 
     /// Makes room for one more crash.
     pub(super) fn evict_oldest(&mut self) {
-        while self.strikes.len() >= MAX_CRASHES {
-            let oldest = self.strikes.iter().min_by_key(|(_, k)| k.strike.crashed);
+        while self.crashed_runs.len() >= MAX_CRASHES {
+            let oldest = self
+                .crashed_runs
+                .iter()
+                .min_by_key(|(_, k)| k.crashed_run.crashed);
             let Some((&worker, _)) = oldest else { return };
-            self.strikes.remove(&worker);
+            self.crashed_runs.remove(&worker);
         }
     }
 }
@@ -94,25 +100,25 @@
 pub(super) fn is_one_of_many(
     crashes: &BTreeMap<WorkerTag, Crash>,
     of: &Record,
-    strike: &Strike,
+    crashed_run: &CrashedRun,
 ) -> bool {
-    let (from, until) = (strike.crashed, strike.crashed + SAME_MOMENT);
+    let (from, until) = (crashed_run.crashed, crashed_run.crashed + SAME_MOMENT);
     let at_once = |c: &Crash| c.at <= until && from <= c.at + SAME_MOMENT;
-    let others = crashes
-        .iter()
-        .filter(|(worker, c)| !of.strikes.contains_key(worker) && c.heaviest <= 1 && at_once(c));
+    let others = crashes.iter().filter(|(worker, c)| {
+        !of.crashed_runs.contains_key(worker) && c.heaviest <= 1 && at_once(c)
+    });
     others.count() >= MASS_CRASH
 }
 
 /// The most crashes of these that came one after the other, and the last one's moment.
-pub(super) fn in_turn(strikes: impl Iterator<Item = Strike>) -> (u32, Moment) {
-    let mut all: Vec<Strike> = strikes.collect();
+pub(super) fn in_turn(crashed_runs: impl Iterator<Item = CrashedRun>) -> (u32, Moment) {
+    let mut all: Vec<CrashedRun> = crashed_runs.collect();
     all.sort_by_key(|s| s.crashed);
     let (mut count, mut last) = (0, Moment(0));
-    for strike in all {
-        if count == 0 || strike.began + CLOCK_SLACK >= last {
+    for crashed_run in all {
+        if count == 0 || crashed_run.began + CLOCK_SLACK >= last {
             count += 1;
-            last = strike.crashed;
+            last = crashed_run.crashed;
         }
     }
     (count, last)
--- a/crates/bluebellreel_dispatch/tests/batch_placement.rs
+++ b/crates/bluebellreel_dispatch/tests/batch_placement.rs
@@ -115,7 +115,7 @@
 #[test]
 fn batch_stays_in_its_data_centre_while_it_can() {
     let mut board = board(2);
-    board.note_place(&EntryName::from("entry-2"), DataCentre::from("there"));
+    board.note_data_centre(&EntryName::from("entry-2"), DataCentre::from("there"));
     peer(&mut board, "entry-2", 1, 5, &[]);
     let place = |board: &Board| place_batch(board, &query(&[]), &me());
     for _ in 0..SLOTS {
@@ -179,7 +179,11 @@
     board.succeeded(&well, later);
     board.failed_item(&well, later);
     board.failed_item(&silent, later);
-    let takes = |n: usize| board.seat(&name(n)).is_some_and(|s| s.doubt.takes(later));
+    let takes = |n: usize| {
+        board
+            .worker_view(&name(n))
+            .is_some_and(|s| s.doubt.takes(later))
+    };
     assert!(takes(0));
     assert!(!takes(1));
 }
--- a/crates/bluebellreel_dispatch/tests/catalog.rs
+++ b/crates/bluebellreel_dispatch/tests/catalog.rs
@@ -82,7 +82,7 @@
     let mut other = Catalog::default();
     for catalog in [&mut watcher, &mut other] {
         catalog.put(3, worker("a", WorkerState::Ready));
-        catalog.seen_to(10);
+        catalog.advance_to(10);
     }
     watcher.miss(20, &WorkerName::from("a"), until);
     watcher.expire(until);
@@ -101,7 +101,7 @@
 /// Has a daemon ask a peer for what has changed.
 fn ask(asker: &mut Catalog, peer: &Catalog) {
     let seen = asker.revision();
-    let whole = !peer.tells_all_after(seen);
+    let whole = !peer.has_all_changes_after(seen);
     let facts = peer.facts_after(if whole { 0 } else { seen });
     let facts = facts.map(|(revision, id, record)| (revision, id.clone(), record.cloned()));
     asker.learn(peer.revision(), facts.collect(), whole);
@@ -119,10 +119,10 @@
         let mut other = watcher.clone();
         watcher.replace(20, vec![], Some(until));
         watcher.put(25, worker("b", WorkerState::Ready));
-        watcher.seen_to(25);
+        watcher.advance_to(25);
         ask(&mut other, &watcher);
         assert_eq!(listed(&other), ["a", "b"], "it is kept for a while");
-        watcher.seen_to(25 + written_meanwhile);
+        watcher.advance_to(25 + written_meanwhile);
         watcher.expire(until);
         ask(&mut other, &watcher);
         assert_eq!(listed(&other), ["b"], "{written_meanwhile} writes");
@@ -241,8 +241,8 @@
 fn a_first_lesson_tells_nothing_of_earlier_removals() {
     let mut catalog = Catalog::default();
     catalog.learn(10, vec![ready(4, "a")], false);
-    assert!(!catalog.tells_all_after(9));
-    assert!(catalog.tells_all_after(10));
+    assert!(!catalog.has_all_changes_after(9));
+    assert!(catalog.has_all_changes_after(10));
 }
 
 /// Who has forgotten removals does not claim to know all that has changed since.
@@ -255,8 +255,8 @@
     let known = catalog.facts_after(0).map(|(revision, ..)| revision).min();
     let first = known.expect("most of them");
     assert!(first > 2, "some are forgotten");
-    assert!(!catalog.tells_all_after(first - 2));
-    assert!(catalog.tells_all_after(first - 1));
+    assert!(!catalog.has_all_changes_after(first - 2));
+    assert!(catalog.has_all_changes_after(first - 1));
 }
 
 /// A worker leaves, and a daemon starts after that: its list does not show who has
@@ -268,12 +268,12 @@
     behind.replace(5, vec![ready(3, "a"), ready(4, "b")], None);
     let mut new = Catalog::default();
     new.replace(9, vec![ready(4, "b"), ready(8, "c")], None);
-    assert!(!new.tells_all_after(behind.revision()));
+    assert!(!new.has_all_changes_after(behind.revision()));
     assert!(
-        new.tells_all_after(9),
+        new.has_all_changes_after(9),
         "from its list on it knows who leaves"
     );
-    assert!(new.tells_all_after(0), "one who knows nothing");
+    assert!(new.has_all_changes_after(0), "one who knows nothing");
     let all: Vec<_> = new
         .facts_after(0)
         .map(|(revision, id, record)| (revision, id.clone(), record.cloned()))
@@ -321,12 +321,12 @@
                         let record = is_there.then(|| worker(ids[*which], WorkerState::Ready));
                         daemons[who].take(*at, &WorkerName::from(ids[*which]), record);
                     }
-                    daemons[who].seen_to(revision);
+                    daemons[who].advance_to(revision);
                 }
                 _ => {
                     let seen = daemons[who].revision();
                     let peer = daemons[which].clone();
-                    let whole = !peer.tells_all_after(seen);
+                    let whole = !peer.has_all_changes_after(seen);
                     let after = if whole { 0 } else { seen };
                     let facts: Vec<_> = peer
                         .facts_after(after)
--- a/crates/bluebellreel_dispatch/tests/overload.rs
+++ b/crates/bluebellreel_dispatch/tests/overload.rs
@@ -1,6 +1,6 @@
 //! When refused callers return.
 
-use bluebellreel_dispatch::{Overloads, return_after};
+use bluebellreel_dispatch::{Overloads, retry_delay};
 use bluebellreel_types::Moment;
 use proptest::prelude::*;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
     let mut told = Vec::new();
     for _ in 0..20 {
         let lasted = overloads.refused(&service, now);
-        told.push(return_after(lasted, Duration::from_secs(20), 0.5));
+        told.push(retry_delay(lasted, Duration::from_secs(20), 0.5));
         now = now + Duration::from_millis(250);
     }
     assert!(told.is_sorted(), "{told:?}");
@@ -46,9 +46,9 @@
     #[test]
     fn returns_are_heeded_and_spread(lasted in 0u64..60_000, left in 1u64..60_000, draw in 0.0..1.0f64) {
         let (lasted, left) = (Duration::from_millis(lasted), Duration::from_millis(left));
-        let after = return_after(lasted, left, draw);
+        let after = retry_delay(lasted, left, draw);
         prop_assert!(after <= left / 3);
-        let (first, last) = (return_after(lasted, left, 0.0), return_after(lasted, left, 1.0));
+        let (first, last) = (retry_delay(lasted, left, 0.0), retry_delay(lasted, left, 1.0));
         prop_assert!(first <= after && after <= last);
         prop_assert!(last >= first * 2);
     }
--- a/crates/bluebellreel_dispatch/tests/placement.rs
+++ b/crates/bluebellreel_dispatch/tests/placement.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bluebellreel_dispatch::{
-    Board, Class, Placement, Query, WorkerChange, WorkerState, place_online, should_leave,
+    Board, Class, Placement, Query, WorkerChange, WorkerState, place_online, should_reroute,
 };
 use bluebellreel_types::{Moment, WorkerName};
 use common::{MAX_WAIT, NOW, SLOTS, board, catalog, name, online, peer, query, start, ticket};
@@ -32,8 +32,8 @@
     peer(&mut board, "entry-2", 2, 0, &[(0, 4, 0), (2, 0, 0)]);
     assert_eq!(online(&board), Placement::Send(name(0)));
     // A peer that is not heard any more runs nothing that counts.
-    board.evict_silent(NOW + Duration::from_secs(3));
-    assert!(board.seats().all(|s| s.peers.total() == 0));
+    board.evict_expired_peers(NOW + Duration::from_secs(3));
+    assert!(board.worker_views().all(|s| s.peers.total() == 0));
 }
 
 proptest! {
@@ -55,8 +55,8 @@
         for worker in 0..3 {
             let of_worker = newest.values().filter(|n| n.1 == worker);
             let (online, batch) = of_worker.fold((0, 0), |a, n| (a.0 + n.2, a.1 + n.3));
-            let seat = board.seat(&name(worker)).expect("it is listed");
-            prop_assert_eq!((seat.peers.online, seat.peers.batch), (online, batch));
+            let worker_view = board.worker_view(&name(worker)).expect("it is listed");
+            prop_assert_eq!((worker_view.peers.online, worker_view.peers.batch), (online, batch));
         }
     }
 }
@@ -83,16 +83,16 @@
     board.follow(&catalog(3, WorkerState::Ready));
     for _ in 0..40 {
         board
-            .paces
+            .speeds
             .note_interval(&name(0), Duration::from_millis(105), NOW);
         board
-            .paces
+            .speeds
             .note_interval(&name(1), Duration::from_millis(25), NOW);
         board
-            .paces
+            .speeds
             .note_interval(&name(2), Duration::from_millis(25), NOW);
     }
-    board.paces.sweep(NOW);
+    board.speeds.sweep(NOW);
     assert_eq!(online(&board), Placement::Send(name(2)));
     start(&mut board, 1, Class::Online, SLOTS + 2);
     start(&mut board, 2, Class::Online, SLOTS + 2);
@@ -138,7 +138,11 @@
     // One request is on trial there; the next goes elsewhere.
     assert_ne!(choose(&board, 600), Placement::Send(first.clone()));
     board.succeeded(&ticket(first.clone()), NOW);
-    assert!(board.seat(&first).is_some_and(|s| s.doubt.takes(NOW)));
+    assert!(
+        board
+            .worker_view(&first)
+            .is_some_and(|s| s.doubt.takes(NOW))
+    );
 }
 
 /// Every worker is doubted, as after a restart of the fleet. Refusing people
@@ -162,7 +166,7 @@
     start(&mut board, 1, Class::Online, SLOTS);
     let silent = |board: &Board| {
         let tried = [name(0)];
-        should_leave(board, &query(&tried), &name(0))
+        should_reroute(board, &query(&tried), &name(0))
     };
     board.succeeded(&ticket(name(0)), NOW);
     assert!(!silent(&board));
@@ -244,10 +248,10 @@
     let gone = board.follow(&catalog(1, WorkerState::Draining));
     assert_eq!(gone, [(last.clone(), WorkerChange::Left)]);
     assert!(board.follow(&catalog(1, WorkerState::Draining)).is_empty());
-    assert!(board.seat(&last).is_some());
+    assert!(board.worker_view(&last).is_some());
     board.end(&ticket);
     assert!(board.follow(&catalog(1, WorkerState::Draining)).is_empty());
-    assert!(board.seat(&last).is_none());
+    assert!(board.worker_view(&last).is_none());
     let back = board.follow(&catalog(2, WorkerState::Ready));
     assert_eq!(back.len(), 2, "one is ready again, one is back");
 }
--- a/crates/bluebellreel_dispatch/tests/restarts.rs
+++ b/crates/bluebellreel_dispatch/tests/restarts.rs
@@ -41,7 +41,7 @@
 fn reborn(board: &mut Board, catalog: &mut Catalog, revision: i64, boot: u64) {
     catalog.put(revision, worker(Some(boot)));
     let changes = board.follow(catalog);
-    let again = WorkerChange::StartedAgain(WorkerState::Ready);
+    let again = WorkerChange::Restarted(WorkerState::Ready);
     assert_eq!(changes, [(id(), again)]);
 }
 
@@ -83,12 +83,15 @@
     assert_eq!(place(&board), Placement::Send(id()));
     // A late word of its former life changes nothing.
     board.hear(&EntryName::from("entry-2"), load(2, 7, SLOTS));
-    assert_eq!(board.seat(&id()).map(|s| s.running().total()), Some(0));
+    assert_eq!(
+        board.worker_view(&id()).map(|s| s.running().total()),
+        Some(0)
+    );
     let again = board.start(&id(), Class::Online);
     board.end(&ours);
-    assert_eq!(board.seat(&id()).map(|s| s.own.online), Some(1));
+    assert_eq!(board.worker_view(&id()).map(|s| s.own.online), Some(1));
     board.end(&again);
-    assert_eq!(board.seat(&id()).map(|s| s.own.online), Some(0));
+    assert_eq!(board.worker_view(&id()).map(|s| s.own.online), Some(0));
 }
 
 /// Streams of the former life break off after the new one is known. Held against
@@ -102,17 +105,17 @@
         board.note_interval(&runs[0], Duration::from_millis(400), NOW);
     }
     board.failed(&runs[0], NOW);
-    assert!(!board.seat(&id()).expect("listed").doubt.takes(NOW));
-    assert!(!board.is_of_former_life(&runs[1]));
+    assert!(!board.worker_view(&id()).expect("listed").doubt.takes(NOW));
+    assert!(!board.is_from_previous_incarnation(&runs[1]));
     reborn(&mut board, &mut catalog, 2, 8);
-    assert!(board.seat(&id()).expect("listed").doubt.takes(NOW));
-    assert!(board.is_of_former_life(&runs[1]));
+    assert!(board.worker_view(&id()).expect("listed").doubt.takes(NOW));
+    assert!(board.is_from_previous_incarnation(&runs[1]));
     for run in &runs[1..] {
         board.failed(run, NOW);
         board.note_interval(run, Duration::from_millis(400), NOW);
     }
-    assert!(board.seat(&id()).expect("listed").doubt.takes(NOW));
-    assert_eq!(board.paces.interval(&id(), NOW), None, "nor its pace");
+    assert!(board.worker_view(&id()).expect("listed").doubt.takes(NOW));
+    assert_eq!(board.speeds.interval(&id(), NOW), None, "nor its pace");
 }
 
 /// What a run of a former life tells does not clear or blame the present one.
@@ -123,13 +126,13 @@
     let former = board.start(&id(), Class::Batch);
     reborn(&mut board, &mut catalog, 2, 8);
     board.failed_item(&former, NOW);
-    assert!(board.seat(&id()).expect("listed").doubt.takes(NOW));
+    assert!(board.worker_view(&id()).expect("listed").doubt.takes(NOW));
     let present = board.start(&id(), Class::Online);
     board.failed(&present, NOW);
     board.succeeded(&former, NOW);
-    let seat = board.seat(&id()).expect("listed");
-    assert!(!seat.doubt.takes(NOW));
-    assert_eq!(seat.last_event_at, Moment::default());
+    let worker_view = board.worker_view(&id()).expect("listed");
+    assert!(!worker_view.doubt.takes(NOW));
+    assert_eq!(worker_view.last_event_at, Moment::default());
 }
 
 /// What a peer had at a former life is not taken off what others have at the present one.
@@ -141,7 +144,7 @@
     reborn(&mut board, &mut catalog, 2, 8);
     board.hear(&EntryName::from("entry-3"), load(1, 8, 3));
     board.hear(&EntryName::from("entry-2"), load(2, 8, 1));
-    assert_eq!(board.seat(&id()).map(|s| s.peers.online), Some(4));
+    assert_eq!(board.worker_view(&id()).map(|s| s.peers.online), Some(4));
 }
 
 /// Peers are told at which life our runs are.
@@ -188,8 +191,8 @@
     board.end(&run);
     catalog.remove(2, &id());
     board.follow(&catalog);
-    assert!(board.seat(&id()).is_none());
-    assert!(!board.is_of_former_life(&run));
+    assert!(board.worker_view(&id()).is_none());
+    assert!(!board.is_from_previous_incarnation(&run));
 }
 
 /// An entry of another writer stands where a worker's was. The worker gets
@@ -261,9 +264,9 @@
             }
             let own = runs.iter().filter(|(life, _)| *life == lives).count();
             let of_peer = if peer.0 == present { peer.1 } else { 0 };
-            let seat = board.seat(&id()).expect("listed");
-            prop_assert_eq!(seat.own.online, u32::try_from(own).expect("few"));
-            prop_assert_eq!(seat.peers.online, of_peer);
+            let worker_view = board.worker_view(&id()).expect("listed");
+            prop_assert_eq!(worker_view.own.online, u32::try_from(own).expect("few"));
+            prop_assert_eq!(worker_view.peers.online, of_peer);
         }
     }
 }
@@ -275,10 +278,10 @@
     let mut catalog = Catalog::default();
     let mut board = board(&mut catalog, 7);
     let former = WorkerTag::of(&id(), Some(Boot(7)));
-    assert_eq!(board.tagged(former), Some((&id(), Some(Boot(7)))));
-    assert_eq!(board.tagged(WorkerTag::of(&id(), None)), None);
+    assert_eq!(board.worker_by_tag(former), Some((&id(), Some(Boot(7)))));
+    assert_eq!(board.worker_by_tag(WorkerTag::of(&id(), None)), None);
     reborn(&mut board, &mut catalog, 2, 8);
-    assert_eq!(board.tagged(former), None);
+    assert_eq!(board.worker_by_tag(former), None);
     let present = WorkerTag::of(&id(), Some(Boot(8)));
-    assert_eq!(board.tagged(present), Some((&id(), Some(Boot(8)))));
+    assert_eq!(board.worker_by_tag(present), Some((&id(), Some(Boot(8)))));
 }
--- a/crates/bluebellreel_dispatch/tests/suspects.rs
+++ b/crates/bluebellreel_dispatch/tests/suspects.rs
@@ -1,7 +1,8 @@
 //! Which requests are held back for the workers that crashed under them.
 
 use bluebellreel_dispatch::{
-    Cleared, CrashNotice, Fingerprint, Sender, Standing, Strike, Suspects, WorkerTag, may_try,
+    Cleared, CrashNotice, CrashedRun, Fingerprint, QuarantineStatus, Sender, Suspects, WorkerTag,
+    may_try,
 };
 use bluebellreel_types::{EntryName, Moment};
 use proptest::prelude::*;
@@ -22,10 +23,10 @@
     CrashNotice {
         fingerprint: request,
         worker: WorkerTag(worker),
-        strike: Strike {
+        crashed_run: CrashedRun {
             began: at(began_ms),
             crashed: at(crashed_ms),
-            excused: false,
+            cleared: false,
         },
     }
 }
@@ -39,12 +40,15 @@
     suspects
 }
 
-fn standing(suspects: &Suspects, request: Fingerprint, ms: u64) -> Standing {
-    suspects.standing(request, Sender::Caller, at(ms))
+fn quarantine_status(suspects: &Suspects, request: Fingerprint, ms: u64) -> QuarantineStatus {
+    suspects.quarantine_status(request, Sender::Caller, at(ms))
 }
 
 fn is_held(suspects: &Suspects, request: Fingerprint, ms: u64) -> bool {
-    matches!(standing(suspects, request, ms), Standing::Quarantined(_))
+    matches!(
+        quarantine_status(suspects, request, ms),
+        QuarantineStatus::Quarantined(_)
+    )
 }
 
 /// One request ends each worker that runs it: with the third it is held back, and no
@@ -53,16 +57,25 @@
 fn three_crashes_in_turn_hold_a_request_back() {
     let bad = request(1);
     let mut suspects = Suspects::default();
-    assert_eq!(standing(&suspects, bad, 0), Standing::Clear);
+    assert_eq!(
+        quarantine_status(&suspects, bad, 0),
+        QuarantineStatus::Clear
+    );
     suspects.note_own_crash(crash(bad, 1, 0, 60), at(60));
     suspects.note_own_crash(crash(bad, 2, 65, 130), at(130));
-    assert_eq!(standing(&suspects, bad, 131), Standing::Suspect);
+    assert_eq!(
+        quarantine_status(&suspects, bad, 131),
+        QuarantineStatus::Suspect
+    );
     assert_eq!(
         suspects.note_own_crash(crash(bad, 3, 900, 1000), at(1000)),
         3
     );
     assert!(is_held(&suspects, bad, 1001));
-    assert_eq!(standing(&suspects, request(2), 1001), Standing::Clear);
+    assert_eq!(
+        quarantine_status(&suspects, request(2), 1001),
+        QuarantineStatus::Clear
+    );
 }
 
 /// The same crash, seen by two daemons and reported twice, is one.
@@ -74,7 +87,10 @@
     for late in 0..5 {
         assert!(!suspects.note_crash(crash(bad, 1, 200 + late, 400 + late), at(500)));
     }
-    assert_eq!(standing(&suspects, bad, 501), Standing::Suspect);
+    assert_eq!(
+        quarantine_status(&suspects, bad, 501),
+        QuarantineStatus::Suspect
+    );
 }
 
 /// Five workers are killed at one moment, and the same popular request ran at each: none
@@ -86,7 +102,10 @@
     for worker in 0..5 {
         suspects.note_own_crash(crash(popular, worker, u64::from(worker) * 10, 400), at(400));
     }
-    assert_eq!(standing(&suspects, popular, 401), Standing::Suspect);
+    assert_eq!(
+        quarantine_status(&suspects, popular, 401),
+        QuarantineStatus::Suspect
+    );
 }
 
 /// Half of the workers are killed, three times within seconds. A long item went on at
@@ -106,10 +125,10 @@
             );
         }
     }
-    let standing = suspects.standing(item, Sender::Job, at(4100));
+    let quarantine_status = suspects.quarantine_status(item, Sender::Job, at(4100));
     assert!(
-        !matches!(standing, Standing::Quarantined(_)),
-        "{standing:?}"
+        !matches!(quarantine_status, QuarantineStatus::Quarantined(_)),
+        "{quarantine_status:?}"
     );
 }
 
@@ -155,22 +174,31 @@
     let (mut here, mut there) = (convicted(bad), convicted(bad));
     assert_eq!(here.completed(bad, at(70_000)), Cleared::Quarantine);
     assert_eq!(here.completed(bad, at(70_000)), Cleared::Nothing);
-    assert_eq!(standing(&here, bad, 70_001), Standing::Clear);
+    assert_eq!(
+        quarantine_status(&here, bad, 70_001),
+        QuarantineStatus::Clear
+    );
     for notice in here.notices(true, at(70_001)) {
         there.note_crash(notice, at(70_001));
     }
-    assert_eq!(standing(&there, bad, 70_002), Standing::Clear);
+    assert_eq!(
+        quarantine_status(&there, bad, 70_002),
+        QuarantineStatus::Clear
+    );
     // What another one still tells of the same crashes does not bring them back.
     for notice in convicted(bad).notices(true, at(1001)) {
         here.note_crash(notice, at(70_003));
     }
-    assert_eq!(standing(&here, bad, 70_004), Standing::Clear);
+    assert_eq!(
+        quarantine_status(&here, bad, 70_004),
+        QuarantineStatus::Clear
+    );
 }
 
 /// Whether a request may be tried out.
 fn on_trial(suspects: &Suspects, request: Fingerprint, sender: Sender, ms: u64) -> bool {
-    let standing = suspects.standing(request, sender, at(ms));
-    matches!(standing, Standing::OnTrial(_))
+    let quarantine_status = suspects.quarantine_status(request, sender, at(ms));
+    matches!(quarantine_status, QuarantineStatus::TrialOnly(_))
 }
 
 /// It is tried out by one run at a time, two seconds after the third crash; with a fourth
@@ -193,7 +221,8 @@
     let mut ms = 63_101;
     for worker in 5..9 {
         suspects.note_own_crash(crash(bad, worker, ms, ms + 100), at(ms + 100));
-        let Standing::Quarantined(until) = standing(&suspects, bad, ms + 101) else {
+        let QuarantineStatus::Quarantined(until) = quarantine_status(&suspects, bad, ms + 101)
+        else {
             panic!("not held back")
         };
         assert!(until >= at(ms + 100) + Duration::from_mins(2));
@@ -246,7 +275,7 @@
 #[test]
 fn what_was_kept_holds_a_request_back_after_a_start() {
     let bad = request(1);
-    let kept = convicted(bad).workers_of(bad);
+    let kept = convicted(bad).crashed_workers(bad);
     assert_eq!(kept.len(), 3);
     let mut suspects = Suspects::default();
     suspects.recall(bad, &kept, at(5000));
@@ -276,7 +305,10 @@
     let mut suspects = convicted(bad);
     suspects.sweep(at(31 * 60_000));
     assert!(suspects.is_empty());
-    assert_eq!(standing(&suspects, bad, 31 * 60_000), Standing::Clear);
+    assert_eq!(
+        quarantine_status(&suspects, bad, 31 * 60_000),
+        QuarantineStatus::Clear
+    );
 }
 
 /// What no daemon can have seen counts for nothing.
@@ -348,7 +380,7 @@
             other.note_crash(*notice, at(4000));
         }
         for r in 0..6 {
-            prop_assert_eq!(standing(&one, request(r), 4000), standing(&other, request(r), 4000));
+            prop_assert_eq!(quarantine_status(&one, request(r), 4000), quarantine_status(&other, request(r), 4000));
         }
     }
 
--- a/crates/bluebellreel_dispatch/tests/suspects_fleet.rs
+++ b/crates/bluebellreel_dispatch/tests/suspects_fleet.rs
@@ -7,7 +7,7 @@
 //! that a crash cuts, half meet the next crash as well.
 
 use bluebellreel_dispatch::{
-    CrashNotice, Fingerprint, Sender, Standing, Strike, Suspects, WorkerTag, may_try,
+    CrashNotice, CrashedRun, Fingerprint, QuarantineStatus, Sender, Suspects, WorkerTag, may_try,
 };
 use bluebellreel_types::{EntryName, Moment};
 use rand::rngs::SmallRng;
@@ -61,10 +61,10 @@
     /// Whether a daemon sends a request on, as a trial if that is asked for.
     fn lets_run(&mut self, daemon: usize, request: Fingerprint) -> bool {
         let now = at(self.now);
-        match self.daemons[daemon].standing(request, Sender::Caller, now) {
-            Standing::Clear | Standing::Suspect => true,
-            Standing::Quarantined(_) => false,
-            Standing::OnTrial(since) => {
+        match self.daemons[daemon].quarantine_status(request, Sender::Caller, now) {
+            QuarantineStatus::Clear | QuarantineStatus::Suspect => true,
+            QuarantineStatus::Quarantined(_) => false,
+            QuarantineStatus::TrialOnly(since) => {
                 let me = EntryName::from(format!("entry-{daemon}"));
                 let may = may_try(request, &me, self.daemons.len(), since, now);
                 if may {
@@ -76,8 +76,9 @@
     }
 
     fn holds(&self, daemon: usize, request: Fingerprint) -> bool {
-        let standing = self.daemons[daemon].standing(request, Sender::Caller, at(self.now));
-        matches!(standing, Standing::Quarantined(_))
+        let quarantine_status =
+            self.daemons[daemon].quarantine_status(request, Sender::Caller, at(self.now));
+        matches!(quarantine_status, QuarantineStatus::Quarantined(_))
     }
 
     /// Runs a request until its worker has crashed.
@@ -107,15 +108,15 @@
     }
 
     fn see(&mut self, daemon: usize, request: Fingerprint, life: WorkerTag, began: u64) {
-        let strike = Strike {
+        let crashed_run = CrashedRun {
             began: at(began),
             crashed: at(self.now),
-            excused: false,
+            cleared: false,
         };
         let notice = CrashNotice {
             fingerprint: request,
             worker: life,
-            strike,
+            crashed_run,
         };
         self.daemons[daemon].note_own_crash(notice, at(self.now));
     }
--- a/crates/bluebellreel_gateway/src/crash.rs
+++ b/crates/bluebellreel_gateway/src/crash.rs
@@ -8,7 +8,7 @@
 use crate::millis::millis;
 use crate::quarantine;
 use bluebellreel_dispatch::{
-    CrashNotice, Fingerprint, Sender, Standing, Strike, Ticket, WorkerState, WorkerTag,
+    CrashNotice, CrashedRun, Fingerprint, QuarantineStatus, Sender, Ticket, WorkerState, WorkerTag,
 };
 use bluebellreel_net::Knock;
 use bluebellreel_types::Moment;
@@ -51,8 +51,8 @@
 /// Where a run's worker listens, unless it has said that it leaves.
 fn listed_at(gw: &Gateway, ticket: &Ticket) -> Option<SocketAddr> {
     let board = gw.board.borrow();
-    let seat = board.seat(&ticket.worker)?;
-    (seat.record.state == WorkerState::Ready).then_some(seat.record.address)
+    let worker_view = board.worker_view(&ticket.worker)?;
+    (worker_view.record.state == WorkerState::Ready).then_some(worker_view.record.address)
 }
 
 async fn find_out(gw: Rc<Gateway>, cut: Cut, address: SocketAddr, at: Moment) {
@@ -75,30 +75,30 @@
 /// would leave.
 fn has_started_again(gw: &Gateway, ticket: &Ticket) -> bool {
     let board = gw.board.borrow();
-    let gone = board.seat(&ticket.worker).is_none();
-    gone || board.is_of_former_life(ticket)
+    let gone = board.worker_view(&ticket.worker).is_none();
+    gone || board.is_from_previous_incarnation(ticket)
 }
 
 fn note(gw: &Rc<Gateway>, cut: &Cut, at: Moment, reason: &str) {
     let lasted = millis(at.since(cut.began));
     gw.metrics.crashes.inc();
-    let strike = Strike {
+    let crashed_run = CrashedRun {
         began: cut.began,
         crashed: at,
-        excused: false,
+        cleared: false,
     };
     let notice = CrashNotice {
         fingerprint: cut.fingerprint,
         worker: WorkerTag::of(&cut.ticket.worker, cut.ticket.boot),
-        strike,
+        crashed_run,
     };
     let crashes = gw.suspects.borrow_mut().note_own_crash(notice, gw.now());
     gw.report_due.notify_one();
-    let standing = gw
-        .suspects
-        .borrow()
-        .standing(cut.fingerprint, Sender::Caller, gw.now());
-    if matches!(standing, Standing::Quarantined(_)) {
+    let quarantine_status =
+        gw.suspects
+            .borrow()
+            .quarantine_status(cut.fingerprint, Sender::Caller, gw.now());
+    if matches!(quarantine_status, QuarantineStatus::Quarantined(_)) {
         quarantine::store(gw, cut.fingerprint);
     }
     warn!(target: "online", request:% = cut.request, fingerprint:% = cut.fingerprint, worker:% = cut.ticket.worker, took_ms = lasted, crashes, reason; "worker crashed under a run");
--- a/crates/bluebellreel_gateway/src/facts.rs
+++ b/crates/bluebellreel_gateway/src/facts.rs
@@ -139,8 +139,8 @@
 
     /// Whether what is shared with a peer that knows all up to `seen` is all that
     /// it lacks.
-    pub(crate) fn tells_all_after(&self, seen: Revisions) -> bool {
-        self.catalog.tells_all_after(seen.workers)
+    pub(crate) fn has_all_changes_after(&self, seen: Revisions) -> bool {
+        self.catalog.has_all_changes_after(seen.workers)
     }
 
     /// Notes how long facts may be believed that are about to be taken over.
--- a/crates/bluebellreel_gateway/src/peer_api.rs
+++ b/crates/bluebellreel_gateway/src/peer_api.rs
@@ -86,7 +86,7 @@
         workers: revision("workers"),
     };
     let facts = gw.facts.borrow();
-    if !facts.tells_all_after(seen) {
+    if !facts.has_all_changes_after(seen) {
         return answers::failure(StatusCode::CONFLICT, "ask for all");
     }
     match postcard::to_allocvec(&facts.share(seen, gw.now())) {
--- a/crates/bluebellreel_gateway/src/place.rs
+++ b/crates/bluebellreel_gateway/src/place.rs
@@ -4,7 +4,7 @@
 use crate::jobs::make_room;
 use crate::request::Request;
 use crate::ticket::Place;
-use bluebellreel_dispatch::{Class, Placement, Query, place_online, should_leave};
+use bluebellreel_dispatch::{Class, Placement, Query, place_online, should_reroute};
 use bluebellreel_types::WorkerName;
 use rand::RngExt;
 use std::rc::Rc;
@@ -43,7 +43,7 @@
 /// Whether a request should leave the worker that it waits for, for another one.
 pub(crate) fn does_better_elsewhere(gw: &Gateway, req: &Request, worker: &WorkerName) -> bool {
     let query = query(gw, req, &req.tried, req.patience());
-    should_leave(&gw.board.borrow(), &query, worker)
+    should_reroute(&gw.board.borrow(), &query, worker)
 }
 
 /// Takes a place for a caller's request; batch there makes room.
--- a/crates/bluebellreel_gateway/src/relay.rs
+++ b/crates/bluebellreel_gateway/src/relay.rs
@@ -206,7 +206,7 @@
     fn longest_silence(&self) -> Duration {
         let board = self.gw.board.borrow();
         let worker = self.upstream.place.worker();
-        let pace = board.paces.interval(worker, self.gw.now());
+        let pace = board.speeds.interval(worker, self.gw.now());
         let slow = pace.unwrap_or_default().mul_f64(SLOW_INTERVALS);
         let late = self.req.route.pause.mul_f64(LATE_PAUSE_SHARE);
         SILENCE_LONGEST.max(slow.min(late))
@@ -384,7 +384,7 @@
     fn finish(&mut self) {
         self.over = true;
         let lasted = self.begun.elapsed();
-        self.gw.board.borrow_mut().paces.note_run(lasted);
+        self.gw.board.borrow_mut().speeds.note_run(lasted);
         suspicion::ended_well(&self.gw, || self.req.fingerprint());
         let metrics = &self.gw.metrics;
         metrics.pause.observe(self.longest_pause.as_secs_f64());
@@ -405,7 +405,7 @@
     let waiting = gw
         .board
         .borrow()
-        .seat(worker)
+        .worker_view(worker)
         .map_or(0, |s| s.running().total().saturating_sub(s.record.slots));
     Instant::now() + SILENCE_LONGEST + Duration::from_millis(110) * waiting
 }
--- a/crates/bluebellreel_gateway/src/reports/mod.rs
+++ b/crates/bluebellreel_gateway/src/reports/mod.rs
@@ -169,7 +169,7 @@
     rest.warnings.take(&mut gw.suspects.borrow_mut(), now);
     let reads_briefs = supplement.reads_briefs;
     if let Some(place) = supplement.place.clone() {
-        gw.board.borrow_mut().note_place(&report.entry, place);
+        gw.board.borrow_mut().note_data_centre(&report.entry, place);
     }
     let load = load_of(&report, supplement, now);
     hear_load(gw, &report.entry, load);
--- a/crates/bluebellreel_gateway/src/reports/wire.rs
+++ b/crates/bluebellreel_gateway/src/reports/wire.rs
@@ -161,7 +161,7 @@
     pub(super) fn load(&self, gw: &Gateway) -> PeerLoad {
         let board = gw.board.borrow();
         let running = self.running.iter().filter_map(|(tag, online, batch)| {
-            let (id, boot) = board.tagged(*tag)?;
+            let (id, boot) = board.worker_by_tag(*tag)?;
             let running = Running {
                 online: u32::from(*online),
                 batch: u32::from(*batch),
--- a/crates/bluebellreel_gateway/src/request.rs
+++ b/crates/bluebellreel_gateway/src/request.rs
@@ -94,7 +94,7 @@
         let waiting = gw
             .board
             .borrow()
-            .seat(worker)
+            .worker_view(worker)
             .map_or(0, |s| s.running().online.saturating_sub(s.record.slots));
         let wait = FIRST_BYTE_LONGEST + FIRST_BYTE_PER_WAITING * waiting;
         (Instant::now() + wait).min(self.deadline)
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -164,8 +164,8 @@
     gw.keepers.borrow_mut().sweep(now);
     gw.overloads.borrow_mut().sweep(now);
     gw.suspects.borrow_mut().sweep(now);
-    gw.board.borrow_mut().evict_silent(now);
-    gw.board.borrow_mut().paces.sweep(now);
+    gw.board.borrow_mut().evict_expired_peers(now);
+    gw.board.borrow_mut().speeds.sweep(now);
     let expired = gw.facts.borrow_mut().catalog.expire(now);
     if expired {
         apply_workers(gw, "time to register again is over");
@@ -203,8 +203,8 @@
     metrics.copies_bytes.set(count(jobs.copies.bytes()));
     metrics.store_calls.set(total(calls));
     metrics.store_failures.set(total(failures));
-    let seats = gw.board.borrow().seats().count();
-    metrics.workers.set(count(seats));
+    let worker_views = gw.board.borrow().worker_views().count();
+    metrics.workers.set(count(worker_views));
     let heard = gw.members.borrow().heard(gw.now()).count();
     metrics.peers.set(count(heard));
     metrics.configuration_version.set(total(version));
--- a/crates/bluebellreel_gateway/src/suspicion.rs
+++ b/crates/bluebellreel_gateway/src/suspicion.rs
@@ -9,7 +9,7 @@
 use crate::gateway::Gateway;
 use crate::millis::millis;
 use crate::quarantine;
-use bluebellreel_dispatch::{Cleared, Fingerprint, Sender, Standing, may_try};
+use bluebellreel_dispatch::{Cleared, Fingerprint, QuarantineStatus, Sender, may_try};
 use bluebellreel_types::Moment;
 use log::warn;
 use std::rc::Rc;
@@ -41,13 +41,13 @@
     /// As any other.
     Plain,
     /// As a trial; see [`Trial::begin`].
-    OnTrial(Fingerprint),
+    TrialOnly(Fingerprint),
 }
 
 impl Trial {
     /// Notifies all that a request is tried out, if it is.
     pub(crate) fn begin(gw: &Rc<Gateway>, request: &str, leave: Leave) -> Option<Self> {
-        let Leave::OnTrial(fingerprint) = leave else {
+        let Leave::TrialOnly(fingerprint) = leave else {
             return None;
         };
         gw.suspects.borrow_mut().begin_trial(fingerprint, gw.now());
@@ -69,14 +69,17 @@
         return Ok(Leave::Plain);
     }
     let (fingerprint, now) = (fingerprint(), gw.now());
-    let standing = gw.suspects.borrow().standing(fingerprint, sender, now);
-    let until = match standing {
-        Standing::Clear | Standing::Suspect => return Ok(Leave::Plain),
-        Standing::OnTrial(since) if may_try_here(gw, fingerprint, sender, since) => {
-            return Ok(Leave::OnTrial(fingerprint));
+    let quarantine_status = gw
+        .suspects
+        .borrow()
+        .quarantine_status(fingerprint, sender, now);
+    let until = match quarantine_status {
+        QuarantineStatus::Clear | QuarantineStatus::Suspect => return Ok(Leave::Plain),
+        QuarantineStatus::TrialOnly(since) if may_try_here(gw, fingerprint, sender, since) => {
+            return Ok(Leave::TrialOnly(fingerprint));
         }
-        Standing::OnTrial(_) => now + TRIED_ELSEWHERE_BACKOFF,
-        Standing::Quarantined(until) => until,
+        QuarantineStatus::TrialOnly(_) => now + TRIED_ELSEWHERE_BACKOFF,
+        QuarantineStatus::Quarantined(until) => until,
     };
     let held_ms = millis(until.since(now));
     warn!(target: "online", request, fingerprint:% = fingerprint, due_in_ms = held_ms; "request held back");
--- a/crates/bluebellreel_gateway/src/watching.rs
+++ b/crates/bluebellreel_gateway/src/watching.rs
@@ -65,7 +65,7 @@
     /// with thousands of workers, once for each would take seconds.
     settle: fn(&Gateway),
     /// Everything up to a revision was handed out.
-    seen_to: fn(&Gateway, i64),
+    advance_to: fn(&Gateway, i64),
 }
 
 const OPERATOR: Subject = Subject {
@@ -83,7 +83,7 @@
         false
     },
     settle: |_| {},
-    seen_to: operator_seen_to,
+    advance_to: operator_seen_to,
 };
 
 const WORKERS: Subject = Subject {
@@ -94,7 +94,7 @@
         apply_workers(gw, "store");
         gw.report_due.notify_one();
     },
-    seen_to: |gw, revision| gw.facts.borrow_mut().catalog.seen_to(revision),
+    advance_to: |gw, revision| gw.facts.borrow_mut().catalog.advance_to(revision),
 };
 
 fn operator_seen_to(gw: &Gateway, revision: i64) {
@@ -308,7 +308,7 @@
                 if matters {
                     (subject.settle)(gw);
                 }
-                (subject.seen_to)(gw, changes.revision);
+                (subject.advance_to)(gw, changes.revision);
             }
             Ok(Watched::HistoryGone) => {
                 info!(target: "facts", prefix:% = prefix, after; "history gone, listing again");
--- a/crates/bluebellreel_gateway/src/workers.rs
+++ b/crates/bluebellreel_gateway/src/workers.rs
@@ -17,7 +17,7 @@
             WorkerChange::Listed(state) => {
                 info!(target: "facts", worker:% = worker, state:? = state, revision, source; "worker listed");
             }
-            WorkerChange::StartedAgain(state) => {
+            WorkerChange::Restarted(state) => {
                 info!(target: "facts", worker:% = worker, state:? = state, revision, source; "worker started again");
                 drop_former_life(gw, &worker);
             }
@@ -33,7 +33,11 @@
 /// Drops the connections to a worker's former life, which lead nowhere, and wakes the
 /// runs that wait there.
 fn drop_former_life(gw: &Gateway, worker: &WorkerName) {
-    let address = gw.board.borrow().seat(worker).map(|s| s.record.address);
+    let address = gw
+        .board
+        .borrow()
+        .worker_view(worker)
+        .map(|s| s.record.address);
     if let Some(address) = address {
         gw.workers.drop_idle(address);
     }
--- a/crates/bluebellreel_members/tests/divergence.rs
+++ b/crates/bluebellreel_members/tests/divergence.rs
@@ -65,7 +65,7 @@
 /// What a peer answers that is asked, as daemons answer.
 fn answer(peer: &Catalog, asker: &mut Catalog, question: Question) {
     let seen = asker.revision();
-    let whole = question == Question::All || !peer.tells_all_after(seen);
+    let whole = question == Question::All || !peer.has_all_changes_after(seen);
     let facts = peer.facts_after(if whole { 0 } else { seen });
     let facts = facts.map(|(revision, id, record)| (revision, id.clone(), record.cloned()));
     asker.learn(peer.revision(), facts.collect(), whole);
@@ -281,6 +281,6 @@
     }
     for (revision, id, record) in writes.iter().filter(|(revision, ..)| *revision > seen) {
         catalog.take(*revision, id, record.clone());
-        catalog.seen_to(*revision);
+        catalog.advance_to(*revision);
     }
 }
