--- a/crates/bluebellreel_dispatch/src/board.rs
+++ b/crates/bluebellreel_dispatch/src/board.rs
@@ -145,7 +145,7 @@
     /// nothing new. One that has started again under its id gets a new seat: its
     /// runs, our doubt and its pace were those of its former life. Kept, they
     /// would hold back requests from slots that are all free.
-    pub fn follow(&mut self, catalog: &Catalog) -> Vec<(WorkerName, WorkerChange)> {
+    pub fn apply_catalog(&mut self, catalog: &Catalog) -> Vec<(WorkerName, WorkerChange)> {
         let listed: BTreeMap<&WorkerName, &WorkerRecord> =
             catalog.workers().map(|r| (&r.id, r)).collect();
         let mut changes = Vec::new();
--- a/crates/bluebellreel_dispatch/tests/batch_placement.rs
+++ b/crates/bluebellreel_dispatch/tests/batch_placement.rs
@@ -57,7 +57,7 @@
 fn batch_leaves_a_worker_that_drains() {
     let mut board = board(1);
     start(&mut board, 0, Class::Batch, 2);
-    board.follow(&catalog(1, WorkerState::Draining));
+    board.apply_catalog(&catalog(1, WorkerState::Draining));
     let runs: Vec<BatchRun<u64>> = (0..2)
         .map(|n| BatchRun {
             key: n,
--- a/crates/bluebellreel_dispatch/tests/common/mod.rs
+++ b/crates/bluebellreel_dispatch/tests/common/mod.rs
@@ -21,7 +21,7 @@
 /// A board with workers; the odd ones stand in another data centre.
 pub fn board(workers: usize) -> Board {
     let mut board = Board::new(DataCentre::from("here"), PlacementLimits::default());
-    board.follow(&catalog(workers, WorkerState::Ready));
+    board.apply_catalog(&catalog(workers, WorkerState::Ready));
     board
 }
 
--- a/crates/bluebellreel_dispatch/tests/placement.rs
+++ b/crates/bluebellreel_dispatch/tests/placement.rs
@@ -24,7 +24,7 @@
 #[test]
 fn what_peers_run_counts() {
     let mut board = board(1);
-    board.follow(&catalog(3, WorkerState::Ready));
+    board.apply_catalog(&catalog(3, WorkerState::Ready));
     peer(&mut board, "entry-2", 1, 0, &[(0, 3, 0), (2, 1, 0)]);
     assert_eq!(online(&board), Placement::Send(name(2)));
     // An older report does not count.
@@ -80,7 +80,7 @@
 #[test]
 fn nobody_stands_in_line_at_a_slow_worker() {
     let mut board = board(1);
-    board.follow(&catalog(3, WorkerState::Ready));
+    board.apply_catalog(&catalog(3, WorkerState::Ready));
     for _ in 0..40 {
         board
             .speeds
@@ -116,7 +116,7 @@
 #[test]
 fn a_failing_worker_is_set_aside_and_let_back() {
     let mut board = board(1);
-    board.follow(&catalog(3, WorkerState::Ready));
+    board.apply_catalog(&catalog(3, WorkerState::Ready));
     board.failed(&ticket(name(0)), NOW);
     board.failed(&ticket(name(2)), NOW);
     let choose = |board: &Board, after: u64| {
@@ -233,8 +233,12 @@
             .last()
             .map(|r| r.id.clone())
     };
-    assert!(board.follow(&catalog(2, WorkerState::Ready)).is_empty());
-    let drained = board.follow(&catalog(2, WorkerState::Draining));
+    assert!(
+        board
+            .apply_catalog(&catalog(2, WorkerState::Ready))
+            .is_empty()
+    );
+    let drained = board.apply_catalog(&catalog(2, WorkerState::Draining));
     assert_eq!(drained.len(), 2);
     assert!(
         drained
@@ -245,13 +249,21 @@
     // It is gone while a run of ours is still there, and is told once.
     let last = id(2).expect("two workers");
     let ticket = board.start(&last, Class::Online);
-    let gone = board.follow(&catalog(1, WorkerState::Draining));
+    let gone = board.apply_catalog(&catalog(1, WorkerState::Draining));
     assert_eq!(gone, [(last.clone(), WorkerChange::Left)]);
-    assert!(board.follow(&catalog(1, WorkerState::Draining)).is_empty());
+    assert!(
+        board
+            .apply_catalog(&catalog(1, WorkerState::Draining))
+            .is_empty()
+    );
     assert!(board.worker_view(&last).is_some());
     board.end(&ticket);
-    assert!(board.follow(&catalog(1, WorkerState::Draining)).is_empty());
+    assert!(
+        board
+            .apply_catalog(&catalog(1, WorkerState::Draining))
+            .is_empty()
+    );
     assert!(board.worker_view(&last).is_none());
-    let back = board.follow(&catalog(2, WorkerState::Ready));
+    let back = board.apply_catalog(&catalog(2, WorkerState::Ready));
     assert_eq!(back.len(), 2, "one is ready again, one is back");
 }
--- a/crates/bluebellreel_dispatch/tests/restarts.rs
+++ b/crates/bluebellreel_dispatch/tests/restarts.rs
@@ -34,13 +34,13 @@
 fn board(catalog: &mut Catalog, boot: u64) -> Board {
     let mut board = Board::new(DataCentre::from("hall"), PlacementLimits::default());
     catalog.put(1, worker(Some(boot)));
-    board.follow(catalog);
+    board.apply_catalog(catalog);
     board
 }
 
 fn reborn(board: &mut Board, catalog: &mut Catalog, revision: i64, boot: u64) {
     catalog.put(revision, worker(Some(boot)));
-    let changes = board.follow(catalog);
+    let changes = board.apply_catalog(catalog);
     let again = WorkerChange::Restarted(WorkerState::Ready);
     assert_eq!(changes, [(id(), again)]);
 }
@@ -168,17 +168,20 @@
     let mut board = board(&mut catalog, 7);
     let run = board.start(&id(), Class::Online);
     catalog.remove(2, &id());
-    assert_eq!(board.follow(&catalog), [(id(), WorkerChange::Left)]);
+    assert_eq!(board.apply_catalog(&catalog), [(id(), WorkerChange::Left)]);
     assert_eq!(place(&board), Placement::NoWorker);
     let mut leaving = worker(Some(7));
     leaving.state = WorkerState::Draining;
     catalog.put(3, leaving);
     let back = WorkerChange::Listed(WorkerState::Draining);
-    assert_eq!(board.follow(&catalog), [(id(), back)]);
+    assert_eq!(board.apply_catalog(&catalog), [(id(), back)]);
     catalog.put(4, worker(Some(7)));
-    board.follow(&catalog);
+    board.apply_catalog(&catalog);
     board.end(&run);
-    assert!(board.follow(&catalog).is_empty(), "it has not left again");
+    assert!(
+        board.apply_catalog(&catalog).is_empty(),
+        "it has not left again"
+    );
     assert_eq!(place(&board), Placement::Send(id()));
 }
 
@@ -190,7 +193,7 @@
     let run = board.start(&id(), Class::Online);
     board.end(&run);
     catalog.remove(2, &id());
-    board.follow(&catalog);
+    board.apply_catalog(&catalog);
     assert!(board.worker_view(&id()).is_none());
     assert!(!board.is_from_previous_incarnation(&run));
 }
--- a/crates/bluebellreel_gateway/src/workers.rs
+++ b/crates/bluebellreel_gateway/src/workers.rs
@@ -10,7 +10,7 @@
 pub(crate) fn apply_workers(gw: &Gateway, source: &str) {
     let facts = gw.facts.borrow();
     let revision = facts.catalog.newest();
-    let changes = gw.board.borrow_mut().follow(&facts.catalog);
+    let changes = gw.board.borrow_mut().apply_catalog(&facts.catalog);
     drop(facts);
     for (worker, change) in changes {
         match change {
