--- a/crates/bluebellreel_dispatch/src/place.rs
+++ b/crates/bluebellreel_dispatch/src/place.rs
@@ -20,7 +20,7 @@
     pub avoid: &'a [WorkerName],
     /// How long it may wait in line and still be served in time; of no account
     /// for batch.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// A random number, for a choice among workers alike.
     pub salt: u64,
     /// The present.
@@ -71,7 +71,7 @@
     let Some(best) = ranks.iter().map(|(rank, _)| *rank).min() else {
         return Placement::NoWorker;
     };
-    if best.wait > query.patience {
+    if best.wait > query.max_wait {
         return Placement::Full;
     }
     let alike = ranks.iter().filter(|(rank, _)| *rank == best);
--- a/crates/bluebellreel_dispatch/tests/common/mod.rs
+++ b/crates/bluebellreel_dispatch/tests/common/mod.rs
@@ -51,7 +51,7 @@
     Query {
         service: "lm",
         avoid,
-        patience: MAX_WAIT,
+        max_wait: MAX_WAIT,
         salt: 0,
         now: NOW,
     }
--- a/crates/bluebellreel_dispatch/tests/placement.rs
+++ b/crates/bluebellreel_dispatch/tests/placement.rs
@@ -123,7 +123,7 @@
         let query = Query {
             service: "lm",
             avoid: &[],
-            patience: MAX_WAIT,
+            max_wait: MAX_WAIT,
             salt: 0,
             now: NOW + Duration::from_millis(after),
         };
--- a/crates/bluebellreel_dispatch/tests/restarts.rs
+++ b/crates/bluebellreel_dispatch/tests/restarts.rs
@@ -62,7 +62,7 @@
     let query = Query {
         service: "lm",
         avoid: &[],
-        patience: Duration::ZERO,
+        max_wait: Duration::ZERO,
         salt: 0,
         now: NOW,
     };
--- a/crates/bluebellreel_gateway/src/online.rs
+++ b/crates/bluebellreel_gateway/src/online.rs
@@ -42,7 +42,7 @@
         if let Err(until) = req.may_run(&gw) {
             return hold_back(&gw, &req, until);
         }
-        let worker = match place::choose(&gw, &req, req.patience()) {
+        let worker = match place::choose(&gw, &req, req.max_wait()) {
             Placement::Send(worker) => worker,
             Placement::Full => return give_up(&gw, &req, "all workers full"),
             Placement::NoWorker => return give_up(&gw, &req, "no worker"),
--- a/crates/bluebellreel_gateway/src/place.rs
+++ b/crates/bluebellreel_gateway/src/place.rs
@@ -14,20 +14,20 @@
     gw: &Gateway,
     req: &'a Request,
     avoid: &'a [WorkerName],
-    patience: Duration,
+    max_wait: Duration,
 ) -> Query<'a> {
     Query {
         service: &req.service,
         avoid,
-        patience,
+        max_wait,
         salt: gw.rng.borrow_mut().random(),
         now: gw.now(),
     }
 }
 
-/// Chooses a worker for a request that may wait in line for `patience`.
-pub(crate) fn choose(gw: &Gateway, req: &Request, patience: Duration) -> Placement {
-    choose_besides(gw, req, &req.tried, patience)
+/// Chooses a worker for a request that may wait in line for `max_wait`.
+pub(crate) fn choose(gw: &Gateway, req: &Request, max_wait: Duration) -> Placement {
+    choose_besides(gw, req, &req.tried, max_wait)
 }
 
 /// The same among all workers but some, whether they were tried or not.
@@ -35,14 +35,14 @@
     gw: &Gateway,
     req: &Request,
     avoid: &[WorkerName],
-    patience: Duration,
+    max_wait: Duration,
 ) -> Placement {
-    place_online(&gw.board.borrow(), &query(gw, req, avoid, patience))
+    place_online(&gw.board.borrow(), &query(gw, req, avoid, max_wait))
 }
 
 /// Whether a request should leave the worker that it waits for, for another one.
 pub(crate) fn does_better_elsewhere(gw: &Gateway, req: &Request, worker: &WorkerName) -> bool {
-    let query = query(gw, req, &req.tried, req.patience());
+    let query = query(gw, req, &req.tried, req.max_wait());
     should_reroute(&gw.board.borrow(), &query, worker)
 }
 
--- a/crates/bluebellreel_gateway/src/relay.rs
+++ b/crates/bluebellreel_gateway/src/relay.rs
@@ -305,9 +305,9 @@
     /// Its caller has a part of the answer: the rest is worth more late than not
     /// at all.
     fn next_worker(&self, may_return: bool) -> Option<WorkerName> {
-        let patience = self.req.left();
+        let max_wait = self.req.left();
         let besides = |avoid: &[WorkerName]| {
-            let placed = place::choose_besides(&self.gw, &self.req, avoid, patience);
+            let placed = place::choose_besides(&self.gw, &self.req, avoid, max_wait);
             match placed {
                 Placement::Send(worker) => Some(worker),
                 Placement::Full | Placement::NoWorker => None,
--- a/crates/bluebellreel_gateway/src/request.rs
+++ b/crates/bluebellreel_gateway/src/request.rs
@@ -80,7 +80,7 @@
     }
 
     /// How long it may wait in line and still meet its objective.
-    pub(crate) fn patience(&self) -> Duration {
+    pub(crate) fn max_wait(&self) -> Duration {
         self.route.objective.mul_f64(LONGEST_QUEUEING_SHARE)
     }
 
