--- a/crates/bluebellreel_entry/src/online/reach.rs
+++ b/crates/bluebellreel_entry/src/online/reach.rs
@@ -2,7 +2,9 @@
 
 use crate::parts::Parts;
 use crate::platform::ListedWorker;
-use bluebellreel_routing::{Listing, Reach, ReachLimits, ReachNeeds, rendezvous_score};
+use bluebellreel_routing::{
+    ConnectionLimits, ConnectionNeeds, ConnectionPlanner, Listing, rendezvous_score,
+};
 use bluebellreel_rpc::EntryNotice;
 use bluebellreel_types::{Moment, WorkerName};
 use std::collections::BTreeMap;
@@ -13,7 +15,7 @@
 
 /// Plans the daemon's connections.
 pub(crate) struct ReachPart {
-    reach: Reach,
+    reach: ConnectionPlanner,
     listed: BTreeMap<WorkerName, ListedWorker>,
     due_at: Moment,
 }
@@ -27,14 +29,14 @@
 
 impl ReachPart {
     pub(crate) fn new(parts: &Parts) -> Self {
-        let limits = ReachLimits {
+        let limits = ConnectionLimits {
             whole: parts.settings.limits.workers_whole,
             per_model: parts.settings.limits.workers_per_model,
-            ..ReachLimits::default()
+            ..ConnectionLimits::default()
         };
         let entry_key = rendezvous_score(0, parts.settings.name.as_str());
         Self {
-            reach: Reach::new(limits, entry_key, parts.settings.data_centre.clone()),
+            reach: ConnectionPlanner::new(limits, entry_key, parts.settings.data_centre.clone()),
             listed: BTreeMap::new(),
             due_at: Moment::FAR,
         }
@@ -73,7 +75,7 @@
     }
 
     /// Makes a plan.
-    pub(crate) fn plan(&mut self, needs: &ReachNeeds, now: Moment) -> Reached {
+    pub(crate) fn plan(&mut self, needs: &ConnectionNeeds, now: Moment) -> Reached {
         self.due_at = now + PERIOD;
         let plan = self.reach.plan(needs, now);
         let listed = plan.workers.iter().filter_map(|w| self.listed.get(w));
--- a/crates/bluebellreel_routing/benches/choice.rs
+++ b/crates/bluebellreel_routing/benches/choice.rs
@@ -1,7 +1,8 @@
 //! What the choice of a worker costs as workers grow.
 
 use bluebellreel_routing::{
-    Listing, Question, Reach, ReachLimits, ReachNeeds, RouterLimits, Worker, choose,
+    ConnectionLimits, ConnectionNeeds, ConnectionPlanner, Listing, Question, RouterLimits, Worker,
+    choose,
 };
 use bluebellreel_types::{
     DataCentre, Incarnation, LoadReport, ModelName, Moment, TeamName, Work, WorkKind, WorkerName,
@@ -68,7 +69,8 @@
 fn plan_reach(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("reach");
     for count in [120, 1_900] {
-        let mut reach = Reach::new(ReachLimits::default(), 1, DataCentre::from("dc-3"));
+        let mut reach =
+            ConnectionPlanner::new(ConnectionLimits::default(), 1, DataCentre::from("dc-3"));
         let name = |n: usize| WorkerName::from(format!("worker-{n}"));
         let model = |n: usize| ModelName::from(format!("model-{}", n % 38));
         let listing = |n: usize| Listing {
@@ -79,9 +81,9 @@
         for n in 0..count {
             reach.note_models(&name(n), [model(n)], Moment(1));
         }
-        let needs = ReachNeeds {
+        let needs = ConnectionNeeds {
             models: (0..38).map(model).collect(),
-            ..ReachNeeds::default()
+            ..ConnectionNeeds::default()
         };
         group.bench_function(BenchmarkId::from_parameter(count), |b| {
             b.iter(|| reach.plan(&needs, Moment(2)));
--- a/crates/bluebellreel_routing/src/lib.rs
+++ b/crates/bluebellreel_routing/src/lib.rs
@@ -35,7 +35,7 @@
 pub use event::{ClaimIntent, Effect, Event, NewRequest, Outcome};
 pub use health::{Health, HealthState};
 pub use limits::RouterLimits;
-pub use reach::{Listing, Reach, ReachLimits, ReachNeeds, ReachPlan};
+pub use reach::{ConnectionLimits, ConnectionNeeds, ConnectionPlan, ConnectionPlanner, Listing};
 pub use request::{Phase, Request};
 pub use retry_budget::RetryBudget;
 pub use router::Router;
--- a/crates/bluebellreel_routing/src/reach.rs
+++ b/crates/bluebellreel_routing/src/reach.rs
@@ -16,7 +16,7 @@
 
 /// Bounds of a daemon's reach.
 #[derive(Clone, Debug)]
-pub struct ReachLimits {
+pub struct ConnectionLimits {
     /// Up to so many workers, all are connected.
     pub whole: usize,
     /// Workers connected for each model beyond that.
@@ -29,7 +29,7 @@
     pub look_again: Duration,
 }
 
-impl Default for ReachLimits {
+impl Default for ConnectionLimits {
     fn default() -> Self {
         Self {
             whole: 64,
@@ -59,7 +59,7 @@
 
 /// What a daemon needs workers for.
 #[derive(Clone, Debug, Default)]
-pub struct ReachNeeds {
+pub struct ConnectionNeeds {
     /// Models and services that callers may ask for.
     pub models: BTreeSet<ModelName>,
     /// Those of jobs with waiting items.
@@ -73,7 +73,7 @@
 
 /// Workers to be connected to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ReachPlan {
+pub struct ConnectionPlan {
     /// The workers.
     pub workers: BTreeSet<WorkerName>,
     /// Whether a model is short of workers while there are some to look at.
@@ -82,8 +82,8 @@
 
 /// A daemon's view of the listed workers.
 #[derive(Clone, Debug)]
-pub struct Reach {
-    limits: ReachLimits,
+pub struct ConnectionPlanner {
+    limits: ConnectionLimits,
     entry_key: u64,
     local: DataCentre,
     /// In the order in which they are taken.
@@ -91,11 +91,11 @@
     known: BTreeMap<WorkerName, Known>,
 }
 
-impl Reach {
+impl ConnectionPlanner {
     /// A daemon that knows no worker yet. `entry_key` is its own number, by
     /// which daemons differ in their choice of far workers.
     #[must_use]
-    pub fn new(limits: ReachLimits, entry_key: u64, local: DataCentre) -> Self {
+    pub fn new(limits: ConnectionLimits, entry_key: u64, local: DataCentre) -> Self {
         Self {
             limits,
             entry_key,
@@ -149,16 +149,16 @@
 
     /// Which workers to hold connections to now.
     #[must_use]
-    pub fn plan(&self, needs: &ReachNeeds, now: Moment) -> ReachPlan {
+    pub fn plan(&self, needs: &ConnectionNeeds, now: Moment) -> ConnectionPlan {
         if self.ranked.len() <= self.limits.whole {
             let workers = self.ranked.iter().map(|l| l.worker.clone()).collect();
             let is_short = false;
-            return ReachPlan { workers, is_short };
+            return ConnectionPlan { workers, is_short };
         }
         // Without a manifest, as when the key-value service is down at the
         // start, whatever is found may be asked for.
         let unknown_needs = needs.models.is_empty();
-        let found = unknown_needs.then(|| ReachNeeds {
+        let found = unknown_needs.then(|| ConnectionNeeds {
             models: self.known_models(),
             ..needs.clone()
         });
@@ -187,7 +187,7 @@
                 workers.insert(worker.clone());
             }
         }
-        ReachPlan { workers, is_short }
+        ConnectionPlan { workers, is_short }
     }
 
     fn known_models(&self) -> BTreeSet<ModelName> {
@@ -197,7 +197,7 @@
 
     /// Workers known to serve what is needed: a few for each model, all for
     /// one that batch waits for.
-    fn serving(&self, needs: &ReachNeeds) -> BTreeSet<WorkerName> {
+    fn serving(&self, needs: &ConnectionNeeds) -> BTreeSet<WorkerName> {
         let mut counts: BTreeMap<&ModelName, usize> = BTreeMap::new();
         let mut workers = BTreeSet::new();
         for Listing { worker, .. } in &self.ranked {
@@ -219,7 +219,7 @@
         workers
     }
 
-    fn lacks_a_model(&self, needs: &ReachNeeds, workers: &BTreeSet<WorkerName>) -> bool {
+    fn lacks_a_model(&self, needs: &ConnectionNeeds, workers: &BTreeSet<WorkerName>) -> bool {
         let mut counts: BTreeMap<&ModelName, usize> = BTreeMap::new();
         let known = workers.iter().filter_map(|worker| self.known.get(worker));
         for model in known.flat_map(|known| &known.models) {
--- a/crates/bluebellreel_routing/tests/reach.rs
+++ b/crates/bluebellreel_routing/tests/reach.rs
@@ -1,6 +1,8 @@
 //! Which workers a daemon connects to, as the fleet grows and changes.
 
-use bluebellreel_routing::{Listing, Reach, ReachLimits, ReachNeeds, ReachPlan};
+use bluebellreel_routing::{
+    ConnectionLimits, ConnectionNeeds, ConnectionPlan, ConnectionPlanner, Listing,
+};
 use bluebellreel_types::{DataCentre, ModelName, Moment, WorkerName};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
@@ -13,9 +15,9 @@
 struct Fleet {
     count: usize,
     now: Moment,
-    reach: Reach,
+    reach: ConnectionPlanner,
     connected: BTreeSet<WorkerName>,
-    needs: ReachNeeds,
+    needs: ConnectionNeeds,
 }
 
 fn worker(number: usize) -> WorkerName {
@@ -35,7 +37,7 @@
 
 impl Fleet {
     fn new(count: usize, entry_key: u64) -> Self {
-        let mut reach = Reach::new(ReachLimits::default(), entry_key, centre(3));
+        let mut reach = ConnectionPlanner::new(ConnectionLimits::default(), entry_key, centre(3));
         reach.list(listings(0..count));
         let models = (0..MODELS).map(|n| ModelName::from(format!("model-{n}")));
         Self {
@@ -43,15 +45,15 @@
             now: Moment(1_000_000),
             reach,
             connected: BTreeSet::new(),
-            needs: ReachNeeds {
+            needs: ConnectionNeeds {
                 models: models.collect(),
-                ..ReachNeeds::default()
+                ..ConnectionNeeds::default()
             },
         }
     }
 
     /// One look: connects as planned; connections tell what they serve.
-    fn turn(&mut self) -> ReachPlan {
+    fn turn(&mut self) -> ConnectionPlan {
         self.now = self.now + Duration::from_millis(500);
         let plan = self.reach.plan(&self.needs, self.now);
         for worker in &plan.workers {
@@ -181,7 +183,7 @@
         .reach
         .note_models(&moved, [ModelName::from("old")], fleet.now);
     fleet.settle();
-    fleet.now = fleet.now + ReachLimits::default().look_again;
+    fleet.now = fleet.now + ConnectionLimits::default().look_again;
     let mut looked = false;
     for _ in 0..250 {
         looked |= fleet.turn().workers.contains(&moved);
