--- a/crates/bluebellreel_entry/src/online/reach.rs
+++ b/crates/bluebellreel_entry/src/online/reach.rs
@@ -30,7 +30,7 @@
 impl ReachPart {
     pub(crate) fn new(parts: &Parts) -> Self {
         let limits = ConnectionLimits {
-            whole: parts.settings.limits.workers_whole,
+            full_mesh_limit: parts.settings.limits.workers_whole,
             per_model: parts.settings.limits.workers_per_model,
             ..ConnectionLimits::default()
         };
--- a/crates/bluebellreel_routing/src/reach.rs
+++ b/crates/bluebellreel_routing/src/reach.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct ConnectionLimits {
     /// Up to so many workers, all are connected.
-    pub whole: usize,
+    pub full_mesh_limit: usize,
     /// Workers connected for each model beyond that.
     pub per_model: usize,
     /// Unknown workers looked at together while a model is short.
@@ -32,7 +32,7 @@
 impl Default for ConnectionLimits {
     fn default() -> Self {
         Self {
-            whole: 64,
+            full_mesh_limit: 64,
             per_model: 8,
             looks: 16,
             background_looks: 1,
@@ -150,7 +150,7 @@
     /// Which workers to hold connections to now.
     #[must_use]
     pub fn plan(&self, needs: &ConnectionNeeds, now: Moment) -> ConnectionPlan {
-        if self.ranked.len() <= self.limits.whole {
+        if self.ranked.len() <= self.limits.full_mesh_limit {
             let workers = self.ranked.iter().map(|l| l.worker.clone()).collect();
             let is_short = false;
             return ConnectionPlan { workers, is_short };
