--- a/crates/bluebellreel_dispatch/src/catalog.rs
+++ b/crates/bluebellreel_dispatch/src/catalog.rs
@@ -223,7 +223,7 @@
             .collect();
         for id in missing {
             changed |= match keep_until {
-                Some(until) => self.miss(revision, &id, until),
+                Some(until) => self.mark_missing(revision, &id, until),
                 None => self.remove(revision, &id),
             };
         }
@@ -234,7 +234,7 @@
     /// A worker's entry is gone just after an outage of the store, in which
     /// entries of live workers lapse: it is kept until it had time to register
     /// again. Nothing changes at once.
-    pub fn miss(&mut self, revision: i64, id: &WorkerName, until: Moment) -> bool {
+    pub fn mark_missing(&mut self, revision: i64, id: &WorkerName, until: Moment) -> bool {
         if let Some(entry) = self.entries.get_mut(id)
             && entry.revision <= revision
             && entry.record.is_some()
--- a/crates/bluebellreel_dispatch/tests/catalog.rs
+++ b/crates/bluebellreel_dispatch/tests/catalog.rs
@@ -84,7 +84,7 @@
         catalog.put(3, worker("a", WorkerState::Ready));
         catalog.advance_to(10);
     }
-    watcher.miss(20, &WorkerName::from("a"), until);
+    watcher.mark_missing(20, &WorkerName::from("a"), until);
     watcher.expire(until);
     assert!(watcher.newest() > other.revision());
     let missed: Vec<_> = watcher
@@ -200,7 +200,7 @@
         let mut catalog = Catalog::default();
         catalog.put(25, worker("a", WorkerState::Ready));
         catalog.replace(20, vec![], keep_until);
-        catalog.miss(20, &WorkerName::from("a"), until);
+        catalog.mark_missing(20, &WorkerName::from("a"), until);
         assert!(!catalog.expire(until));
         assert_eq!(listed(&catalog), ["a"]);
     }
@@ -227,11 +227,11 @@
     let a = WorkerName::from("a");
     let mut catalog = Catalog::default();
     catalog.put(3, worker("a", WorkerState::Ready));
-    catalog.miss(20, &a, until);
-    catalog.miss(22, &a, until + Duration::from_secs(1));
+    catalog.mark_missing(20, &a, until);
+    catalog.mark_missing(22, &a, until + Duration::from_secs(1));
     assert!(catalog.expire(until));
     assert!(listed(&catalog).is_empty());
-    catalog.miss(30, &a, until);
+    catalog.mark_missing(30, &a, until);
     assert!(!catalog.expire(until));
     assert_eq!(catalog.newest(), 20);
 }
--- a/crates/bluebellreel_gateway/src/watching.rs
+++ b/crates/bluebellreel_gateway/src/watching.rs
@@ -157,7 +157,7 @@
             info!(target: "facts", worker = id, revision, kept = keep_until.is_some(); "worker no longer listed");
             let id = WorkerName::from(id);
             match keep_until {
-                Some(until) => facts.catalog.miss(revision, &id, until),
+                Some(until) => facts.catalog.mark_missing(revision, &id, until),
                 None => facts.catalog.remove(revision, &id),
             }
         }
--- a/crates/bluebellreel_members/tests/divergence.rs
+++ b/crates/bluebellreel_members/tests/divergence.rs
@@ -209,7 +209,7 @@
     assert_eq!(watched.digest(), read.digest());
     read.take(9, &WorkerName::from("b"), Some(record("b")));
     assert_ne!(watched.digest(), read.digest(), "b is another's now");
-    watched.miss(9, &WorkerName::from("b"), BEGIN);
+    watched.mark_missing(9, &WorkerName::from("b"), BEGIN);
     watched.expire(BEGIN);
     read.remove(10, &WorkerName::from("b"));
     assert_eq!(watched.digest(), read.digest());
