--- a/crates/bluebellreel_dispatch/benches/catalog.rs
+++ b/crates/bluebellreel_dispatch/benches/catalog.rs
@@ -1,4 +1,4 @@
-//! What a change costs that concerns one of many workers.
+//! Cost of a change to one of many workers.
 
 use bluebellreel_dispatch::{Catalog, WorkerRecord, WorkerState};
 use bluebellreel_types::{DataCentre, WorkerName};
--- a/crates/bluebellreel_dispatch/src/catalog.rs
+++ b/crates/bluebellreel_dispatch/src/catalog.rs
@@ -1,7 +1,8 @@
-//! Which workers there are, as the platform's store says.
+//! The list of workers, as recorded in the platform's key-value store.
 //!
-//! Each fact carries the store's revision, and the higher one wins, whichever
-//! way it came: by a watch of our own, by a list, or by a peer.
+//! A fact is a worker's record or its removal. Each fact carries the store's revision,
+//! and the higher revision wins, whether the fact came from this daemon's own watch,
+//! from a list or from a peer.
 
 use bluebellreel_types::{DataCentre, Moment, WorkerName};
 use serde::{Deserialize, Serialize};
@@ -13,33 +14,33 @@
 /// Whether a worker takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkerState {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It leaves: nothing new may be sent to it.
+    /// Shutting down: nothing new may be sent to it.
     Draining,
 }
 
-/// One life of a worker.
+/// Identifies one incarnation of a worker.
 ///
-/// A worker may start again under the id that it had; it then holds nothing of
-/// what it held before. Lives are equal or not, never earlier or later: the
-/// number comes from the worker's clock.
+/// A worker may restart under the same id; it then holds nothing of what it held before.
+/// Incarnations are only equal or different, never earlier or later: the number is taken
+/// from the worker's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Boot(pub u64);
 
-/// A short name of one life of a worker, for messages between daemons that all
-/// know the worker.
+/// A short hash that identifies one incarnation of a worker in messages between daemons
+/// that all know the worker.
 ///
-/// Ids have some twelve bytes, and daemons name each worker to each other some
-/// fifty times a second. Two of 1,900 workers have the same one once in 2,400
-/// fleets; their runs are then counted at one of them.
+/// Ids have some twelve bytes, and daemons name each worker to each other some fifty
+/// times a second. Among 1,900 workers two have the same tag in one of 2,400 fleets;
+/// their runs are then counted for one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WorkerTag(pub u32);
 
 impl WorkerTag {
-    /// The tag of a worker's life.
+    /// The tag of a worker's incarnation.
     #[must_use]
     pub fn of(id: &WorkerName, boot: Option<Boot>) -> Self {
         let seed = boot.map_or(0, |b| b.0);
@@ -48,22 +49,22 @@
     }
 }
 
-/// What a worker says of itself.
+/// A worker's registration, as written by the worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerRecord {
-    /// The worker.
+    /// The worker's id.
     pub id: WorkerName,
-    /// Its life; none where workers do not say.
+    /// Its incarnation; none if the worker does not report it.
     pub boot: Option<Boot>,
-    /// The service that it serves.
+    /// The service that the worker runs.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// Address that the worker listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre of the worker.
     pub data_centre: DataCentre,
-    /// Requests that it runs at once.
+    /// Number of requests that the worker runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the worker accepts new work.
     pub state: WorkerState,
 }
 
@@ -71,13 +72,13 @@
 struct Entry {
     revision: i64,
     record: Option<WorkerRecord>,
-    /// Until when a worker that is missing may register again, and the
-    /// revision at which it was missing.
+    /// Deadline by which a worker whose entry is missing may register again, and the
+    /// revision at which the entry was missing.
     missing: Option<(Moment, i64)>,
 }
 
 impl Entry {
-    /// Its part of the digest; none of a worker that is not listed.
+    /// The entry's part of the catalog digest; 0 if the worker is not listed.
     fn digest(&self, id: &WorkerName) -> u64 {
         let seed = self.revision.cast_unsigned();
         let hash = || XxHash64::oneshot(seed, id.as_str().as_bytes());
@@ -85,20 +86,20 @@
     }
 }
 
-/// All workers with the revision of what is known of each.
+/// All workers, each with the revision of its latest known fact.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Catalog {
     entries: BTreeMap<WorkerName, Entry>,
     revision: i64,
-    /// Revision after which every removal is known. A list shows who is there,
-    /// and not who has left before it.
-    removals_after: i64,
-    /// Of the workers that are listed, kept up with each change.
+    /// Revision after which every removal is known. A list shows which workers exist at
+    /// its revision, not which ones were removed before it.
+    removals_known_after: i64,
+    /// Digest of the listed workers, updated with each change.
     digest: u64,
 }
 
-/// Most tombstones kept, so that an older fact does not bring a removed worker
-/// back.
+/// Maximum number of tombstones. A tombstone keeps an older fact from restoring a
+/// removed worker.
 const MAX_TOMBSTONES: usize = 4096;
 
 impl Catalog {
@@ -108,9 +109,10 @@
         self.revision
     }
 
-    /// Takes a fact over; whether it was news.
+    /// Stores a worker's record unless a newer fact is known. Returns whether anything
+    /// changed.
     pub fn put(&mut self, revision: i64, record: WorkerRecord) -> bool {
-        if self.is_old(&record.id, revision) {
+        if self.is_stale(&record.id, revision) {
             return false;
         }
         let id = record.id.clone();
@@ -119,16 +121,16 @@
             record: Some(record),
             missing: None,
         };
-        let before = self.set(id, entry.clone());
+        let before = self.replace_entry(id, entry.clone());
         before.is_none_or(|b| b.record != entry.record || b.missing.is_some())
     }
 
-    /// Takes over what stands at a worker's place at a revision: a worker, or
-    /// nothing that could be used as one; whether it was news.
+    /// Applies the value of a worker's key at a revision: a worker, or none if the value
+    /// is not a usable record. Returns whether anything changed.
     ///
-    /// An entry of another writer may stand where a worker's was. What the worker
-    /// said before no longer holds then, so it gets nothing new, and no other
-    /// worker is concerned.
+    /// Another writer may have overwritten the worker's key. The worker's previous
+    /// record no longer holds then, so the worker gets nothing new; other workers are
+    /// unaffected.
     pub fn take(&mut self, revision: i64, id: &WorkerName, record: Option<WorkerRecord>) -> bool {
         match record {
             Some(record) => self.put(revision, record),
@@ -136,9 +138,9 @@
         }
     }
 
-    /// A worker's entry is gone: it leaves, or it is dead.
+    /// Removes a worker whose entry was deleted because it left or died.
     pub fn remove(&mut self, revision: i64, id: &WorkerName) -> bool {
-        if self.is_old(id, revision) {
+        if self.is_stale(id, revision) {
             return false;
         }
         let entry = Entry {
@@ -146,14 +148,14 @@
             record: None,
             missing: None,
         };
-        let before = self.set(id.clone(), entry);
-        self.forget_some();
+        let before = self.replace_entry(id.clone(), entry);
+        self.evict_oldest_tombstone();
         before.is_some_and(|b| b.record.is_some())
     }
 
-    /// Takes over what a peer knows, whose knowledge is complete up to a revision:
-    /// all of it if `whole`, else what has changed after what is known here.
-    /// Whether anything was news.
+    /// Merges the facts of a peer that knows all changes up to `complete_to`: the peer's
+    /// whole catalog if `whole`, otherwise the changes after this catalog's revision.
+    /// Returns whether anything changed.
     pub fn learn(
         &mut self,
         complete_to: i64,
@@ -164,7 +166,7 @@
             return self.replace(complete_to, facts, None);
         }
         if self.revision == 0 {
-            self.removals_after = complete_to;
+            self.removals_known_after = complete_to;
         }
         let mut changed = false;
         for (revision, id, record) in facts {
@@ -174,30 +176,31 @@
         changed
     }
 
-    /// Whether [`Catalog::facts_after`] a revision brings somebody who knows all up
-    /// to there up to date. One who knows nothing has nobody to forget.
+    /// Whether [`Catalog::facts_after`] a revision brings a peer up to date that knows
+    /// all changes up to that revision. At revision 0 it always does, as such a peer has
+    /// no worker to remove.
     ///
-    /// Guard: a daemon that has just started knows of no worker that left before it
-    /// read the list. A peer that was a moment behind, and took its facts for all
-    /// that had happened, kept such a worker for good and sent it work until it was
-    /// gone.
+    /// This guards against the following fault: a daemon that has just started does not
+    /// know which workers were removed before it read the list. A peer that was slightly
+    /// behind took the daemon's facts for the complete changes, kept a removed worker
+    /// indefinitely and went on sending work to it.
     #[must_use]
     pub fn has_all_changes_after(&self, revision: i64) -> bool {
-        revision == 0 || revision >= self.removals_after
+        revision == 0 || revision >= self.removals_known_after
     }
 
-    /// All changes up to this revision are known.
+    /// Records that all changes up to this revision are known.
     pub fn advance_to(&mut self, revision: i64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Takes a complete list over: what it lacks is gone. An entry that names no
-    /// worker to use is there, with nothing in it.
+    /// Replaces the catalog by a complete list: workers that are not in the list are
+    /// removed. An entry without a usable record counts as a removed worker.
     ///
-    /// After an outage of the store the entries of live workers may have
-    /// lapsed; they register again within about two seconds. `keep_until`
-    /// holds on to those that are missing until then, so that an outage that
-    /// has just ended does not leave the fleet without workers.
+    /// After an outage of the store the entries of live workers may have expired; the
+    /// workers register again within about two seconds. `keep_until` keeps missing
+    /// workers until that moment, so that an outage that has just ended does not leave
+    /// the fleet without workers.
     pub fn replace(
         &mut self,
         revision: i64,
@@ -207,11 +210,11 @@
         if revision < self.revision {
             return false;
         }
-        self.removals_after = revision;
+        self.removals_known_after = revision;
         let mut changed = false;
-        // A peer's tombstone may be older than what is known here.
-        let there = list.iter().filter(|(.., record)| record.is_some());
-        let listed: BTreeSet<WorkerName> = there.map(|(_, id, _)| id.clone()).collect();
+        // A tombstone in a peer's list may be older than the entry that is known here.
+        let present = list.iter().filter(|(.., record)| record.is_some());
+        let listed: BTreeSet<WorkerName> = present.map(|(_, id, _)| id.clone()).collect();
         for (at, id, record) in list {
             changed |= self.take(at, &id, record);
         }
@@ -231,9 +234,9 @@
         changed
     }
 
-    /// A worker's entry is gone just after an outage of the store, in which
-    /// entries of live workers lapse: it is kept until it had time to register
-    /// again. Nothing changes at once.
+    /// Marks a worker whose entry is gone just after an outage of the store, in which
+    /// entries of live workers expire: the worker is kept until `until`, so that it can
+    /// register again. The list of workers does not change yet.
     pub fn mark_missing(&mut self, revision: i64, id: &WorkerName, until: Moment) -> bool {
         if let Some(entry) = self.entries.get_mut(id)
             && entry.revision <= revision
@@ -244,9 +247,10 @@
         false
     }
 
-    /// Drops workers whose time to register again is over. The removal counts from the
-    /// revision up to which all is known: they were not there, and peers that have
-    /// learned all up to there meanwhile were told that they were.
+    /// Removes the workers whose time to register again is over. A removal counts from
+    /// the revision up to which everything is known: the workers were absent by then,
+    /// and peers that have synchronised up to that revision in the meantime were sent
+    /// them as listed.
     pub fn expire(&mut self, now: Moment) -> bool {
         let mut changed = false;
         for (id, entry) in &mut self.entries {
@@ -263,8 +267,8 @@
         changed
     }
 
-    /// A digest of the workers that are listed, each with the revision of what is
-    /// known of it. Equal lists have equal ones, whichever way facts came.
+    /// A digest of the listed workers and of the revision of each one's fact. Equal
+    /// lists have equal digests, whichever way the facts came.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
@@ -275,16 +279,17 @@
         self.entries.values().filter_map(|e| e.record.as_ref())
     }
 
-    /// Revision of the newest fact; lies behind [`Catalog::revision`] while
-    /// nothing changes.
+    /// Revision of the newest fact; less than [`Catalog::revision`] while nothing
+    /// changes.
     #[must_use]
     pub fn newest(&self) -> i64 {
         let revisions = self.entries.values().map(|e| e.revision);
         revisions.max().unwrap_or(0)
     }
 
-    /// Facts after a revision, for a peer: removed ones without a record, and with those
-    /// at the revision, which may have been learned after the peer was told of it.
+    /// Facts after a revision, for a peer: removed workers come without a record.
+    /// Removals at that same revision are included, as this daemon may have learned of
+    /// them after the peer synchronised up to it.
     pub fn facts_after(
         &self,
         revision: i64,
@@ -295,23 +300,23 @@
         newer.map(|(id, e)| (e.revision, id, e.record.as_ref()))
     }
 
-    /// Replaces what is known of a worker.
-    fn set(&mut self, id: WorkerName, entry: Entry) -> Option<Entry> {
+    /// Replaces the entry of a worker and updates the digest.
+    fn replace_entry(&mut self, id: WorkerName, entry: Entry) -> Option<Entry> {
         self.digest ^= entry.digest(&id);
         let before = self.entries.get(&id);
         self.digest ^= before.map_or(0, |b| b.digest(&id));
         self.entries.insert(id, entry)
     }
 
-    fn is_old(&self, id: &WorkerName, revision: i64) -> bool {
+    fn is_stale(&self, id: &WorkerName, revision: i64) -> bool {
         self.entries.get(id).is_some_and(|e| {
             e.revision > revision || (e.revision == revision && e.missing.is_none())
         })
     }
 
-    fn forget_some(&mut self) {
-        let gone = self.entries.values().filter(|e| e.record.is_none()).count();
-        if gone <= MAX_TOMBSTONES {
+    fn evict_oldest_tombstone(&mut self) {
+        let tombstones = self.entries.values().filter(|e| e.record.is_none()).count();
+        if tombstones <= MAX_TOMBSTONES {
             return;
         }
         let oldest = self
@@ -322,7 +327,7 @@
             .map(|(id, e)| (id.clone(), e.revision));
         if let Some((id, revision)) = oldest {
             self.entries.remove(&id);
-            self.removals_after = self.removals_after.max(revision);
+            self.removals_known_after = self.removals_known_after.max(revision);
         }
     }
 }
--- a/crates/bluebellreel_dispatch/src/fingerprint.rs
+++ b/crates/bluebellreel_dispatch/src/fingerprint.rs
@@ -1,13 +1,14 @@
-//! Which requests are the same one, come again.
+//! Recognises repeated attempts of the same request.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// What a request asks for, whichever attempt it is and whichever daemon takes it.
+/// A hash of a request's content, independent of the attempt and of the daemon that
+/// receives it.
 ///
-/// Each attempt has an id of its own, so ids cannot tell. A cryptographic hash, so
-/// that nobody can make a request that is taken for another one's.
+/// Each attempt has an id of its own, so ids cannot identify the request. The hash is
+/// cryptographic, so that nobody can craft a request that is taken for another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(pub [u8; 8]);
@@ -29,17 +30,19 @@
     }
 }
 
-/// A text that is no fingerprint.
+/// The text is not a fingerprint of 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoFingerprint;
+pub struct InvalidFingerprint;
 
 impl TryFrom<&str> for Fingerprint {
-    type Error = NoFingerprint;
+    type Error = InvalidFingerprint;
 
-    fn try_from(text: &str) -> Result<Self, NoFingerprint> {
+    fn try_from(text: &str) -> Result<Self, InvalidFingerprint> {
         let is_hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
         let number = is_hex.then(|| u64::from_str_radix(text, 16).ok()).flatten();
-        number.map(|n| Self(n.to_be_bytes())).ok_or(NoFingerprint)
+        number
+            .map(|n| Self(n.to_be_bytes()))
+            .ok_or(InvalidFingerprint)
     }
 }
 
--- a/crates/bluebellreel_dispatch/src/lib.rs
+++ b/crates/bluebellreel_dispatch/src/lib.rs
@@ -1,11 +1,12 @@
-//! Where work goes, decided at the entry daemon.
+//! Placement of work on workers, decided at the entry daemon.
 //!
-//! An engine runs as many requests as it has slots and admits in order of
-//! arrival. Every daemon keeps a [`Board`] of all slots: what it runs itself,
-//! what its peers say they run, and which workers it doubts. From that board
-//! [`place_online`] chooses a worker for a waiting caller, [`place_batch`] one
-//! for a batch item, and [`batch_to_yield`] tells which batch runs must make
-//! room. All of it is plain data and functions: no clock, no I/O.
+//! An engine runs as many requests concurrently as it has slots and admits them
+//! in order of arrival. Every daemon keeps a [`Board`] of all slots with its own
+//! runs, the runs that its peers report, and the health of each worker. From the
+//! board, [`place_online`] chooses a worker for an online request,
+//! [`place_batch`] one for a batch item, and [`batch_to_yield`] the batch runs
+//! that must yield. Everything here is plain data and functions, without clock
+//! or I/O.
 //!
 //! ```
 //! use bluebellreel_dispatch::{Board, Placement, PlacementLimits, Query, place_online};
@@ -13,32 +14,32 @@
 //! use std::time::Duration;
 //!
 //! let board = Board::new(DataCentre::from("sligo"), PlacementLimits::default());
-//! let query = Query { service: "assist", avoid: &[], patience: Duration::ZERO, salt: 0, now: Moment(0) };
+//! let query = Query { service: "assist", avoid: &[], max_wait: Duration::ZERO, salt: 0, now: Moment(0) };
 //! assert_eq!(place_online(&board, &query), Placement::NoWorker);
 //! ```
 
 mod board;
 mod catalog;
-mod doubt;
+mod circuit_breaker;
 mod fingerprint;
 mod overload;
-mod pace;
 mod peer;
 mod place;
 mod routes;
+mod speed;
 mod suspects;
 mod ticket;
 
 pub use board::{Board, PlacementLimits, WorkerChange, WorkerView};
 pub use catalog::{Boot, Catalog, WorkerRecord, WorkerState, WorkerTag};
-pub use doubt::Doubt;
-pub use fingerprint::{Fingerprint, NoFingerprint};
+pub use circuit_breaker::CircuitBreaker;
+pub use fingerprint::{Fingerprint, InvalidFingerprint};
 pub use overload::{Overloads, retry_delay};
-pub use pace::WorkerSpeeds;
 pub use peer::{PeerLoad, PeerRuns, Running};
 pub use place::{
     BatchRun, Placement, Query, batch_to_yield, place_batch, place_online, should_reroute,
 };
 pub use routes::{CallerLimits, Configuration, Route, RouteKind, Service, Target};
+pub use speed::WorkerSpeeds;
 pub use suspects::{Cleared, CrashNotice, CrashedRun, QuarantineStatus, Sender, Suspects, may_try};
 pub use ticket::{Class, Ticket};
--- a/crates/bluebellreel_dispatch/src/peer.rs
+++ b/crates/bluebellreel_dispatch/src/peer.rs
@@ -1,10 +1,10 @@
-//! What the other daemons run at each worker.
+//! Runs of the other daemons at each worker.
 
 use crate::Boot;
 use bluebellreel_types::{Moment, WorkerName};
 use std::collections::BTreeMap;
 
-/// Runs at one worker.
+/// Number of runs at one worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Running {
     /// Online requests.
@@ -14,31 +14,31 @@
 }
 
 impl Running {
-    /// All runs.
+    /// Total number of runs.
     #[must_use]
     pub fn total(self) -> u32 {
         self.online + self.batch
     }
 }
 
-/// A peer's runs at one life of a worker.
+/// A peer's runs at one incarnation of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerRuns {
-    /// The life that they were sent to.
+    /// The incarnation that the runs were sent to.
     pub boot: Option<Boot>,
-    /// How many they are.
+    /// Number of runs.
     pub running: Running,
 }
 
-/// The newest report of one peer.
+/// The latest load report of one peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerLoad {
-    /// Sequence of the report, so that a reordered datagram is not believed.
+    /// Sequence number of the report, by which a reordered, older datagram is ignored.
     pub sequence: u64,
-    /// Its runs at each worker.
+    /// The peer's runs at each worker.
     pub running: BTreeMap<WorkerName, PeerRuns>,
-    /// Items of its jobs that wait for a slot.
+    /// Items of the peer's jobs that wait for a slot.
     pub waiting: u32,
-    /// When its runs are no longer counted, unless it is heard again.
+    /// When the peer's runs are no longer counted unless another report arrives.
     pub expires_at: Moment,
 }
--- a/crates/bluebellreel_dispatch/src/place.rs
+++ b/crates/bluebellreel_dispatch/src/place.rs
@@ -1,72 +1,74 @@
-//! Who runs where, who waits, who is refused, and which batch run yields.
+//! Placement of online requests and batch items on workers, and choice of the batch runs
+//! that yield.
 //!
-//! A slot is the scarce thing: an engine's pace hardly depends on how many of
-//! its slots are used. So online work takes any free slot, then a slot that a
-//! batch item gives up, then a short wait at the engine; past that it is
-//! refused at once, while the caller can still come back in time. Batch takes
-//! what is free and leaves as soon as the sum of all runs passes the slots.
+//! Slots are the scarce resource: an engine's speed hardly depends on how many of its
+//! slots are used. An online request therefore takes any free slot, then a slot that a
+//! batch item gives up, then a short wait in the engine's queue. Beyond that it is
+//! refused at once, while the caller still has time to retry. Batch items take free
+//! slots and yield as soon as the runs at a worker exceed its slots.
 
 use crate::{Board, WorkerRecord, WorkerView};
 use bluebellreel_types::{DataCentre, EntryName, Moment, WorkerName};
 use std::time::Duration;
 use twox_hash::XxHash64;
 
-/// What is asked.
+/// A request for a placement.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
-    /// The service.
+    /// The service that runs the work.
     pub service: &'a str,
-    /// Workers that this request has tried; for batch, where the item has failed.
+    /// Workers that this request has already tried; for a batch item, those where it has
+    /// failed.
     pub avoid: &'a [WorkerName],
-    /// How long it may wait in line and still be served in time; of no account
-    /// for batch.
+    /// How long the request may wait in an engine's queue and still be served in time;
+    /// ignored for batch items.
     pub max_wait: Duration,
-    /// A random number, for a choice among workers alike.
+    /// A random number for the choice among equally good workers.
     pub salt: u64,
-    /// The present.
+    /// The current time.
     pub now: Moment,
 }
 
-/// Where an online request goes.
+/// Result of placing an online request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// To this worker.
+    /// Send it to this worker.
     Send(WorkerName),
-    /// Every worker has as many waiting as can still be served in time.
+    /// The queue of every worker is too long for the request to be served in time.
     Full,
-    /// No worker of the service takes work.
+    /// No worker of the service accepts work.
     NoWorker,
 }
 
 /// Chooses a worker for an online request.
 ///
-/// Trust is a preference: where every worker is doubted, the request goes to
-/// one of them rather than to none.
+/// Circuit breakers only express a preference: if every one is open, the request goes to
+/// one of the workers anyway.
 #[must_use]
 pub fn place_online(board: &Board, query: &Query) -> Placement {
-    let takers: Vec<&WorkerView> = board.takers(query.service).collect();
-    if takers.is_empty() {
+    let ready_workers: Vec<&WorkerView> = board.ready_workers(query.service).collect();
+    if ready_workers.is_empty() {
         return Placement::NoWorker;
     }
     let untried = |s: &&&WorkerView| !query.avoid.contains(&s.record.id);
-    let trusted: Vec<&WorkerView> = takers
+    let allowed: Vec<&WorkerView> = ready_workers
         .iter()
         .filter(untried)
-        .filter(|s| s.doubt.takes(query.now))
+        .filter(|s| s.breaker.allows(query.now))
         .copied()
         .collect();
-    let pool = if trusted.is_empty() {
-        takers
+    let pool = if allowed.is_empty() {
+        ready_workers
             .iter()
             .filter(untried)
             .copied()
             .collect::<Vec<&WorkerView>>()
     } else {
-        trusted
+        allowed
     };
     let ranks: Vec<(Rank, &WorkerView)> = pool
         .into_iter()
-        .map(|worker_view| (rank(board, worker_view, query.now), worker_view))
+        .map(|view| (rank(board, view, query.now), view))
         .collect();
     let Some(best) = ranks.iter().map(|(rank, _)| *rank).min() else {
         return Placement::NoWorker;
@@ -74,24 +76,24 @@
     if best.wait > query.max_wait {
         return Placement::Full;
     }
-    let alike = ranks.iter().filter(|(rank, _)| *rank == best);
-    let alike: Vec<&WorkerView> = alike.map(|(_, worker_view)| *worker_view).collect();
-    Placement::Send(better_of_two(&alike, query.salt).record.id.clone())
+    let equal = ranks.iter().filter(|(rank, _)| *rank == best);
+    let equal: Vec<&WorkerView> = equal.map(|(_, view)| *view).collect();
+    Placement::Send(less_loaded_of_two(&equal, query.salt).record.id.clone())
 }
 
-/// The emptier of two drawn at random.
+/// The less loaded of two workers drawn at random.
 ///
-/// What is known of peers' runs is a moment old. If every daemon chose the
-/// emptiest worker, all would choose the same one.
-fn better_of_two<'a>(alike: &[&'a WorkerView], salt: u64) -> &'a WorkerView {
-    let count = alike.len() as u64;
+/// The load of peers is known with a delay. If every daemon chose the least loaded
+/// worker, all would choose the same one.
+fn less_loaded_of_two<'a>(equal: &[&'a WorkerView], salt: u64) -> &'a WorkerView {
+    let count = equal.len() as u64;
     let first = salt % count;
     let step = if count > 1 {
         1 + (salt / count) % (count - 1)
     } else {
         0
     };
-    let at = |index: u64| alike[usize::try_from(index).unwrap_or(0)];
+    let at = |index: u64| equal[usize::try_from(index).unwrap_or(0)];
     let (one, other) = (at(first), at((first + step) % count));
     if other.running().total() < one.running().total() {
         other
@@ -100,34 +102,34 @@
     }
 }
 
-/// How long one more online request would stand in line at a worker.
+/// Expected time that one more online request would wait in a worker's queue.
 ///
-/// Slots come free as often as runs end: four times as slowly at a worker that is
-/// four times as slow.
-fn expected_wait(board: &Board, worker_view: &WorkerView, now: Moment) -> Duration {
-    let before = (worker_view.running().online + 1).saturating_sub(worker_view.record.slots);
-    let one = board.speeds.wait_for_one(worker_view.record.slots);
-    let slowness = board.speeds.slowness(&worker_view.record.id, now);
-    (one * before).mul_f64(slowness)
+/// Slots become free at the rate at which runs end, which is four times lower at a
+/// worker that is four times as slow.
+fn expected_wait(board: &Board, view: &WorkerView, now: Moment) -> Duration {
+    let queued_ahead = (view.running().online + 1).saturating_sub(view.record.slots);
+    let one = board.speeds.wait_per_run(view.record.slots);
+    let slowness = board.speeds.slowness(&view.record.id, now);
+    (one * queued_ahead).mul_f64(slowness)
 }
 
-/// How much slower than usual a worker is from which on others are preferred.
+/// Slowness, as a multiple of the median, above which other workers are preferred.
 const SLOW_FACTOR: f64 = 1.6;
 
-fn is_slow(board: &Board, worker_view: &WorkerView, now: Moment) -> bool {
-    board.speeds.slowness(&worker_view.record.id, now) > SLOW_FACTOR
+fn is_slow(board: &Board, view: &WorkerView, now: Moment) -> bool {
+    board.speeds.slowness(&view.record.id, now) > SLOW_FACTOR
 }
 
-/// Time without any event from a worker after which it counts as silent, and
-/// not only as busy. Events of one stream come some 30 ms apart.
-const SILENT_AFTER: Duration = Duration::from_millis(120);
+/// Time without any event from a worker after which it counts as unresponsive and not
+/// only as busy. Events of one stream are some 30 ms apart.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(120);
 
-/// Whether a request that has waited long for its first byte does better
-/// elsewhere.
+/// Whether a request that has waited long for its first byte should move to another
+/// worker.
 ///
-/// Where nobody else takes it, it stays in line. From a worker whose other
-/// streams go on it leaves only for a free slot: a place in a second line is
-/// no better than its place in the first.
+/// The request stays in the queue if no other worker accepts it. It leaves a worker
+/// whose other streams go on only for a free slot: a place in a second queue is no
+/// better than its place in the first.
 #[must_use]
 pub fn should_reroute(board: &Board, query: &Query, worker: &WorkerName) -> bool {
     let Placement::Send(other) = place_online(board, query) else {
@@ -136,58 +138,59 @@
     let last_event_at = board
         .worker_view(worker)
         .map_or(Moment(0), |s| s.last_event_at);
-    let busy = !(last_event_at + SILENT_AFTER).is_past(query.now);
+    let busy = !(last_event_at + UNRESPONSIVE_AFTER).is_past(query.now);
     let free = board.worker_view(&other).is_some_and(|s| s.free() > 0);
     free || !busy
 }
 
-/// The lower, the better: the shortest wait first, then a worker that is not
-/// slow, then a free slot, then one that a batch run of our own gives up, as
-/// that needs no message; then the own data centre.
+/// Rank of a worker for an online request; lower is better. The order is: shortest wait,
+/// then workers that are not slow, then a free slot, then a slot that one of this
+/// daemon's own batch runs gives up (which needs no message), then the local data
+/// centre.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     wait: Duration,
     slow: bool,
     slot: u8,
-    far: bool,
+    remote: bool,
 }
 
-fn rank(board: &Board, worker_view: &WorkerView, now: Moment) -> Rank {
+fn rank(board: &Board, view: &WorkerView, now: Moment) -> Rank {
     Rank {
-        wait: expected_wait(board, worker_view, now),
-        slow: is_slow(board, worker_view, now),
-        slot: match (worker_view.free(), worker_view.own.batch) {
+        wait: expected_wait(board, view, now),
+        slow: is_slow(board, view, now),
+        slot: match (view.free(), view.own.batch) {
             (1.., _) => 0,
             (0, 1..) => 1,
             (0, 0) => 2,
         },
-        far: worker_view.record.data_centre != board.local,
+        remote: view.record.data_centre != board.local,
     }
 }
 
-fn rendezvous(entry: &EntryName, worker: &WorkerName) -> u64 {
+fn rendezvous_score(entry: &EntryName, worker: &WorkerName) -> u64 {
     XxHash64::oneshot(0, format!("{entry}/{worker}").as_bytes())
 }
 
 /// Chooses a worker with a free slot for a batch item.
 ///
-/// Daemons that take the same free slot at the same moment overfill a worker,
-/// and one of them has to yield at once. So each worker's free slots belong to
-/// one daemon: of those that have items waiting, one of the worker's own data
-/// centre if there is any, the first by rendezvous. An item's output, some 15 KB,
-/// then crosses data centres only where its own has no slot for it. And some
-/// slots are left free, so that online arrivals find one without making
-/// an item yield; see [`crate::PlacementLimits::reserve_percent`].
+/// If several daemons take the same free slot at the same moment, the worker has too
+/// many runs and one of them has to yield at once. Each worker's free slots therefore
+/// belong to one daemon: among the daemons with waiting items, one in the worker's data
+/// centre if there is any, selected by rendezvous hashing. An item's output, some 15 KB,
+/// then crosses data centres only if its own data centre has no slot for it. Some slots
+/// stay free, so that online requests find one without making an item yield; see
+/// [`crate::PlacementLimits::reserve_percent`].
 ///
-/// An item that has failed goes to a worker where it has not, whoever the slot
-/// belongs to: see [`place_failed_item`].
+/// An item that has failed goes to a worker where it has not failed yet, whichever
+/// daemon the slot belongs to: see [`place_failed_item`].
 #[must_use]
 pub fn place_batch(board: &Board, query: &Query, me: &EntryName) -> Option<WorkerName> {
-    let trusted = board
-        .takers(query.service)
-        .filter(|s| s.doubt.takes(query.now));
+    let allowed = board
+        .ready_workers(query.service)
+        .filter(|s| s.breaker.allows(query.now));
     let (ours, others): (Vec<&WorkerView>, Vec<&WorkerView>) =
-        trusted.partition(|s| is_first(board, me, &s.record));
+        allowed.partition(|s| owns_free_slots(board, me, &s.record));
     let free: u32 = ours.iter().map(|s| s.free()).sum();
     let online: u32 = ours.iter().map(|s| s.running().online).sum();
     let reserve = (online * board.limits.reserve_percent).div_ceil(100);
@@ -200,15 +203,17 @@
     best_for_batch(board, query, &ours)
 }
 
-/// How long a worker counts as proven after an event of a run of ours: long enough
-/// to know several workers from the ten or so runs that a daemon has.
-const PROVEN_AFTER_EVENT: Duration = Duration::from_secs(2);
+/// How long a worker counts as responsive after an event of one of this daemon's runs.
+/// The time is long enough for the ten or so runs of a daemon to identify several
+/// responsive workers.
+const RESPONSIVE_WINDOW: Duration = Duration::from_secs(2);
 
 /// Chooses a worker for an item that has failed at others.
 ///
-/// A worker that fails at once whatever it is sent has the most free slots, and
-/// would get the item's next try as well. So no worker gets an item twice while
-/// another one is trusted, and one whose runs here give events goes first.
+/// A worker that fails every request immediately has the most free slots and would get
+/// the item's next attempt as well. No worker therefore gets an item twice while another
+/// one is available, and workers where this daemon's runs recently produced events come
+/// first.
 fn place_failed_item(
     board: &Board,
     query: &Query,
@@ -219,98 +224,91 @@
     if mine.is_empty() && theirs.is_empty() {
         return best_for_batch(board, query, ours);
     }
-    let is_proven = |s: &&WorkerView| !(s.last_event_at + PROVEN_AFTER_EVENT).is_past(query.now);
+    let is_responsive = |s: &&WorkerView| !(s.last_event_at + RESPONSIVE_WINDOW).is_past(query.now);
     let both = mine.iter().chain(&theirs).copied();
-    let proven: Vec<&WorkerView> = both.filter(is_proven).collect();
-    [&proven, &mine, &theirs]
+    let responsive: Vec<&WorkerView> = both.filter(is_responsive).collect();
+    [&responsive, &mine, &theirs]
         .into_iter()
-        .find_map(|worker_views| best_for_batch(board, query, worker_views))
+        .find_map(|views| best_for_batch(board, query, views))
 }
 
-fn untried<'a>(worker_views: &[&'a WorkerView], query: &Query) -> Vec<&'a WorkerView> {
+fn untried<'a>(views: &[&'a WorkerView], query: &Query) -> Vec<&'a WorkerView> {
     let is_untried = |s: &&WorkerView| !query.avoid.contains(&s.record.id);
-    worker_views.iter().copied().filter(is_untried).collect()
+    views.iter().copied().filter(is_untried).collect()
 }
 
-fn best_for_batch(
-    board: &Board,
-    query: &Query,
-    worker_views: &[&WorkerView],
-) -> Option<WorkerName> {
-    worker_views
+fn best_for_batch(board: &Board, query: &Query, views: &[&WorkerView]) -> Option<WorkerName> {
+    views
         .iter()
         .filter(|s| s.free() > 0)
         .max_by_key(|s| {
-            let quick = !is_slow(board, s, query.now);
-            (quick, s.record.data_centre == board.local, s.free())
+            let is_fast = !is_slow(board, s, query.now);
+            (is_fast, s.record.data_centre == board.local, s.free())
         })
         .map(|s| s.record.id.clone())
 }
 
-/// Whether a worker's free slots belong to daemon `me`. While some peer has not
-/// said where it stands, places do not count: two daemons that do not know of
-/// each other would both take themselves for the only near one.
-fn is_first(board: &Board, me: &EntryName, worker: &WorkerRecord) -> bool {
-    let place = &worker.data_centre;
+/// Whether a worker's free slots belong to daemon `me`. While the data centre of some
+/// peer is unknown, data centres are ignored: two daemons that do not know each other's
+/// data centre would both consider themselves the only local one.
+fn owns_free_slots(board: &Board, me: &EntryName, worker: &WorkerRecord) -> bool {
+    let worker_data_centre = &worker.data_centre;
     let mut peers = board.peers_with_items().filter(|peer| *peer != me);
-    let by_place = board
+    let all_located = board
         .peers_with_items()
-        .all(|peer| peer == me || board.place_of(peer).is_some());
-    let rank = |name: &EntryName, stands: Option<&DataCentre>| {
-        let is_near = by_place && stands == Some(place);
-        (is_near, rendezvous(name, &worker.id))
+        .all(|peer| peer == me || board.data_centre_of(peer).is_some());
+    let rank = |name: &EntryName, located_in: Option<&DataCentre>| {
+        let is_local = all_located && located_in == Some(worker_data_centre);
+        (is_local, rendezvous_score(name, &worker.id))
     };
     let mine = rank(me, Some(&board.local));
-    peers.all(|peer| rank(peer, board.place_of(peer)) < mine)
+    peers.all(|peer| rank(peer, board.data_centre_of(peer)) < mine)
 }
 
 /// One batch run of this daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BatchRun<T> {
-    /// Its key with the caller of [`batch_to_yield`].
+    /// Key by which the caller of [`batch_to_yield`] identifies the run.
     pub key: T,
-    /// Where it runs.
+    /// The worker that executes the run.
     pub worker: WorkerName,
-    /// Events that it has brought so far.
+    /// Number of events that the run has produced so far.
     pub events: u64,
 }
 
-/// The batch runs that must make room now: as many as a worker has beyond its
-/// slots, and all at a worker that leaves.
+/// Batch runs that must yield now: as many as a worker has beyond its slots, and all
+/// runs at a draining worker.
 ///
-/// The run that has generated least goes first. What it has generated is kept
-/// and it goes on elsewhere, so the cost is reading that and its prompt once
-/// more.
+/// The run that has generated the least yields first. Its output is kept and the item
+/// resumes elsewhere, so the cost is processing that output and the prompt once more.
 #[must_use]
 pub fn batch_to_yield<T: Clone>(board: &Board, runs: &[BatchRun<T>]) -> Vec<T> {
     let mut yields = Vec::new();
-    for worker_view in board.worker_views() {
-        let mut here: Vec<&BatchRun<T>> = runs
-            .iter()
-            .filter(|r| r.worker == worker_view.record.id)
-            .collect();
-        if here.is_empty() {
+    for view in board.worker_views() {
+        let mut local_runs: Vec<&BatchRun<T>> =
+            runs.iter().filter(|r| r.worker == view.record.id).collect();
+        if local_runs.is_empty() {
             continue;
         }
-        here.sort_by_key(|r| r.events);
-        let count = if worker_view.record.state == crate::WorkerState::Draining {
-            here.len()
+        local_runs.sort_by_key(|r| r.events);
+        let count = if view.record.state == crate::WorkerState::Draining {
+            local_runs.len()
         } else {
-            own_share_of_excess(worker_view)
+            own_share_of_excess(view)
         };
-        yields.extend(here.iter().take(count).map(|r| r.key.clone()));
+        yields.extend(local_runs.iter().take(count).map(|r| r.key.clone()));
     }
     yields
 }
 
-/// How many of our batch runs must go: our part of the runs beyond the slots,
-/// rounded up, as the other daemons with batch there do the same.
-fn own_share_of_excess(worker_view: &WorkerView) -> usize {
-    let batch = worker_view.running().batch;
+/// Number of this daemon's batch runs that must yield: its share of the runs beyond the
+/// slots, rounded up, as the other daemons with batch runs there yield their shares too.
+fn own_share_of_excess(view: &WorkerView) -> usize {
+    let batch = view.running().batch;
     if batch == 0 {
         return 0;
     }
-    let excess = worker_view.excess().min(batch);
-    let share = (excess * worker_view.own.batch).div_ceil(batch);
-    usize::try_from(share.min(worker_view.own.batch)).unwrap_or(usize::MAX)
+    let excess = view.excess().min(batch);
+    let share = (excess * view.own.batch).div_ceil(batch);
+    usize::try_from(share.min(view.own.batch)).unwrap_or(usize::MAX)
 }
--- a/crates/bluebellreel_dispatch/src/routes.rs
+++ b/crates/bluebellreel_dispatch/src/routes.rs
@@ -1,28 +1,28 @@
-//! The operators' configuration in force: routes, services, limits.
+//! The operators' active configuration: routes, services and limits.
 
 use std::sync::Arc;
 use std::time::Duration;
 use twox_hash::XxHash64;
 
-/// What may be done with a route's requests.
+/// How a route's requests may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// Idempotent: may run more than once.
     Safe,
     /// Runs at most once for each attempt of a caller.
     Unsafe,
-    /// Answered by a series of events.
+    /// Answered by a stream of events.
     Stream,
     /// Carries batch jobs.
     Batch,
 }
 
-/// One service that a route sends to, and its share.
+/// A service that a route sends requests to, and its weight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The service.
     pub service: Arc<str>,
-    /// Its share of the sum of all weights.
+    /// Its share of the sum of all targets' weights.
     pub weight: u32,
 }
 
@@ -31,37 +31,38 @@
 pub struct Route {
     /// Its name.
     pub name: Arc<str>,
-    /// Host that it belongs to, in lower case.
+    /// Host name that the route matches, in lower case.
     pub host: Arc<str>,
-    /// Paths that it takes start with this.
+    /// Path prefix that the route matches.
     pub prefix: Arc<str>,
-    /// What may be done with its requests.
+    /// How the route's requests may be executed.
     pub kind: RouteKind,
-    /// Where they go; never empty.
+    /// Services that serve the route; never empty.
     pub targets: Vec<Target>,
-    /// Longest that a request is kept waiting for its whole answer.
+    /// Maximum time that a request waits for its whole answer.
     pub timeout: Duration,
-    /// Latency objective: first event, or acceptance of a job.
+    /// Latency objective for the first event, or for the acceptance of a job.
     pub objective: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Most workers that one attempt of a caller may be sent to; for a job,
-    /// failures after which an item is given up.
+    /// Maximum number of workers that one attempt of a caller may be sent to; for a job,
+    /// the number of failures after which an item is given up.
     pub max_workers: u32,
-    /// Whether a stream may go on at another worker.
+    /// Whether a stream may resume at another worker.
     pub resumable: bool,
-    /// Longest pause between events that is still on time.
+    /// Maximum pause between events that still counts as on time.
     pub pause: Duration,
-    /// Tokens of a job route that may wait; zero for no bound.
+    /// Maximum number of tokens of this job route that may be waiting; zero for no
+    /// limit.
     pub quota_tokens: u64,
-    /// Time from a job's first send to the moment its results are due.
+    /// Time from the first submission of a job until its results are due.
     pub job_objective: Duration,
-    /// Time from a job's first send after which items may be given up.
+    /// Time from the first submission of a job after which its items may be given up.
     pub retention: Duration,
 }
 
 impl Route {
-    /// Whether an attempt may be sent once more after it may have run.
+    /// Whether an attempt that may have run may be sent again.
     #[must_use]
     pub fn repeatable(&self) -> bool {
         match self.kind {
@@ -71,8 +72,8 @@
         }
     }
 
-    /// The service for a request. The request's id decides, so that a second
-    /// attempt inside one request stays with its service.
+    /// The service for a request. The choice depends on the request's id, so that a
+    /// second attempt of the same request stays with its service.
     #[must_use]
     pub fn service_for(&self, request: &str) -> Arc<str> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
@@ -94,39 +95,39 @@
     pub name: Arc<str>,
     /// Path of its health check.
     pub health_path: Arc<str>,
-    /// Connections that one of its workers takes from all callers together.
+    /// Connections that one worker of the service accepts from all callers together.
     pub max_connections: u32,
 }
 
-/// Bounds on what callers may send.
+/// Limits on what callers may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Longest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Maximum time for a request head to arrive.
     pub head_time: Duration,
-    /// Longest time that a connection may stay idle.
+    /// Maximum time that a connection may stay idle.
     pub idle_time: Duration,
 }
 
 /// One version of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Configuration {
-    /// Its version; a higher one replaces a lower one.
+    /// Version number; a higher one replaces a lower one.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Arc<Route>>,
     /// All services.
     pub services: Vec<Service>,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: CallerLimits,
 }
 
 impl Configuration {
-    /// The route of a request: among those of its host, the one with the
-    /// longest prefix that begins the path.
+    /// The route of a request: among the routes of its host, the one with the longest
+    /// matching path prefix.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or(host);
@@ -138,7 +139,7 @@
             .max_by_key(|route| route.prefix.len())
     }
 
-    /// Whether some route goes to this service.
+    /// Whether any route has this service as a target.
     #[must_use]
     pub fn names_service(&self, service: &str) -> bool {
         let mut targets = self.routes.iter().flat_map(|route| &route.targets);
--- a/crates/bluebellreel_dispatch/src/suspects/mod.rs
+++ b/crates/bluebellreel_dispatch/src/suspects/mod.rs
@@ -1,120 +1,126 @@
-//! Requests under which workers crash, and which of them are quarantined.
+//! Requests during which workers crash, and the quarantine of those that cause it.
 //!
-//! A crash alone says little: all that ran at the worker were there, and so is a
-//! request that a killed worker happened to run. Counted are crashes that came one
-//! after the other, each under a run that began after the crash before: workers that
-//! are killed at the same moment count once, however many of them ran the same
-//! request. A crash counts only against the requests that were at the most crashes of
-//! those there, so that it does not count against those beside the one that causes it;
-//! and not at all where workers crashed at the same moment under requests that were at
-//! no other crash, as they do when they are killed. A run that ends well takes all that
-//! was counted before it back.
+//! A single crash is weak evidence: every request at the worker was affected, including
+//! one that ran on a worker that was killed from outside. Only sequential crashes count:
+//! each under a run that began after the previous crash. Workers that are killed at the
+//! same moment count once, however many of them ran the same request. A crash counts
+//! only against those of the affected requests that have the most crashes, so that it
+//! does not count against requests that ran beside the cause. It does not count at all
+//! if other workers crashed at the same moment under requests without any other crash,
+//! as happens when workers are killed. A run that completes clears all crashes counted
+//! before it.
 //!
-//! Daemons notify each other of each crash that they saw, and under which request. No
-//! conclusion is replicated: each daemon concludes for itself, from the same crashes, and
-//! a late notice corrects it.
+//! Daemons notify each other of each crash that they observe and of the request that was
+//! running. Conclusions are not replicated: each daemon derives its own from the same
+//! crashes, and a late notice corrects it.
 
 mod record;
 mod trial;
 
 use crate::{Fingerprint, WorkerTag};
 use bluebellreel_types::Moment;
-use record::{Crash, Known, MAX_CRASHES, Record, in_turn, is_one_of_many};
+use record::{Crash, KnownCrash, MAX_CRASHES, Record, count_sequential, is_mass_crash};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 pub use record::{CrashNotice, CrashedRun};
 pub use trial::may_try;
 
-/// Crashes after which a request is quarantined. Fewer would quarantine those that met
-/// the ends of two workers by accident; each further one costs all that run at a worker.
+/// Number of crashes after which a request is quarantined. A lower number would
+/// quarantine requests that met two crashes by accident; each additional crash costs all
+/// the runs at one more worker.
 const QUARANTINE_CRASHES: u32 = 3;
-/// The first quarantine. A request that was at the same three crashes by bad luck cannot
-/// be distinguished from their cause; the first run of either after this time decides.
-const QUARANTINE_FIRST: Duration = Duration::from_secs(2);
-/// Quarantine of a caller's request after a crash more, doubled after each further one.
-/// Callers repeat within seconds.
-const QUARANTINE_ONLINE: Duration = Duration::from_mins(1);
-/// The same for an item of a job, which only its owner sends: it holds its whole job up.
-const QUARANTINE_BATCH: Duration = Duration::from_secs(15);
-/// The longest quarantine, also of a request that workers can run by then.
-const QUARANTINE_LONGEST: Duration = Duration::from_mins(10);
-/// How long a crash is remembered.
-const CRASH_KEPT: Duration = Duration::from_mins(30);
-/// How long one request may be tried out before the next one may.
-const TRIAL_LONGEST: Duration = Duration::from_secs(10);
-/// Requests remembered. A mass kill brings thousands; those at few crashes go first.
+/// Duration of the first quarantine. A request that was present at the same three
+/// crashes by accident cannot be distinguished from their cause; the first run of either
+/// request after this time decides.
+const INITIAL_QUARANTINE: Duration = Duration::from_secs(2);
+/// Quarantine of a caller's request after one more crash; it doubles with each further
+/// one. Callers repeat requests within seconds.
+const ONLINE_QUARANTINE: Duration = Duration::from_mins(1);
+/// Quarantine of a batch item after one more crash; it doubles with each further one.
+/// Only the job's owner sends the item, and the item holds up its whole job.
+const BATCH_QUARANTINE: Duration = Duration::from_secs(15);
+/// Maximum quarantine, which also delays a request that workers have become able to run.
+const MAX_QUARANTINE: Duration = Duration::from_mins(10);
+/// How long a crash is kept.
+const CRASH_RETENTION: Duration = Duration::from_mins(30);
+/// Maximum duration of a trial run before the next one is allowed.
+const MAX_TRIAL: Duration = Duration::from_secs(10);
+/// Maximum number of requests with recorded crashes. A mass kill adds thousands; those
+/// with the fewest crashes are evicted first.
 const MAX_REQUESTS: usize = 512;
 /// How long a daemon repeats its own notices, as some reports are lost.
-const NOTIFY_FOR: Duration = Duration::from_secs(3);
-/// Notices in one report: some 500 bytes.
+const NOTIFY_PERIOD: Duration = Duration::from_secs(3);
+/// Maximum number of notices in one report, some 500 bytes.
 const MAX_NOTICES: usize = 24;
 
-/// What a request is for.
+/// Who sends a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
-    /// A caller, who may return to any daemon.
+    /// A caller, who may retry at any daemon.
     Caller,
-    /// A job's owner.
+    /// The owner of a batch job.
     Job,
 }
 
 /// Whether a request may be sent to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// Nothing speaks against it.
+    /// No crash is attributed to it.
     Clear,
-    /// It was at crashes that may have other causes.
+    /// It was running during crashes that may have other causes.
     Suspect,
-    /// Its quarantine ended at this moment: one run shows whether workers can run it now.
-    /// See [`may_try`].
+    /// Its quarantine ended at this moment. One trial run shows whether workers can run
+    /// it now; see [`may_try`].
     TrialOnly(Moment),
-    /// It is quarantined until then.
+    /// It is quarantined until this moment.
     Quarantined(Moment),
 }
 
-/// What a run that ended well takes back.
+/// What a completed run clears.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cleared {
-    /// Nothing was known against its request.
+    /// No crash was recorded for the request.
     Nothing,
     /// Too few crashes for a quarantine.
     Suspicion,
-    /// Enough of them, whether it was quarantined for them or another one was.
+    /// Enough crashes for a quarantine, whether or not they were attributed to this
+    /// request rather than to another one.
     Quarantine,
 }
 
-/// Requests under which workers have crashed.
+/// Requests during which workers have crashed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Suspects {
     records: BTreeMap<Fingerprint, Record>,
-    /// Counts changes; see [`Suspects::version`].
+    /// Number of changes; see [`Suspects::version`].
     version: u64,
-    /// Where the next report begins among what does not fit into one.
-    turn: usize,
+    /// Offset of the first notice for the next report, if the notices do not fit into
+    /// one.
+    notice_offset: usize,
 }
 
 impl Suspects {
-    /// Whether nothing is known of any request, as on most days.
+    /// Whether no crash is recorded, which is the usual case.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Requests of which something is known.
+    /// Number of requests with recorded crashes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Grows with each thing of which peers should be notified at once.
+    /// Increases with each change that peers should be notified of at once.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// A worker has crashed under a run of ours; how many crashes in turn the request was
-    /// at.
+    /// Records a crash under a run of this daemon. Returns the number of sequential
+    /// crashes of the request.
     pub fn note_own_crash(&mut self, notice: CrashNotice, now: Moment) -> u32 {
         self.note_crash(notice, now);
         self.version += 1;
@@ -122,20 +128,20 @@
             return 0;
         };
         if let Some(known) = record.crashed_runs.get_mut(&notice.worker) {
-            known.notify_until = now + NOTIFY_FOR;
+            known.notify_until = now + NOTIFY_PERIOD;
         }
-        record.weight()
+        record.crash_count()
     }
 
-    /// Takes a crash over; whether it changed anything.
+    /// Records a crash; returns whether it changed anything.
     pub fn note_crash(&mut self, notice: CrashNotice, now: Moment) -> bool {
         let CrashNotice {
             fingerprint,
             worker,
             crashed_run,
         } = notice;
-        let never = crashed_run.crashed < crashed_run.began || crashed_run.crashed > now;
-        if never || (crashed_run.crashed + CRASH_KEPT).is_past(now) {
+        let is_invalid = crashed_run.crashed < crashed_run.began || crashed_run.crashed > now;
+        if is_invalid || (crashed_run.crashed + CRASH_RETENTION).is_past(now) {
             return false;
         }
         let record = self.records.entry(fingerprint).or_default();
@@ -145,25 +151,25 @@
             return changed;
         }
         record.evict_oldest();
-        let known = Known {
+        let known = KnownCrash {
             crashed_run,
             notify_until: Moment(0),
         };
         record.crashed_runs.insert(worker, known);
-        self.evict_weakest();
+        self.evict_lowest_ranked();
         true
     }
 
-    /// The lives of workers that crashed under a request.
+    /// Incarnations of the workers that crashed under a request.
     #[must_use]
     pub fn crashed_workers(&self, fingerprint: Fingerprint) -> Vec<WorkerTag> {
         let record = self.records.get(&fingerprint);
-        let charges = record.into_iter().flat_map(Record::charges);
-        charges.map(|(worker, _)| *worker).collect()
+        let uncleared_runs = record.into_iter().flat_map(Record::uncleared_runs);
+        uncleared_runs.map(|(worker, _)| *worker).collect()
     }
 
-    /// Takes over which workers crashed under a request, before this daemon began. When
-    /// is not known: it is quarantined as if the last one had just crashed.
+    /// Restores the crashes of a request from before this daemon started. Their times
+    /// are not known: the request is quarantined as if the last crash had just happened.
     pub fn recall(&mut self, fingerprint: Fingerprint, workers: &[WorkerTag], now: Moment) {
         for worker in workers.iter().take(MAX_CRASHES) {
             let crashed_run = CrashedRun {
@@ -180,66 +186,67 @@
         }
     }
 
-    /// A run of a request has ended well; what that takes back.
+    /// Records a completed run of a request; returns what it clears.
     pub fn completed(&mut self, fingerprint: Fingerprint, now: Moment) -> Cleared {
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return Cleared::Nothing;
         };
-        let weight = record.weight();
+        let crash_count = record.crash_count();
         record.trial_until = Moment(0);
-        let charges = record
+        let uncleared_runs = record
             .crashed_runs
             .values_mut()
             .filter(|k| !k.crashed_run.cleared);
-        let excuse = |known: &mut Known| {
+        let clear = |known: &mut KnownCrash| {
             known.crashed_run.cleared = true;
-            known.notify_until = now + NOTIFY_FOR;
+            known.notify_until = now + NOTIFY_PERIOD;
         };
-        if charges.map(excuse).count() == 0 {
+        if uncleared_runs.map(clear).count() == 0 {
             return Cleared::Nothing;
         }
         self.version += 1;
-        match weight {
+        match crash_count {
             QUARANTINE_CRASHES.. => Cleared::Quarantine,
             _ => Cleared::Suspicion,
         }
     }
 
-    /// How many crashes in turn speak against a request, and when the last one was.
-    fn charged(&self, fingerprint: Fingerprint) -> (u32, Moment) {
+    /// Number of sequential crashes attributed to a request, and the time of the last
+    /// one.
+    fn attributed_crashes(&self, fingerprint: Fingerprint) -> (u32, Moment) {
         let Some(record) = self.records.get(&fingerprint) else {
             return (0, Moment(0));
         };
-        let weight = record.weight();
-        if weight < QUARANTINE_CRASHES {
-            return (weight, record.last());
+        let crash_count = record.crash_count();
+        if crash_count < QUARANTINE_CRASHES {
+            return (crash_count, record.last());
         }
         let crashes = self.crashes();
-        let own = record.charges().filter(|(worker, crashed_run)| {
-            let is_heaviest = crashes[worker].heaviest <= weight;
-            is_heaviest && !is_one_of_many(&crashes, record, crashed_run)
+        let own = record.uncleared_runs().filter(|(worker, crashed_run)| {
+            let has_max_count = crashes[worker].max_crash_count <= crash_count;
+            has_max_count && !is_mass_crash(&crashes, record, crashed_run)
         });
-        in_turn(own.map(|(_, crashed_run)| *crashed_run))
+        count_sequential(own.map(|(_, crashed_run)| *crashed_run))
     }
 
-    /// All crashes that are remembered.
+    /// All recorded crashes, by worker incarnation.
     fn crashes(&self) -> BTreeMap<WorkerTag, Crash> {
         let mut crashes: BTreeMap<WorkerTag, Crash> = BTreeMap::new();
         for record in self.records.values() {
-            let weight = record.weight();
-            for (worker, Known { crashed_run, .. }) in &record.crashed_runs {
+            let crash_count = record.crash_count();
+            for (worker, KnownCrash { crashed_run, .. }) in &record.crashed_runs {
                 let crash = crashes.entry(*worker).or_insert(Crash {
                     at: crashed_run.crashed,
-                    heaviest: 0,
+                    max_crash_count: 0,
                 });
-                let counts = if crashed_run.cleared { 0 } else { weight };
-                crash.heaviest = crash.heaviest.max(counts);
+                let counts = if crashed_run.cleared { 0 } else { crash_count };
+                crash.max_crash_count = crash.max_crash_count.max(counts);
             }
         }
         crashes
     }
 
-    /// Whether a request may be sent.
+    /// Whether a request may be sent to a worker now.
     #[must_use]
     pub fn quarantine_status(
         &self,
@@ -247,22 +254,22 @@
         sender: Sender,
         now: Moment,
     ) -> QuarantineStatus {
-        let (charged, last) = self.charged(fingerprint);
-        if charged == 0 {
+        let (attributed_crashes, last) = self.attributed_crashes(fingerprint);
+        if attributed_crashes == 0 {
             return QuarantineStatus::Clear;
         }
-        let Some(beyond) = charged.checked_sub(QUARANTINE_CRASHES) else {
+        let Some(extra) = attributed_crashes.checked_sub(QUARANTINE_CRASHES) else {
             return QuarantineStatus::Suspect;
         };
-        let more = match sender {
-            Sender::Caller => QUARANTINE_ONLINE,
-            Sender::Job => QUARANTINE_BATCH,
+        let base = match sender {
+            Sender::Caller => ONLINE_QUARANTINE,
+            Sender::Job => BATCH_QUARANTINE,
         };
-        let lasts = match beyond.checked_sub(1) {
-            None => QUARANTINE_FIRST,
-            Some(doublings) => (more * 2u32.saturating_pow(doublings)).min(QUARANTINE_LONGEST),
+        let duration = match extra.checked_sub(1) {
+            None => INITIAL_QUARANTINE,
+            Some(doublings) => (base * 2u32.saturating_pow(doublings)).min(MAX_QUARANTINE),
         };
-        let until = last + lasts;
+        let until = last + duration;
         let trial_until = self.records[&fingerprint].trial_until;
         if !until.is_past(now) {
             QuarantineStatus::Quarantined(until)
@@ -273,51 +280,51 @@
         }
     }
 
-    /// A request is tried out here.
+    /// Records a trial run at this daemon.
     pub fn begin_trial(&mut self, fingerprint: Fingerprint, now: Moment) {
         self.note_trial(fingerprint, now);
         if let Some(record) = self.records.get_mut(&fingerprint) {
-            record.on_trial_here = true;
+            record.is_local_trial = true;
             self.version += 1;
         }
     }
 
-    /// A request is tried out at a peer.
+    /// Records a trial run, here or at a peer.
     pub fn note_trial(&mut self, fingerprint: Fingerprint, now: Moment) {
         if let Some(record) = self.records.get_mut(&fingerprint)
             && record.trial_until.is_past(now)
         {
-            record.trial_until = now + TRIAL_LONGEST;
+            record.trial_until = now + MAX_TRIAL;
         }
     }
 
-    /// A trial has ended without showing anything.
+    /// Records that a trial run ended without a result.
     pub fn end_trial(&mut self, fingerprint: Fingerprint) {
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.trial_until = Moment(0);
-            record.on_trial_here = false;
+            record.is_local_trial = false;
         }
     }
 
-    /// Requests that are tried out here now. Peers report their own trials: passed on, they
-    /// would go round for ever.
+    /// Requests whose trial runs at this daemon. Peers report their own trials: if
+    /// daemons forwarded them, reports would circulate indefinitely.
     pub fn trials(&self) -> impl Iterator<Item = Fingerprint> {
-        let records = self.records.iter().filter(|(_, r)| r.on_trial_here);
+        let records = self.records.iter().filter(|(_, r)| r.is_local_trial);
         records
             .map(|(fingerprint, _)| *fingerprint)
             .take(MAX_NOTICES)
     }
 
-    /// Notices for the next report: crashes that were seen here lately and, if `all`, those
-    /// of quarantined requests, for daemons that have started since. The latter are the
-    /// same at each daemon, so that few of many need to send them.
+    /// Notices for the next report: crashes recently observed here and, if `all`, the
+    /// crashes of quarantined requests, for daemons that have started since. The latter
+    /// are the same at each daemon, so that only a few daemons need to send them.
     pub fn notices(&mut self, all: bool, now: Moment) -> Vec<CrashNotice> {
         let mut seen = Vec::new();
         let mut known = Vec::new();
         for (fingerprint, record) in &self.records {
-            let weight = record.weight();
+            let crash_count = record.crash_count();
             for (worker, k) in &record.crashed_runs {
-                let list = match (k.notify_until.is_past(now), weight) {
+                let list = match (k.notify_until.is_past(now), crash_count) {
                     (false, _) => &mut seen,
                     (true, QUARANTINE_CRASHES..) if all => &mut known,
                     (true, _) => continue,
@@ -327,42 +334,43 @@
                     worker: *worker,
                     crashed_run: k.crashed_run,
                 };
-                list.push((weight, notice));
+                list.push((crash_count, notice));
             }
         }
-        // Of many, as after a mass kill, those at several crashes first.
-        seen.sort_by_key(|(weight, _)| std::cmp::Reverse(*weight));
+        // If there are too many, as after a mass kill, requests with several crashes
+        // come first.
+        seen.sort_by_key(|(crash_count, _)| std::cmp::Reverse(*crash_count));
         let room_for_known = known.len().min(MAX_NOTICES / 2);
         seen.truncate(MAX_NOTICES - room_for_known);
         if !known.is_empty() {
-            self.turn = (self.turn + MAX_NOTICES / 2) % known.len();
-            known.rotate_left(self.turn);
+            self.notice_offset = (self.notice_offset + MAX_NOTICES / 2) % known.len();
+            known.rotate_left(self.notice_offset);
             known.truncate(MAX_NOTICES - seen.len());
         }
         let notices = seen.into_iter().chain(known);
         notices.map(|(_, notice)| notice).collect()
     }
 
-    /// Evicts crashes of long ago.
+    /// Evicts crashes older than [`CRASH_RETENTION`].
     pub fn sweep(&mut self, now: Moment) {
         for record in self.records.values_mut() {
             record
                 .crashed_runs
-                .retain(|_, k| !(k.crashed_run.crashed + CRASH_KEPT).is_past(now));
+                .retain(|_, k| !(k.crashed_run.crashed + CRASH_RETENTION).is_past(now));
         }
         self.records.retain(|_, r| !r.crashed_runs.is_empty());
     }
 
-    /// Keeps the stronger half once there are too many: a mass kill then costs one sort
-    /// for each 256 of its runs.
-    fn evict_weakest(&mut self) {
+    /// If there are more than [`MAX_REQUESTS`] records, keeps the half with the most
+    /// crashes: a mass kill then costs one sort per 256 of its runs.
+    fn evict_lowest_ranked(&mut self) {
         if self.records.len() <= MAX_REQUESTS {
             return;
         }
         let mut ranks: Vec<(u32, Moment, Fingerprint)> = self
             .records
             .iter()
-            .map(|(fingerprint, r)| (r.weight(), r.last(), *fingerprint))
+            .map(|(fingerprint, r)| (r.crash_count(), r.last(), *fingerprint))
             .collect();
         ranks.sort_unstable();
         for (_, _, fingerprint) in &ranks[..ranks.len() - MAX_REQUESTS / 2] {
--- a/crates/bluebellreel_dispatch/src/suspects/record.rs
+++ b/crates/bluebellreel_dispatch/src/suspects/record.rs
@@ -1,62 +1,67 @@
-//! Crashes of workers under one request.
+//! Recorded crashes of workers under one request.
 
 use crate::{Fingerprint, WorkerTag};
 use bluebellreel_types::Moment;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How far clocks may differ by which daemons place what others saw: the way of a report.
+/// Tolerance for comparing times that different daemons observed. A daemon converts the
+/// ages in a peer's report to its own clock, with an error of up to the report's transit
+/// time.
 const CLOCK_SLACK: Duration = Duration::from_millis(30);
-/// Within this time of each other workers crash at the same moment.
-const SAME_MOMENT: Duration = Duration::from_millis(250);
-/// Number of other workers that crash at the same moment, without a reason that shows,
-/// from which on a crash is one of many. A single one may be another request's first.
-const MASS_CRASH: usize = 2;
-/// Crashes remembered of one request. More than it takes to quarantine it at hundreds of
-/// daemons: without its crashes, those beside it would seem to have caused them.
+/// Crashes within this time of each other count as simultaneous.
+const SIMULTANEOUS_WINDOW: Duration = Duration::from_millis(250);
+/// Number of other simultaneous crashes, none of them explained by a request with
+/// several crashes, from which a crash counts as part of a mass kill. A single one may
+/// be the first crash of another request.
+const MIN_SIMULTANEOUS_CRASHES: usize = 2;
+/// Maximum number of crashes recorded for one request. It is higher than the number that
+/// occurs before hundreds of daemons have quarantined the request: if the request's
+/// crashes were evicted, the requests that ran beside it would appear to have caused
+/// them.
 pub(super) const MAX_CRASHES: usize = 32;
 
-/// A worker's crash, as far as a request is concerned that was there.
+/// One run of a request during which its worker crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashedRun {
-    /// When the request was sent there.
+    /// When the request was sent to the worker.
     pub began: Moment,
-    /// When its run was broken off.
+    /// When the run was interrupted.
     pub crashed: Moment,
-    /// Whether the request has run well since.
+    /// Whether a run of the request has completed since.
     pub cleared: bool,
 }
 
-/// One crash under one request, as daemons notify each other.
+/// One crash under one request, as exchanged between daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashNotice {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The life of the worker that crashed.
+    /// The incarnation of the worker that crashed.
     pub worker: WorkerTag,
-    /// The crash.
+    /// The interrupted run.
     pub crashed_run: CrashedRun,
 }
 
-/// A crash as it is remembered.
+/// A recorded crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Known {
+pub(super) struct KnownCrash {
     pub(super) crashed_run: CrashedRun,
-    /// Until when peers are notified, as it was seen here.
+    /// Until when peers are notified of the crash, if it was observed by this daemon.
     pub(super) notify_until: Moment,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Record {
-    pub(super) crashed_runs: BTreeMap<WorkerTag, Known>,
-    /// Until when one request is tried out, here or at a peer.
+    pub(super) crashed_runs: BTreeMap<WorkerTag, KnownCrash>,
+    /// Until when a trial run of the request blocks others, here or at a peer.
     pub(super) trial_until: Moment,
-    /// Whether that is here.
-    pub(super) on_trial_here: bool,
+    /// Whether the trial runs at this daemon.
+    pub(super) is_local_trial: bool,
 }
 
 impl Record {
-    pub(super) fn charges(&self) -> impl Iterator<Item = (&WorkerTag, &CrashedRun)> {
+    pub(super) fn uncleared_runs(&self) -> impl Iterator<Item = (&WorkerTag, &CrashedRun)> {
         let crashed_runs = self
             .crashed_runs
             .iter()
@@ -64,9 +69,9 @@
         crashed_runs.filter(|(_, s)| !s.cleared)
     }
 
-    /// Crashes one after the other, whoever caused them.
-    pub(super) fn weight(&self) -> u32 {
-        in_turn(self.charges().map(|(_, s)| *s)).0
+    /// Number of sequential crashes, whichever request caused them.
+    pub(super) fn crash_count(&self) -> u32 {
+        count_sequential(self.uncleared_runs().map(|(_, s)| *s)).0
     }
 
     pub(super) fn last(&self) -> Moment {
@@ -74,7 +79,7 @@
         crashes.max().unwrap_or_default()
     }
 
-    /// Makes room for one more crash.
+    /// Makes room for one more crash by evicting the oldest.
     pub(super) fn evict_oldest(&mut self) {
         while self.crashed_runs.len() >= MAX_CRASHES {
             let oldest = self
@@ -87,31 +92,35 @@
     }
 }
 
-/// One worker's crash.
+/// The crash of one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Crash {
     pub(super) at: Moment,
-    /// Crashes in turn of the request there that was at the most.
-    pub(super) heaviest: u32,
+    /// Highest number of sequential crashes among the requests that were running there.
+    pub(super) max_crash_count: u32,
 }
 
-/// Whether a crash under a request is one of many at the same moment, that came under
-/// requests which were at no other.
-pub(super) fn is_one_of_many(
+/// Whether a crash under a request is part of a mass kill: workers where the request was
+/// not running crashed at the same moment, under requests without any other crash.
+pub(super) fn is_mass_crash(
     crashes: &BTreeMap<WorkerTag, Crash>,
-    of: &Record,
+    record: &Record,
     crashed_run: &CrashedRun,
 ) -> bool {
-    let (from, until) = (crashed_run.crashed, crashed_run.crashed + SAME_MOMENT);
-    let at_once = |c: &Crash| c.at <= until && from <= c.at + SAME_MOMENT;
+    let (from, until) = (
+        crashed_run.crashed,
+        crashed_run.crashed + SIMULTANEOUS_WINDOW,
+    );
+    let is_simultaneous = |c: &Crash| c.at <= until && from <= c.at + SIMULTANEOUS_WINDOW;
     let others = crashes.iter().filter(|(worker, c)| {
-        !of.crashed_runs.contains_key(worker) && c.heaviest <= 1 && at_once(c)
+        !record.crashed_runs.contains_key(worker) && c.max_crash_count <= 1 && is_simultaneous(c)
     });
-    others.count() >= MASS_CRASH
+    others.count() >= MIN_SIMULTANEOUS_CRASHES
 }
 
-/// The most crashes of these that came one after the other, and the last one's moment.
-pub(super) fn in_turn(crashed_runs: impl Iterator<Item = CrashedRun>) -> (u32, Moment) {
+/// Counts the crashes that happened one after the other; also returns the time of the
+/// last one.
+pub(super) fn count_sequential(crashed_runs: impl Iterator<Item = CrashedRun>) -> (u32, Moment) {
     let mut all: Vec<CrashedRun> = crashed_runs.collect();
     all.sort_by_key(|s| s.crashed);
     let (mut count, mut last) = (0, Moment(0));
--- a/crates/bluebellreel_dispatch/src/ticket.rs
+++ b/crates/bluebellreel_dispatch/src/ticket.rs
@@ -1,24 +1,24 @@
-//! One piece of work at a worker.
+//! A run of this daemon at a worker.
 
 use crate::Boot;
 use bluebellreel_types::WorkerName;
 
-/// What a run is for.
+/// Kind of work that a run executes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Class {
-    /// A caller waits for it.
+    /// A request for which a caller is waiting.
     Online,
     /// An item of a batch job.
     Batch,
 }
 
-/// A run that this daemon has at a worker; see [`crate::Board::start`].
+/// A run of this daemon at a worker; see [`crate::Board::start`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// Where it runs.
+    /// The worker that executes the run.
     pub worker: WorkerName,
-    /// The life of that worker that it was sent to.
+    /// The incarnation of the worker that the run was sent to.
     pub boot: Option<Boot>,
-    /// What it is for.
+    /// Kind of work.
     pub class: Class,
 }
--- a/crates/bluebellreel_dispatch/tests/batch_placement.rs
+++ b/crates/bluebellreel_dispatch/tests/batch_placement.rs
@@ -1,4 +1,4 @@
-//! Where batch items go, and when they make room.
+//! Placement of batch items and the choice of runs that yield.
 
 mod common;
 
@@ -14,10 +14,11 @@
     EntryName::from("entry-1")
 }
 
-/// A wave of people comes while batch fills every slot. Each of them takes a
-/// slot from batch, ours first, and none waits behind an item.
+/// A wave of online requests arrives while batch items fill every slot. Each request
+/// must take a slot from batch, from this daemon's own runs first, and must not wait
+/// behind an item.
 #[test]
-fn people_take_slots_from_batch() {
+fn online_requests_take_slots_from_batch() {
     let mut board = board(3);
     peer(&mut board, "entry-2", 1, 0, &[(0, 0, 4), (1, 0, 4)]);
     start(&mut board, 2, Class::Batch, SLOTS);
@@ -30,15 +31,15 @@
             events: 100 - n,
         })
         .collect();
-    // One item makes room: the one that has generated least.
+    // One item yields: the one that has generated the least.
     assert_eq!(batch_to_yield(&board, &runs), [3]);
 }
 
-/// Two daemons have batch at a worker that one run too many came to. Both know
-/// of it; if each gave up the whole excess, slots would lie idle, and if none
-/// did, the caller would wait behind an item.
+/// Two daemons have batch runs at a worker that receives one run too many, and both know
+/// it. If each gave up the whole excess, slots would stay unused; if neither did, the
+/// caller would wait behind an item.
 #[test]
-fn daemons_share_what_must_yield() {
+fn daemons_share_the_runs_that_must_yield() {
     let mut board = board(1);
     start(&mut board, 0, Class::Batch, 2);
     peer(&mut board, "entry-2", 1, 0, &[(0, 2, 2)]);
@@ -49,7 +50,7 @@
             events: n,
         })
         .collect();
-    // Six runs on four slots: two must go, one of them ours.
+    // Six runs on four slots: two must yield, one of them this daemon's.
     assert_eq!(batch_to_yield(&board, &runs), [0]);
 }
 
@@ -69,13 +70,13 @@
     assert_eq!(online(&board), Placement::NoWorker);
 }
 
-/// Many daemons have items and see the same free slots. If all took them,
-/// workers would be overfull and most items thrown out again. Each worker's
-/// slots belong to one of them.
+/// Many daemons have waiting items and see the same free slots. If all took them,
+/// workers would have too many runs and most items would have to yield again. Each
+/// worker's slots must belong to one daemon.
 #[test]
 fn one_daemon_starts_batch_at_each_worker() {
     let entries = ["entry-1", "entry-2", "entry-3", "entry-4"];
-    let mut takers: BTreeMap<WorkerName, u32> = BTreeMap::new();
+    let mut runs_per_worker: BTreeMap<WorkerName, u32> = BTreeMap::new();
     for entry in entries {
         let mut board = board(24);
         for other in entries.iter().filter(|o| **o != entry) {
@@ -83,17 +84,18 @@
         }
         while let Some(worker) = place_batch(&board, &query(&[]), &EntryName::from(entry)) {
             board.start(&worker, Class::Batch);
-            *takers.entry(worker).or_default() += 1;
+            *runs_per_worker.entry(worker).or_default() += 1;
         }
     }
-    assert_eq!(takers.len(), 24, "no worker is left idle");
-    assert!(takers.values().all(|runs| *runs == SLOTS));
+    assert_eq!(runs_per_worker.len(), 24, "no worker stays idle");
+    assert!(runs_per_worker.values().all(|runs| *runs == SLOTS));
 }
 
-/// Batch that took each slot as it came free made every arrival throw an item
-/// out: ten sends for each item. A tenth of what people use stays free.
+/// When batch took each slot as soon as it became free, every online arrival made an
+/// item yield: ten sends per item. Free slots worth a tenth of the running online
+/// requests must remain.
 #[test]
-fn batch_leaves_some_slots_to_people() {
+fn batch_leaves_some_slots_free_for_online_requests() {
     let mut board = board(5);
     for worker in 0..5 {
         start(&mut board, worker, Class::Online, 3);
@@ -103,15 +105,15 @@
         board.start(&worker, Class::Batch);
         started += 1;
     }
-    // Five slots are free beside fifteen people: two stay.
+    // Five slots are free beside fifteen online requests: two stay free.
     assert_eq!(started, 3);
     assert!(matches!(online(&board), Placement::Send(_)));
 }
 
-/// Items were sent to whichever worker had the most free slots, three of four in
-/// another data centre, and all that they generated came back from there. A
-/// worker's free slots go to a daemon of its own data centre while one has items,
-/// and to the others when none has.
+/// Items were sent to the worker with the most free slots, three of four of them in
+/// another data centre, and all their output came back from there. A worker's free slots
+/// must belong to a daemon of its own data centre while that daemon has waiting items,
+/// and otherwise to the other daemons.
 #[test]
 fn batch_stays_in_its_data_centre_while_it_can() {
     let mut board = board(2);
@@ -122,24 +124,31 @@
         assert_eq!(place(&board), Some(name(0)));
         board.start(&name(0), Class::Batch);
     }
-    assert_eq!(place(&board), None, "the other worker is the peer's");
+    assert_eq!(place(&board), None, "the other worker belongs to the peer");
     peer(&mut board, "entry-2", 2, 0, &[]);
-    assert_eq!(place(&board), Some(name(1)), "it has no items any more");
+    assert_eq!(
+        place(&board),
+        Some(name(1)),
+        "the peer has no items any more"
+    );
 }
 
-/// A worker fails at everything at once, so all its slots are free. An item that
-/// failed there was sent there again, and was given up after three tries though
-/// nothing was wrong with it.
+/// A worker that fails every request at once has all its slots free. A failed item was
+/// sent there again and given up after three attempts, although the item was good.
 #[test]
 fn an_item_that_failed_goes_to_another_worker() {
     let mut board = board(4);
     start(&mut board, 2, Class::Online, SLOTS - 1);
     let avoid = [name(0)];
     let first = place_batch(&board, &query(&[]), &me());
-    assert_eq!(first, Some(name(0)), "the emptiest nearby");
+    assert_eq!(
+        first,
+        Some(name(0)),
+        "the local worker with the most free slots"
+    );
     let next = place_batch(&board, &query(&avoid), &me());
-    assert_eq!(next, Some(name(2)), "another one nearby");
-    // One whose runs give events goes before those that nothing is known of.
+    assert_eq!(next, Some(name(2)), "another local worker");
+    // A worker whose runs produce events precedes those without any known event.
     let known = board.start(&name(3), Class::Online);
     let later = NOW + Duration::from_hours(1);
     board.succeeded(&known, later);
@@ -148,13 +157,13 @@
         ..query(&avoid)
     };
     assert_eq!(place_batch(&board, &now, &me()), Some(name(3)));
-    // Where it has failed at all of them, it is tried once more at one.
+    // An item that has failed at all workers is tried once more at one of them.
     let all: Vec<_> = (0..4).map(name).collect();
     assert_eq!(place_batch(&board, &query(&all), &me()), Some(name(0)));
 }
 
-/// The slots of the workers where an item has not failed belong to peers, as these
-/// have items waiting too. It must not wait for a worker of its own for ever.
+/// All workers where an item has not failed belong to peers, as these have waiting items
+/// too. The item must not wait indefinitely for a worker that belongs to its own daemon.
 #[test]
 fn an_item_that_failed_may_take_a_peers_slot() {
     let mut board = board(8);
@@ -169,21 +178,21 @@
     assert!(place_batch(&board, &query(&mine), &me()).is_some());
 }
 
-/// An item that fails everywhere goes round the workers. Those whose other runs
-/// give events are well; each would be set aside for it.
+/// An item that fails everywhere is tried at one worker after the other. It must not
+/// open the circuit breaker of a worker whose other runs produce events.
 #[test]
-fn a_bad_item_sets_no_worker_aside_that_does_its_work() {
+fn a_bad_item_does_not_eject_a_healthy_worker() {
     let mut board = board(2);
-    let (well, silent) = (board.start(&name(0), Class::Batch), ticket(name(1)));
+    let (healthy, silent) = (board.start(&name(0), Class::Batch), ticket(name(1)));
     let later = NOW + Duration::from_hours(1);
-    board.succeeded(&well, later);
-    board.failed_item(&well, later);
+    board.succeeded(&healthy, later);
+    board.failed_item(&healthy, later);
     board.failed_item(&silent, later);
-    let takes = |n: usize| {
+    let allows = |n: usize| {
         board
             .worker_view(&name(n))
-            .is_some_and(|s| s.doubt.takes(later))
+            .is_some_and(|s| s.breaker.allows(later))
     };
-    assert!(takes(0));
-    assert!(!takes(1));
+    assert!(allows(0));
+    assert!(!allows(1));
 }
--- a/crates/bluebellreel_dispatch/tests/catalog.rs
+++ b/crates/bluebellreel_dispatch/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! What is believed of workers, whichever way facts come.
+//! State of the worker catalog for facts that arrive in any order from any source.
 
 use bluebellreel_dispatch::{Catalog, WorkerRecord, WorkerState};
 use bluebellreel_types::{DataCentre, Moment, WorkerName};
@@ -18,7 +18,7 @@
     }
 }
 
-/// A listed worker that takes requests.
+/// The fact of a listed worker that accepts requests.
 fn ready(revision: i64, id: &str) -> (i64, WorkerName, Option<WorkerRecord>) {
     let record = worker(id, WorkerState::Ready);
     (revision, record.id.clone(), Some(record))
@@ -28,8 +28,8 @@
     catalog.workers().map(|w| w.id.to_string()).collect()
 }
 
-/// A worker is drained. A peer whose facts are older says that it is ready; if
-/// believed, the worker would get requests that its end cuts.
+/// A worker drains while a peer with an older fact reports it as ready. If the older
+/// fact were accepted, the worker would get requests that its exit interrupts.
 #[test]
 fn an_older_fact_never_replaces_a_newer_one() {
     let mut catalog = Catalog::default();
@@ -50,13 +50,14 @@
     catalog.put(4, worker("b", WorkerState::Ready));
     assert!(catalog.replace(10, vec![ready(4, "b")], None));
     assert_eq!(listed(&catalog), ["b"]);
-    // A list from before changes nothing.
+    // An older list changes nothing.
     assert!(!catalog.replace(8, vec![], None));
     assert_eq!(listed(&catalog), ["b"]);
 }
 
-/// Entries of live workers lapse in an outage. Taken as gone at its end, no
-/// worker would be left for the two seconds in which they register again.
+/// Entries of live workers expire during an outage of the store. If they were removed
+/// when it ends, no worker would be left for the two seconds in which they register
+/// again.
 #[test]
 fn workers_missing_after_an_outage_are_kept_for_a_while() {
     let start = Moment(1_000_000);
@@ -72,9 +73,9 @@
     assert_eq!(listed(&catalog), ["b"]);
 }
 
-/// The daemon that watches drops a worker at the end of its time. The others
-/// take facts over by revision and would keep the worker for ever if its
-/// removal had the revision of its registration.
+/// The daemon that watches the store removes a worker at the end of its grace period.
+/// Peers merge facts by revision and would keep the worker indefinitely if its removal
+/// had the revision of its registration.
 #[test]
 fn the_removal_after_an_outage_reaches_peers() {
     let until = Moment(1_000_000);
@@ -98,8 +99,8 @@
     assert!(listed(&other).is_empty());
 }
 
-/// Has a daemon ask a peer for what has changed.
-fn ask(asker: &mut Catalog, peer: &Catalog) {
+/// Makes a daemon fetch a peer's changes.
+fn fetch_changes(asker: &mut Catalog, peer: &Catalog) {
     let seen = asker.revision();
     let whole = !peer.has_all_changes_after(seen);
     let facts = peer.facts_after(if whole { 0 } else { seen });
@@ -107,8 +108,8 @@
     asker.learn(peer.revision(), facts.collect(), whole);
 }
 
-/// A worker dies in an outage. Peers that ask for other news before its time to return
-/// is over are told of its removal when they ask again.
+/// A worker dies during an outage. Peers that fetch other changes before its grace
+/// period ends must learn of the removal with their next fetch.
 #[test]
 fn the_removal_after_an_outage_reaches_peers_that_asked_meanwhile() {
     let until = Moment(1_000_000);
@@ -120,17 +121,22 @@
         watcher.replace(20, vec![], Some(until));
         watcher.put(25, worker("b", WorkerState::Ready));
         watcher.advance_to(25);
-        ask(&mut other, &watcher);
-        assert_eq!(listed(&other), ["a", "b"], "it is kept for a while");
+        fetch_changes(&mut other, &watcher);
+        assert_eq!(
+            listed(&other),
+            ["a", "b"],
+            "the worker is kept during its grace period"
+        );
         watcher.advance_to(25 + written_meanwhile);
         watcher.expire(until);
-        ask(&mut other, &watcher);
+        fetch_changes(&mut other, &watcher);
         assert_eq!(listed(&other), ["b"], "{written_meanwhile} writes");
         assert_eq!(other.digest(), watcher.digest());
     }
 }
 
-/// A worker returned and left between two lists of a peer, whose tombstone of it is older.
+/// A worker returned and left between two lists of a peer, so that the peer's tombstone
+/// is older than the entry known here.
 #[test]
 fn a_tombstone_in_a_whole_list_lists_no_worker() {
     let mut peer = Catalog::default();
@@ -139,14 +145,14 @@
     let mut kept = Catalog::default();
     kept.replace(5, vec![ready(1, "a"), ready(5, "b")], None);
     peer.replace(6, vec![ready(1, "a")], None);
-    ask(&mut kept, &peer);
+    fetch_changes(&mut kept, &peer);
     assert_eq!(listed(&kept), ["a"]);
     assert_eq!(kept.digest(), peer.digest());
 }
 
 proptest! {
-    /// Facts may come twice and in any order, by a watch or from peers: what
-    /// is believed in the end does not depend on it.
+    /// Facts may arrive twice and in any order, by a watch or from peers: the final
+    /// state does not depend on it.
     #[test]
     fn the_order_of_facts_does_not_matter(
         facts in prop::collection::vec((0usize..3, any::<Option<bool>>()), 1..12),
@@ -162,9 +168,9 @@
                 None => catalog.remove(revision, &WorkerName::from(ids[id])),
             }
         };
-        let mut straight = Catalog::default();
+        let mut in_order = Catalog::default();
         for at in 0..facts.len() {
-            take(&mut straight, at);
+            take(&mut in_order, at);
         }
         let mut shuffled = Catalog::default();
         for index in order {
@@ -174,14 +180,14 @@
             take(&mut shuffled, at);
         }
         let all = |c: &Catalog| c.workers().cloned().collect::<Vec<_>>();
-        prop_assert_eq!(all(&straight), all(&shuffled));
+        prop_assert_eq!(all(&in_order), all(&shuffled));
     }
 }
 
-/// A removal that is older than what is known takes no worker away, and what stands at a
-/// removal's revision brings none back.
+/// A removal that is older than the known fact does not remove a worker, and a record at
+/// the revision of a removal does not restore one.
 #[test]
-fn an_older_removal_takes_no_worker_away() {
+fn an_older_removal_does_not_remove_a_worker() {
     let a = WorkerName::from("a");
     let mut catalog = Catalog::default();
     catalog.put(9, worker("a", WorkerState::Ready));
@@ -192,9 +198,9 @@
     assert!(listed(&catalog).is_empty());
 }
 
-/// A list or a lapse that is older than a worker's entry does not end it.
+/// A list or an expiry that is older than a worker's entry does not remove the worker.
 #[test]
-fn an_older_lapse_ends_no_newer_worker() {
+fn an_older_lapse_does_not_remove_a_newer_worker() {
     let until = Moment(1_000_000);
     for keep_until in [None, Some(until)] {
         let mut catalog = Catalog::default();
@@ -206,7 +212,7 @@
     }
 }
 
-/// A worker whose entry is found again after an outage is kept, and counts as changed.
+/// A worker whose entry is found again after an outage is kept and counts as changed.
 #[test]
 fn a_worker_that_was_missing_and_is_back_is_kept() {
     let until = Moment(1_000_000);
@@ -220,9 +226,10 @@
     }
 }
 
-/// A worker that is missed twice has the time of the first one; one that left has none.
+/// A worker that is marked missing twice keeps the first deadline; a removed worker gets
+/// none.
 #[test]
-fn a_second_lapse_gives_no_more_time() {
+fn a_second_lapse_does_not_extend_the_grace_period() {
     let until = Moment(1_000_000);
     let a = WorkerName::from("a");
     let mut catalog = Catalog::default();
@@ -236,34 +243,35 @@
     assert_eq!(catalog.newest(), 20);
 }
 
-/// Who has learned all workers from a peer does not know who left before.
+/// A daemon that learned all workers from a peer does not know which ones were removed
+/// before.
 #[test]
-fn a_first_lesson_tells_nothing_of_earlier_removals() {
+fn facts_learned_first_do_not_cover_earlier_removals() {
     let mut catalog = Catalog::default();
     catalog.learn(10, vec![ready(4, "a")], false);
     assert!(!catalog.has_all_changes_after(9));
     assert!(catalog.has_all_changes_after(10));
 }
 
-/// Who has forgotten removals does not claim to know all that has changed since.
+/// A daemon that has evicted tombstones must not claim to know all changes since then.
 #[test]
-fn a_forgotten_removal_is_not_passed_over() {
+fn an_evicted_tombstone_forces_a_full_list() {
     let mut catalog = Catalog::default();
     for revision in 1..4200 {
         catalog.remove(revision, &WorkerName::from(format!("w-{revision}")));
     }
     let known = catalog.facts_after(0).map(|(revision, ..)| revision).min();
-    let first = known.expect("most of them");
-    assert!(first > 2, "some are forgotten");
+    let first = known.expect("most tombstones are kept");
+    assert!(first > 2, "some tombstones are evicted");
     assert!(!catalog.has_all_changes_after(first - 2));
     assert!(catalog.has_all_changes_after(first - 1));
 }
 
-/// A worker leaves, and a daemon starts after that: its list does not show who has
-/// left. A peer that was a moment behind took over what it knows, believed that this
-/// was all, and sent work to the worker that had left for as long as it ran.
+/// A daemon starts after a worker has left, so its list does not show that removal. A
+/// peer that was slightly behind merged the daemon's facts, took them for the complete
+/// changes, and sent work to the removed worker for as long as it ran.
 #[test]
-fn who_has_left_before_a_list_is_not_told_by_its_reader() {
+fn a_list_does_not_show_earlier_removals() {
     let mut behind = Catalog::default();
     behind.replace(5, vec![ready(3, "a"), ready(4, "b")], None);
     let mut new = Catalog::default();
@@ -271,9 +279,12 @@
     assert!(!new.has_all_changes_after(behind.revision()));
     assert!(
         new.has_all_changes_after(9),
-        "from its list on it knows who leaves"
+        "all removals after its list are known"
+    );
+    assert!(
+        new.has_all_changes_after(0),
+        "an empty catalog has nothing to remove"
     );
-    assert!(new.has_all_changes_after(0), "one who knows nothing");
     let all: Vec<_> = new
         .facts_after(0)
         .map(|(revision, id, record)| (revision, id.clone(), record.cloned()))
@@ -283,14 +294,14 @@
 }
 
 proptest! {
-    /// Daemons list, watch and learn from each other in any order: whoever knows all
-    /// up to a revision lists just the workers that the store had there.
+    /// Daemons list, watch and synchronise with each other in any order: a catalog that
+    /// is complete up to a revision lists exactly the workers that the store had there.
     #[test]
-    fn knowledge_that_counts_as_complete_is_complete(
+    fn a_catalog_that_claims_a_revision_is_complete_up_to_it(
         steps in prop::collection::vec((0u8..4, 0usize..3, 0usize..3), 1..60),
     ) {
         let ids = ["a", "b", "c"];
-        // What the store held after each revision.
+        // The store's content after each revision.
         let mut history: Vec<Vec<String>> = vec![Vec::new()];
         let mut changes: Vec<(i64, usize, bool)> = Vec::new();
         let mut daemons = [Catalog::default(), Catalog::default(), Catalog::default()];
@@ -300,14 +311,14 @@
                 0 => {
                     let mut now = history.last().cloned().unwrap_or_default();
                     let id = ids[which].to_owned();
-                    let is_there = now.contains(&id);
-                    if is_there { now.retain(|w| *w != id) } else { now.push(id) }
+                    let is_listed = now.contains(&id);
+                    if is_listed { now.retain(|w| *w != id) } else { now.push(id) }
                     now.sort();
                     history.push(now);
-                    changes.push((revision + 1, which, !is_there));
+                    changes.push((revision + 1, which, !is_listed));
                 }
                 1 => {
-                    // It starts, and reads the list.
+                    // The daemon starts and reads the list.
                     let now = history.last().cloned().unwrap_or_default();
                     let since = |id: &str| changes.iter().rev().find(|c| ids[c.1] == id).map_or(0, |c| c.0);
                     let list = now.iter().map(|id| ready(since(id), id)).collect();
@@ -315,10 +326,10 @@
                     daemons[who].replace(revision, list, None);
                 }
                 2 if daemons[who].revision() > 0 => {
-                    // Its watch brings what has changed.
+                    // The daemon's watch delivers the changes.
                     let seen = daemons[who].revision();
-                    for (at, which, is_there) in changes.iter().filter(|c| c.0 > seen) {
-                        let record = is_there.then(|| worker(ids[*which], WorkerState::Ready));
+                    for (at, which, is_listed) in changes.iter().filter(|c| c.0 > seen) {
+                        let record = is_listed.then(|| worker(ids[*which], WorkerState::Ready));
                         daemons[who].take(*at, &WorkerName::from(ids[*which]), record);
                     }
                     daemons[who].advance_to(revision);
--- a/crates/bluebellreel_dispatch/tests/common/mod.rs
+++ b/crates/bluebellreel_dispatch/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A board with workers and peers, for the tests of placement.
+//! A board with workers and peers for the placement tests.
 
 use bluebellreel_dispatch::{
     Board, Catalog, Class, PeerLoad, PeerRuns, Placement, PlacementLimits, Query, Running, Ticket,
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 pub const SLOTS: u32 = 4;
-/// Two runs of 600 ms on four slots may be waited for.
+/// Enough to wait for two runs of 600 ms on four slots.
 pub const MAX_WAIT: Duration = Duration::from_millis(300);
 pub const NOW: Moment = Moment(1_000_000);
 
@@ -18,7 +18,7 @@
     WorkerName::from(format!("w-{n}"))
 }
 
-/// A board with workers; the odd ones stand in another data centre.
+/// A board with workers; the odd ones are in another data centre.
 pub fn board(workers: usize) -> Board {
     let mut board = Board::new(DataCentre::from("here"), PlacementLimits::default());
     board.apply_catalog(&catalog(workers, WorkerState::Ready));
@@ -90,7 +90,7 @@
     board.hear(&EntryName::from(entry), load);
 }
 
-/// An online run at a worker that does not tell of its life.
+/// An online run at a worker that does not report its incarnation.
 pub fn ticket(worker: WorkerName) -> Ticket {
     Ticket {
         worker,
--- a/crates/bluebellreel_dispatch/tests/overload.rs
+++ b/crates/bluebellreel_dispatch/tests/overload.rs
@@ -1,4 +1,4 @@
-//! When refused callers return.
+//! Retry delays of refused callers.
 
 use bluebellreel_dispatch::{Overloads, retry_delay};
 use bluebellreel_types::Moment;
@@ -8,27 +8,28 @@
 
 const NOW: Moment = Moment(1_000_000);
 
-/// A burst of five seconds. Callers that were told to return after 0.7 s on
-/// average returned into it and were refused for good, as most return once. The
-/// longer it has lasted, the later they are told to return.
+/// During a burst of five seconds, callers that were asked to retry after 0.7 s on
+/// average retried into the burst and were refused for good, as most retry only once.
+/// The delay must grow with the duration of the overload.
 #[test]
-fn callers_return_later_the_longer_an_overload_lasts() {
+fn retry_delays_grow_with_the_duration_of_an_overload() {
     let service = Arc::from("lm");
     let mut overloads = Overloads::default();
     let mut now = NOW;
-    let mut told = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..20 {
         let lasted = overloads.refused(&service, now);
-        told.push(retry_delay(lasted, Duration::from_secs(20), 0.5));
+        delays.push(retry_delay(lasted, Duration::from_secs(20), 0.5));
         now = now + Duration::from_millis(250);
     }
-    assert!(told.is_sorted(), "{told:?}");
-    assert!(told[19] > told[0] * 3, "{told:?}");
+    assert!(delays.is_sorted(), "{delays:?}");
+    assert!(delays[19] > delays[0] * 3, "{delays:?}");
 }
 
-/// A wave is over; the first refusal of the next one says nothing of its length.
+/// After an overload has ended, the first refusal of the next one must not reuse its
+/// duration.
 #[test]
-fn the_next_overload_begins_anew() {
+fn the_next_overload_starts_at_zero() {
     let service = Arc::from("lm");
     let mut overloads = Overloads::default();
     for ms in [0, 400, 800] {
@@ -41,10 +42,10 @@
 }
 
 proptest! {
-    /// Callers do not heed more than a third of the time they have left, and
-    /// must not return all at once.
+    /// Callers do not comply with a delay of more than a third of their remaining time,
+    /// and must not all retry at once.
     #[test]
-    fn returns_are_heeded_and_spread(lasted in 0u64..60_000, left in 1u64..60_000, draw in 0.0..1.0f64) {
+    fn retry_delays_are_bounded_and_spread(lasted in 0u64..60_000, left in 1u64..60_000, draw in 0.0..1.0f64) {
         let (lasted, left) = (Duration::from_millis(lasted), Duration::from_millis(left));
         let after = retry_delay(lasted, left, draw);
         prop_assert!(after <= left / 3);
--- a/crates/bluebellreel_dispatch/tests/placement.rs
+++ b/crates/bluebellreel_dispatch/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where work goes under load.
+//! Placement of online requests under load.
 
 mod common;
 
@@ -19,10 +19,10 @@
     assert_eq!(online(&board), Placement::Send(name(1)));
 }
 
-/// Five daemons see only their own requests and all choose the same worker; it
-/// queues while its neighbours idle. What peers run counts like our own.
+/// When five daemons counted only their own requests, all chose the same worker, which
+/// queued requests while others were idle. Runs of peers must count like local ones.
 #[test]
-fn what_peers_run_counts() {
+fn runs_of_peers_count() {
     let mut board = board(1);
     board.apply_catalog(&catalog(3, WorkerState::Ready));
     peer(&mut board, "entry-2", 1, 0, &[(0, 3, 0), (2, 1, 0)]);
@@ -31,14 +31,14 @@
     peer(&mut board, "entry-2", 3, 0, &[(0, 0, 0), (2, 4, 0)]);
     peer(&mut board, "entry-2", 2, 0, &[(0, 4, 0), (2, 0, 0)]);
     assert_eq!(online(&board), Placement::Send(name(0)));
-    // A peer that is not heard any more runs nothing that counts.
+    // The runs of a peer whose report has expired do not count.
     board.evict_expired_peers(NOW + Duration::from_secs(3));
     assert!(board.worker_views().all(|s| s.peers.total() == 0));
 }
 
 proptest! {
-    /// Reports are added up one by one; whatever comes in whatever order, the
-    /// sums are those of the newest words.
+    /// The sums are updated with each report; for any order of reports they must equal
+    /// the sums over each peer's latest report.
     #[test]
     fn sums_are_those_of_the_newest_reports(
         reports in prop::collection::vec((0usize..3, 1u64..9, 0usize..3, 0u32..4, 0u32..4), 1..30),
@@ -55,16 +55,16 @@
         for worker in 0..3 {
             let of_worker = newest.values().filter(|n| n.1 == worker);
             let (online, batch) = of_worker.fold((0, 0), |a, n| (a.0 + n.2, a.1 + n.3));
-            let worker_view = board.worker_view(&name(worker)).expect("it is listed");
+            let worker_view = board.worker_view(&name(worker)).expect("the worker is listed");
             prop_assert_eq!((worker_view.peers.online, worker_view.peers.batch), (online, batch));
         }
     }
 }
 
-/// A wave beyond all slots. Two may wait at each worker, as they still meet
-/// their objective; the next one is refused at once.
+/// Load exceeds all slots. Two requests may queue at each worker, as they still meet
+/// their objective; the next one must be refused at once.
 #[test]
-fn beyond_a_short_queue_people_are_refused() {
+fn requests_beyond_a_short_queue_are_refused() {
     let mut board = board(2);
     for worker in 0..2 {
         start(&mut board, worker, Class::Online, SLOTS + 2);
@@ -74,11 +74,12 @@
     assert_eq!(online(&board), Placement::Send(name(1)));
 }
 
-/// A fifth of the workers turn four times as slow while their health checks are
-/// good. Those in line there would wait four times as long and be late; they
-/// are used for what they have free, after the others, and nobody queues.
+/// A fifth of the workers become four times as slow while their health checks succeed.
+/// Queued requests would wait four times as long there and be late. Only the free slots
+/// of such workers may be used, after those of the others, and no request may queue
+/// there.
 #[test]
-fn nobody_stands_in_line_at_a_slow_worker() {
+fn no_request_queues_at_a_slow_worker() {
     let mut board = board(1);
     board.apply_catalog(&catalog(3, WorkerState::Ready));
     for _ in 0..40 {
@@ -99,11 +100,11 @@
     assert_eq!(
         online(&board),
         Placement::Send(name(0)),
-        "it has free slots"
+        "the slow worker has free slots"
     );
     start(&mut board, 0, Class::Online, SLOTS);
     assert_eq!(online(&board), Placement::Full);
-    // What is not confirmed for a while is no longer believed.
+    // A speed without new samples expires.
     let later = Query {
         now: NOW + Duration::from_secs(6),
         ..query(&[])
@@ -111,10 +112,10 @@
     assert_eq!(place_online(&board, &later), Placement::Send(name(0)));
 }
 
-/// A worker breaks off what it gets. It is set aside, tried again with one
-/// request after a while, and used fully once that one has succeeded.
+/// A worker interrupts the requests that it gets. Its circuit breaker must open, let one
+/// probe through after the backoff, and close once the probe has succeeded.
 #[test]
-fn a_failing_worker_is_set_aside_and_let_back() {
+fn a_failing_worker_is_ejected_and_readmitted() {
     let mut board = board(1);
     board.apply_catalog(&catalog(3, WorkerState::Ready));
     board.failed(&ticket(name(0)), NOW);
@@ -131,24 +132,24 @@
     };
     assert_eq!(choose(&board, 0), Placement::Send(name(1)));
     let Placement::Send(first) = choose(&board, 600) else {
-        panic!("nobody");
+        panic!("no worker was chosen");
     };
-    assert_ne!(first, name(1), "the near ones are back");
+    assert_ne!(first, name(1), "a local worker accepts the probe");
     board.start(&first, Class::Online);
-    // One request is on trial there; the next goes elsewhere.
+    // The first request is the probe; the next one goes to another worker.
     assert_ne!(choose(&board, 600), Placement::Send(first.clone()));
     board.succeeded(&ticket(first.clone()), NOW);
     assert!(
         board
             .worker_view(&first)
-            .is_some_and(|s| s.doubt.takes(NOW))
+            .is_some_and(|s| s.breaker.allows(NOW))
     );
 }
 
-/// Every worker is doubted, as after a restart of the fleet. Refusing people
-/// then would help nobody.
+/// All circuit breakers are open, as after a restart of the fleet. Refusing requests
+/// would not help then.
 #[test]
-fn where_all_are_doubted_one_is_used() {
+fn open_circuit_breakers_everywhere_do_not_refuse_requests() {
     let mut board = board(2);
     for worker in 0..2 {
         board.failed(&ticket(name(worker)), NOW);
@@ -156,27 +157,27 @@
     assert!(matches!(online(&board), Placement::Send(_)));
 }
 
-/// A worker is silent on one request. While its other streams go on it is only
-/// busy, and leaving it would throw away the request's place in line; unless
+/// A worker does not answer one request. While its other streams go on, the worker is
+/// only busy, and leaving it would give up the request's place in the queue, unless
 /// another worker has a free slot.
 #[test]
 fn a_busy_worker_is_not_left_for_a_full_one() {
     let mut board = board(2);
     start(&mut board, 0, Class::Online, SLOTS + 1);
     start(&mut board, 1, Class::Online, SLOTS);
-    let silent = |board: &Board| {
+    let reroutes = |board: &Board| {
         let tried = [name(0)];
         should_reroute(board, &query(&tried), &name(0))
     };
     board.succeeded(&ticket(name(0)), NOW);
-    assert!(!silent(&board));
+    assert!(!reroutes(&board));
     board.end(&ticket(name(1)));
-    assert!(silent(&board), "another one has a free slot");
+    assert!(reroutes(&board), "another worker has a free slot");
     start(&mut board, 1, Class::Online, 1);
     board.succeeded(&ticket(name(0)), Moment(0));
-    assert!(silent(&board), "nothing at all is heard from it");
+    assert!(reroutes(&board), "the worker has no recent event at all");
     start(&mut board, 1, Class::Online, 2);
-    assert!(!silent(&board), "nobody else takes it");
+    assert!(!reroutes(&board), "no other worker accepts it");
 }
 
 #[test]
@@ -190,11 +191,11 @@
     assert_eq!(placed, Placement::NoWorker);
 }
 
-/// Many daemons see the same loads, a moment old. If each sent to the worker
-/// that looks emptiest, all would send there; drawn by two, their requests
-/// spread over what is free.
+/// Many daemons see the same, slightly outdated loads. If each chose the worker with the
+/// lowest load, all requests would go to one worker; choosing the better of two random
+/// workers spreads them over the free slots.
 #[test]
-fn daemons_that_see_the_same_do_not_choose_the_same() {
+fn daemons_with_the_same_view_spread_their_requests() {
     let mut board = board(24);
     for worker in 0..24 {
         let taken = if worker == 6 { 0 } else { 2 };
@@ -207,7 +208,7 @@
             ..query(&[])
         };
         let Placement::Send(worker) = place_online(&board, &query) else {
-            panic!("there is room");
+            panic!("some worker has free slots");
         };
         *chosen.entry(worker).or_default() += 1;
     }
@@ -221,11 +222,11 @@
     );
 }
 
-/// A worker leaves, and the one who looks for the cause of a failed request
-/// must find when each daemon knew, whichever way it heard: a list or a
-/// peer named no worker, and only a watch left a line.
+/// To explain a failed request an operator must find when each daemon learned that a
+/// worker left. Earlier, changes that came with a list or from a peer named no worker,
+/// and only changes from a watch were logged.
 #[test]
-fn changes_of_workers_are_named_once() {
+fn each_worker_change_is_reported_once() {
     let mut board = board(2);
     let id = |n: usize| {
         catalog(n, WorkerState::Ready)
@@ -246,7 +247,8 @@
             .all(|(_, s)| *s == WorkerChange::Listed(WorkerState::Draining))
     );
 
-    // It is gone while a run of ours is still there, and is told once.
+    // The worker is removed while a run of this daemon is still there; the removal is
+    // reported once.
     let last = id(2).expect("two workers");
     let ticket = board.start(&last, Class::Online);
     let gone = board.apply_catalog(&catalog(1, WorkerState::Draining));
@@ -265,5 +267,5 @@
     );
     assert!(board.worker_view(&last).is_none());
     let back = board.apply_catalog(&catalog(2, WorkerState::Ready));
-    assert_eq!(back.len(), 2, "one is ready again, one is back");
+    assert_eq!(back.len(), 2, "one is ready again, one is listed again");
 }
--- a/crates/bluebellreel_dispatch/tests/restarts.rs
+++ b/crates/bluebellreel_dispatch/tests/restarts.rs
@@ -1,5 +1,4 @@
-//! Workers that start again under the id that they had, and entries that name
-//! no worker.
+//! Workers that restart under the same id, and entries that are not worker records.
 
 use bluebellreel_dispatch::{
     Board, Boot, Catalog, Class, PeerLoad, PeerRuns, Placement, PlacementLimits, Query, Running,
@@ -30,7 +29,7 @@
     }
 }
 
-/// A board with one worker in a life.
+/// A board with one worker in the given incarnation.
 fn board(catalog: &mut Catalog, boot: u64) -> Board {
     let mut board = Board::new(DataCentre::from("hall"), PlacementLimits::default());
     catalog.put(1, worker(Some(boot)));
@@ -38,7 +37,7 @@
     board
 }
 
-fn reborn(board: &mut Board, catalog: &mut Catalog, revision: i64, boot: u64) {
+fn restart(board: &mut Board, catalog: &mut Catalog, revision: i64, boot: u64) {
     catalog.put(revision, worker(Some(boot)));
     let changes = board.apply_catalog(catalog);
     let again = WorkerChange::Restarted(WorkerState::Ready);
@@ -69,19 +68,20 @@
     place_online(board, &query)
 }
 
-/// A worker crashes with all slots taken and is back under its id half a second
-/// later. Callers were refused for seconds, as the runs of its former life were
-/// still counted, by us and by peers that had not heard of it yet.
+/// A worker crashes with all slots taken and is back under its id half a second later.
+/// Callers were refused for seconds because the runs of its previous incarnation were
+/// still counted, both the local ones and those of peers that did not know of the
+/// restart yet.
 #[test]
-fn a_worker_that_starts_again_has_all_slots_free() {
+fn a_restarted_worker_has_all_slots_free() {
     let mut catalog = Catalog::default();
     let mut board = board(&mut catalog, 7);
     let ours = board.start(&id(), Class::Online);
     board.hear(&EntryName::from("entry-2"), load(1, 7, SLOTS));
     assert_eq!(place(&board), Placement::Full);
-    reborn(&mut board, &mut catalog, 2, 8);
+    restart(&mut board, &mut catalog, 2, 8);
     assert_eq!(place(&board), Placement::Send(id()));
-    // A late word of its former life changes nothing.
+    // A late report on the previous incarnation changes nothing.
     board.hear(&EntryName::from("entry-2"), load(2, 7, SLOTS));
     assert_eq!(
         board.worker_view(&id()).map(|s| s.running().total()),
@@ -94,10 +94,11 @@
     assert_eq!(board.worker_view(&id()).map(|s| s.own.online), Some(0));
 }
 
-/// Streams of the former life break off after the new one is known. Held against
-/// the new one, it would be set aside for seconds though it is well.
+/// Streams of the previous incarnation break off after the new one is known. If these
+/// failures counted against the new one, it would get no requests for seconds although
+/// it is healthy.
 #[test]
-fn failures_of_a_former_life_do_not_count() {
+fn failures_of_a_previous_incarnation_do_not_count() {
     let mut catalog = Catalog::default();
     let mut board = board(&mut catalog, 7);
     let runs: Vec<Ticket> = (0..4).map(|_| board.start(&id(), Class::Online)).collect();
@@ -105,51 +106,81 @@
         board.note_interval(&runs[0], Duration::from_millis(400), NOW);
     }
     board.failed(&runs[0], NOW);
-    assert!(!board.worker_view(&id()).expect("listed").doubt.takes(NOW));
+    assert!(
+        !board
+            .worker_view(&id())
+            .expect("listed")
+            .breaker
+            .allows(NOW)
+    );
     assert!(!board.is_from_previous_incarnation(&runs[1]));
-    reborn(&mut board, &mut catalog, 2, 8);
-    assert!(board.worker_view(&id()).expect("listed").doubt.takes(NOW));
+    restart(&mut board, &mut catalog, 2, 8);
+    assert!(
+        board
+            .worker_view(&id())
+            .expect("listed")
+            .breaker
+            .allows(NOW)
+    );
     assert!(board.is_from_previous_incarnation(&runs[1]));
     for run in &runs[1..] {
         board.failed(run, NOW);
         board.note_interval(run, Duration::from_millis(400), NOW);
     }
-    assert!(board.worker_view(&id()).expect("listed").doubt.takes(NOW));
-    assert_eq!(board.speeds.interval(&id(), NOW), None, "nor its pace");
+    assert!(
+        board
+            .worker_view(&id())
+            .expect("listed")
+            .breaker
+            .allows(NOW)
+    );
+    assert_eq!(
+        board.speeds.interval(&id(), NOW),
+        None,
+        "the speed is reset too"
+    );
 }
 
-/// What a run of a former life tells does not clear or blame the present one.
+/// Events and failures of a run at a previous incarnation must not count for or against
+/// the current one.
 #[test]
-fn events_and_items_of_a_former_life_do_not_count() {
+fn events_and_items_of_a_previous_incarnation_do_not_count() {
     let mut catalog = Catalog::default();
     let mut board = board(&mut catalog, 7);
     let former = board.start(&id(), Class::Batch);
-    reborn(&mut board, &mut catalog, 2, 8);
+    restart(&mut board, &mut catalog, 2, 8);
     board.failed_item(&former, NOW);
-    assert!(board.worker_view(&id()).expect("listed").doubt.takes(NOW));
+    assert!(
+        board
+            .worker_view(&id())
+            .expect("listed")
+            .breaker
+            .allows(NOW)
+    );
     let present = board.start(&id(), Class::Online);
     board.failed(&present, NOW);
     board.succeeded(&former, NOW);
     let worker_view = board.worker_view(&id()).expect("listed");
-    assert!(!worker_view.doubt.takes(NOW));
+    assert!(!worker_view.breaker.allows(NOW));
     assert_eq!(worker_view.last_event_at, Moment::default());
 }
 
-/// What a peer had at a former life is not taken off what others have at the present one.
+/// A peer's runs at a previous incarnation must not be subtracted from other peers' runs
+/// at the current one.
 #[test]
-fn a_peer_that_hears_of_a_new_life_takes_no_run_of_others_away() {
+fn a_peer_that_learns_of_a_restart_removes_no_other_peers_runs() {
     let mut catalog = Catalog::default();
     let mut board = board(&mut catalog, 7);
     board.hear(&EntryName::from("entry-2"), load(1, 7, 2));
-    reborn(&mut board, &mut catalog, 2, 8);
+    restart(&mut board, &mut catalog, 2, 8);
     board.hear(&EntryName::from("entry-3"), load(1, 8, 3));
     board.hear(&EntryName::from("entry-2"), load(2, 8, 1));
     assert_eq!(board.worker_view(&id()).map(|s| s.peers.online), Some(4));
 }
 
-/// Peers are told at which life our runs are.
+/// Reports to peers state the incarnation of each worker that has local runs.
 #[test]
-fn our_runs_are_told_with_the_life_that_they_are_at() {
+fn own_runs_are_listed_with_their_incarnation() {
     let mut catalog = Catalog::default();
     let mut board = board(&mut catalog, 7);
     let _ = board.start(&id(), Class::Online);
@@ -161,9 +192,9 @@
     assert_eq!(own, [(&id(), Some(Boot(7)), online)]);
 }
 
-/// A worker that leaves while runs of ours are there gets nothing new, and may come back.
+/// A worker that leaves while local runs are there gets nothing new, and may return.
 #[test]
-fn a_worker_that_leaves_under_runs_takes_nothing_new_until_it_is_back() {
+fn a_worker_that_leaves_during_runs_gets_nothing_new_until_it_returns() {
     let mut catalog = Catalog::default();
     let mut board = board(&mut catalog, 7);
     let run = board.start(&id(), Class::Online);
@@ -180,14 +211,15 @@
     board.end(&run);
     assert!(
         board.apply_catalog(&catalog).is_empty(),
-        "it has not left again"
+        "the worker has not left again"
     );
     assert_eq!(place(&board), Placement::Send(id()));
 }
 
-/// A run at a worker that is not listed is at no former life: nothing has started again.
+/// A run at a worker that is no longer listed does not belong to a previous incarnation:
+/// nothing has restarted.
 #[test]
-fn a_worker_that_is_gone_has_not_started_again() {
+fn a_removed_worker_does_not_count_as_restarted() {
     let mut catalog = Catalog::default();
     let mut board = board(&mut catalog, 7);
     let run = board.start(&id(), Class::Online);
@@ -198,10 +230,10 @@
     assert!(!board.is_from_previous_incarnation(&run));
 }
 
-/// An entry of another writer stands where a worker's was. The worker gets
-/// nothing new, also by an older word of it, and its neighbour is as before.
+/// Another writer overwrites the key of a worker. That worker must get nothing new, also
+/// when an older fact of it arrives, and the other worker must be unaffected.
 #[test]
-fn an_entry_that_names_no_worker_takes_only_its_own_place() {
+fn an_invalid_entry_removes_only_its_own_worker() {
     let mut catalog = Catalog::default();
     let mut other = worker(None);
     other.id = WorkerName::from("w-2");
@@ -211,17 +243,24 @@
     let list = vec![(5, id(), None), (2, other.id.clone(), Some(other.clone()))];
     assert!(catalog.replace(6, list, keep_until));
     let listed: Vec<_> = catalog.workers().map(|w| w.id.clone()).collect();
-    assert_eq!(listed, [other.id], "it is not kept as one that has lapsed");
-    assert!(!catalog.put(1, worker(None)), "an older word");
-    assert!(catalog.take(7, &id(), Some(worker(None))), "it is back");
+    assert_eq!(
+        listed,
+        [other.id],
+        "an overwritten entry gets no grace period"
+    );
+    assert!(!catalog.put(1, worker(None)), "an older fact");
+    assert!(
+        catalog.take(7, &id(), Some(worker(None))),
+        "the worker is listed again"
+    );
 }
 
-/// What may happen to one worker with two daemons before it.
+/// Events of one worker that is used by two daemons.
 #[derive(Clone, Debug)]
 enum Step {
     Start,
     End(prop::sample::Index),
-    Reborn(u64),
+    Restart(u64),
     Peer { boot: u64, online: u32 },
 }
 
@@ -229,43 +268,43 @@
     prop_oneof![
         Just(Step::Start),
         any::<prop::sample::Index>().prop_map(Step::End),
-        (0u64..3).prop_map(Step::Reborn),
+        (0u64..3).prop_map(Step::Restart),
         (0u64..3, 0u32..5).prop_map(|(boot, online)| Step::Peer { boot, online }),
     ]
 }
 
 proptest! {
-    /// In whichever order runs, ends, restarts and reports come: what counts at
-    /// a worker are the runs that were sent to its present life.
+    /// In any order of runs, ends, restarts and reports, only runs that were sent to the
+    /// worker's current incarnation count.
     #[test]
-    fn only_runs_of_the_present_life_count(steps in prop::collection::vec(step(), 1..60)) {
+    fn only_runs_of_the_current_incarnation_count(steps in prop::collection::vec(step(), 1..60)) {
         let mut catalog = Catalog::default();
         let mut board = board(&mut catalog, 0);
         let mut present = 0;
-        let mut lives = 0u32;
+        let mut incarnations = 0u32;
         let mut runs: Vec<(u32, Ticket)> = Vec::new();
         let mut peer = (0, 0);
         for (at, step) in steps.into_iter().enumerate() {
             let at = u64::try_from(at).expect("few") + 2;
             match step {
-                Step::Start => runs.push((lives, board.start(&id(), Class::Online))),
+                Step::Start => runs.push((incarnations, board.start(&id(), Class::Online))),
                 Step::End(index) if !runs.is_empty() => {
                     let (_, ticket) = runs.remove(index.index(runs.len()));
-                    // A life that comes twice cannot be told from its first time.
+                    // An incarnation number that is used twice cannot be told apart.
                     board.end(&ticket);
                 }
-                Step::Reborn(boot) if boot > present => {
+                Step::Restart(boot) if boot > present => {
                     present = boot;
-                    lives += 1;
-                    reborn(&mut board, &mut catalog, i64::try_from(at).expect("few"), boot);
+                    incarnations += 1;
+                    restart(&mut board, &mut catalog, i64::try_from(at).expect("few"), boot);
                 }
-                Step::End(_) | Step::Reborn(_) => {}
+                Step::End(_) | Step::Restart(_) => {}
                 Step::Peer { boot, online } => {
                     peer = (boot, online);
                     board.hear(&EntryName::from("entry-2"), load(at, boot, online));
                 }
             }
-            let own = runs.iter().filter(|(life, _)| *life == lives).count();
+            let own = runs.iter().filter(|(incarnation, _)| *incarnation == incarnations).count();
             let of_peer = if peer.0 == present { peer.1 } else { 0 };
             let worker_view = board.worker_view(&id()).expect("listed");
             prop_assert_eq!(worker_view.own.online, u32::try_from(own).expect("few"));
@@ -274,16 +313,16 @@
     }
 }
 
-/// Peers name workers by tags. One of a former life names nobody: its runs must
-/// not be counted at the present one.
+/// Peers identify workers by tags. The tag of a previous incarnation must match no
+/// worker, as its runs must not be counted for the current one.
 #[test]
-fn a_tag_names_one_life() {
+fn a_tag_names_one_incarnation() {
     let mut catalog = Catalog::default();
     let mut board = board(&mut catalog, 7);
     let former = WorkerTag::of(&id(), Some(Boot(7)));
     assert_eq!(board.worker_by_tag(former), Some((&id(), Some(Boot(7)))));
     assert_eq!(board.worker_by_tag(WorkerTag::of(&id(), None)), None);
-    reborn(&mut board, &mut catalog, 2, 8);
+    restart(&mut board, &mut catalog, 2, 8);
     assert_eq!(board.worker_by_tag(former), None);
     let present = WorkerTag::of(&id(), Some(Boot(8)));
     assert_eq!(board.worker_by_tag(present), Some((&id(), Some(Boot(8)))));
--- a/crates/bluebellreel_dispatch/tests/suspects.rs
+++ b/crates/bluebellreel_dispatch/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Which requests are held back for the workers that crashed under them.
+//! Quarantine of requests during which workers crashed.
 
 use bluebellreel_dispatch::{
     Cleared, CrashNotice, CrashedRun, Fingerprint, QuarantineStatus, Sender, Suspects, WorkerTag,
@@ -18,7 +18,7 @@
     Fingerprint::of(&[&n.to_le_bytes()])
 }
 
-/// A request was sent to a worker, which crashed.
+/// A notice that a request was sent to a worker, which crashed.
 fn crash(request: Fingerprint, worker: u32, began_ms: u64, crashed_ms: u64) -> CrashNotice {
     CrashNotice {
         fingerprint: request,
@@ -31,8 +31,8 @@
     }
 }
 
-/// Three crashes of a request, one after the other, the last one at 1 s.
-fn convicted(bad: Fingerprint) -> Suspects {
+/// Records with three sequential crashes of a request, the last one at 1 s.
+fn quarantined_after_three_crashes(bad: Fingerprint) -> Suspects {
     let mut suspects = Suspects::default();
     suspects.note_own_crash(crash(bad, 1, 0, 60), at(60));
     suspects.note_own_crash(crash(bad, 2, 65, 130), at(130));
@@ -44,17 +44,17 @@
     suspects.quarantine_status(request, Sender::Caller, at(ms))
 }
 
-fn is_held(suspects: &Suspects, request: Fingerprint, ms: u64) -> bool {
+fn is_quarantined(suspects: &Suspects, request: Fingerprint, ms: u64) -> bool {
     matches!(
         quarantine_status(suspects, request, ms),
         QuarantineStatus::Quarantined(_)
     )
 }
 
-/// One request ends each worker that runs it: with the third it is held back, and no
-/// other request is.
+/// A request crashes each worker that runs it. The third crash must quarantine it, and
+/// no other request.
 #[test]
-fn three_crashes_in_turn_hold_a_request_back() {
+fn three_sequential_crashes_quarantine_a_request() {
     let bad = request(1);
     let mut suspects = Suspects::default();
     assert_eq!(
@@ -71,16 +71,16 @@
         suspects.note_own_crash(crash(bad, 3, 900, 1000), at(1000)),
         3
     );
-    assert!(is_held(&suspects, bad, 1001));
+    assert!(is_quarantined(&suspects, bad, 1001));
     assert_eq!(
         quarantine_status(&suspects, request(2), 1001),
         QuarantineStatus::Clear
     );
 }
 
-/// The same crash, seen by two daemons and reported twice, is one.
+/// The same crash, observed by two daemons and reported twice, counts once.
 #[test]
-fn a_crash_that_many_tell_of_counts_once() {
+fn a_crash_reported_by_several_daemons_counts_once() {
     let bad = request(1);
     let mut suspects = Suspects::default();
     suspects.note_own_crash(crash(bad, 1, 0, 60), at(60));
@@ -93,8 +93,8 @@
     );
 }
 
-/// Five workers are killed at one moment, and the same popular request ran at each: none
-/// of its runs began after another's end.
+/// Five workers are killed at one moment, and the same popular request ran on each. No
+/// run began after another one's end, so the crashes count once.
 #[test]
 fn a_mass_kill_counts_once_for_a_request_that_ran_everywhere() {
     let popular = request(1);
@@ -108,10 +108,11 @@
     );
 }
 
-/// Half of the workers are killed, three times within seconds. A long item went on at
-/// another worker each time, and was there again; the others there were at no crash before.
+/// Half of the workers are killed three times within seconds. A long item resumed at
+/// another worker each time and was interrupted again; the requests that ran beside it
+/// had no crash before.
 #[test]
-fn mass_kills_in_turn_hold_no_long_item_back() {
+fn repeated_mass_kills_do_not_quarantine_a_long_item() {
     let item = request(1);
     let mut suspects = Suspects::default();
     for round in 0..3_u32 {
@@ -132,10 +133,10 @@
     );
 }
 
-/// A request that was beside the one that causes the crashes, twice or thrice by bad luck,
-/// is not the one.
+/// A request that by accident ran beside the cause of two or three crashes is not
+/// quarantined.
 #[test]
-fn a_request_beside_the_cause_is_not_held_back() {
+fn a_request_running_beside_the_cause_is_not_quarantined() {
     let (bad, beside) = (request(1), request(2));
     let mut suspects = Suspects::default();
     for worker in 1..=4 {
@@ -145,33 +146,38 @@
             suspects.note_own_crash(crash(beside, worker, ms - 90, ms), at(ms));
         }
     }
-    assert!(is_held(&suspects, bad, 1000));
-    assert!(!is_held(&suspects, beside, 1000));
+    assert!(is_quarantined(&suspects, bad, 1000));
+    assert!(!is_quarantined(&suspects, beside, 1000));
 }
 
-/// The daemons that ran the innocent ones may tell before the one that ran the cause.
+/// Notices on requests that ran beside the cause may arrive before those on the cause
+/// itself.
 #[test]
-fn what_is_heard_late_corrects_what_was_concluded() {
+fn late_notices_correct_an_earlier_quarantine() {
     let (bad, beside) = (request(1), request(2));
     let mut suspects = Suspects::default();
     for worker in 1..=3 {
         let ms = u64::from(worker) * 200;
         suspects.note_crash(crash(beside, worker, ms - 90, ms), at(1000));
     }
-    assert!(is_held(&suspects, beside, 1000));
+    assert!(is_quarantined(&suspects, beside, 1000));
     for worker in 1..=4 {
         let ms = u64::from(worker) * 200;
         suspects.note_crash(crash(bad, worker, ms - 60, ms), at(1001));
     }
-    assert!(!is_held(&suspects, beside, 1002));
-    assert!(is_held(&suspects, bad, 1002));
+    assert!(!is_quarantined(&suspects, beside, 1002));
+    assert!(is_quarantined(&suspects, bad, 1002));
 }
 
-/// Workers can run it by now: the trial ends well, and all hear of it.
+/// Workers have become able to run the request: the trial run completes, and all daemons
+/// learn of it.
 #[test]
-fn a_run_that_ends_well_clears_a_request_everywhere() {
+fn a_completed_run_clears_a_request_at_all_daemons() {
     let bad = request(1);
-    let (mut here, mut there) = (convicted(bad), convicted(bad));
+    let (mut here, mut there) = (
+        quarantined_after_three_crashes(bad),
+        quarantined_after_three_crashes(bad),
+    );
     assert_eq!(here.completed(bad, at(70_000)), Cleared::Quarantine);
     assert_eq!(here.completed(bad, at(70_000)), Cleared::Nothing);
     assert_eq!(
@@ -185,8 +191,8 @@
         quarantine_status(&there, bad, 70_002),
         QuarantineStatus::Clear
     );
-    // What another one still tells of the same crashes does not bring them back.
-    for notice in convicted(bad).notices(true, at(1001)) {
+    // Late notices of the same crashes from a peer do not restore them.
+    for notice in quarantined_after_three_crashes(bad).notices(true, at(1001)) {
         here.note_crash(notice, at(70_003));
     }
     assert_eq!(
@@ -195,35 +201,36 @@
     );
 }
 
-/// Whether a request may be tried out.
-fn on_trial(suspects: &Suspects, request: Fingerprint, sender: Sender, ms: u64) -> bool {
+/// Whether a request may run on trial.
+fn is_trial_due(suspects: &Suspects, request: Fingerprint, sender: Sender, ms: u64) -> bool {
     let quarantine_status = suspects.quarantine_status(request, sender, at(ms));
     matches!(quarantine_status, QuarantineStatus::TrialOnly(_))
 }
 
-/// It is tried out by one run at a time, two seconds after the third crash; with a fourth
-/// it is held back for a minute, then twice as long after each, ten minutes at the most.
+/// One trial run at a time is allowed from two seconds after the third crash. The fourth
+/// crash quarantines the request for a minute; each further one doubles that, up to ten
+/// minutes.
 #[test]
-fn a_request_that_is_held_back_is_tried_out_in_turn() {
+fn a_quarantined_request_gets_one_trial_at_a_time() {
     let bad = request(1);
-    let mut suspects = convicted(bad);
-    assert!(is_held(&suspects, bad, 2999));
-    assert!(on_trial(&suspects, bad, Sender::Caller, 3001));
+    let mut suspects = quarantined_after_three_crashes(bad);
+    assert!(is_quarantined(&suspects, bad, 2999));
+    assert!(is_trial_due(&suspects, bad, Sender::Caller, 3001));
     suspects.begin_trial(bad, at(3001));
     assert!(
-        is_held(&suspects, bad, 3002),
-        "another one beside the trial"
+        is_quarantined(&suspects, bad, 3002),
+        "a second trial at the same time"
     );
     suspects.note_own_crash(crash(bad, 4, 3001, 3100), at(3100));
     suspects.end_trial(bad);
-    assert!(is_held(&suspects, bad, 63_099));
-    assert!(on_trial(&suspects, bad, Sender::Caller, 63_101));
+    assert!(is_quarantined(&suspects, bad, 63_099));
+    assert!(is_trial_due(&suspects, bad, Sender::Caller, 63_101));
     let mut ms = 63_101;
     for worker in 5..9 {
         suspects.note_own_crash(crash(bad, worker, ms, ms + 100), at(ms + 100));
         let QuarantineStatus::Quarantined(until) = quarantine_status(&suspects, bad, ms + 101)
         else {
-            panic!("not held back")
+            panic!("not quarantined")
         };
         assert!(until >= at(ms + 100) + Duration::from_mins(2));
         assert!(until <= at(ms + 100) + Duration::from_mins(10));
@@ -231,34 +238,36 @@
     }
 }
 
-/// A job's owner alone sends its item, which holds the job up: it is tried sooner.
+/// Only the job's owner sends its item, which holds up the job: its quarantine is
+/// shorter.
 #[test]
-fn an_item_is_tried_out_sooner() {
+fn a_batch_item_gets_its_trial_sooner() {
     let bad = request(1);
-    let mut suspects = convicted(bad);
+    let mut suspects = quarantined_after_three_crashes(bad);
     suspects.note_own_crash(crash(bad, 4, 3001, 3100), at(3100));
-    assert!(!on_trial(&suspects, bad, Sender::Job, 18_000));
-    assert!(on_trial(&suspects, bad, Sender::Job, 18_200));
+    assert!(!is_trial_due(&suspects, bad, Sender::Job, 18_000));
+    assert!(is_trial_due(&suspects, bad, Sender::Job, 18_200));
 }
 
-/// One request was beside the cause at all three crashes. Nothing tells them apart until
-/// one of them runs again: the one that crashes a fourth worker is the one.
+/// One request ran beside the cause at all three crashes. They cannot be distinguished
+/// until one of them runs again: the one that crashes a fourth worker is the cause.
 #[test]
-fn of_two_at_the_same_crashes_the_next_run_tells() {
+fn the_next_crash_separates_two_requests_at_the_same_crashes() {
     let (bad, beside) = (request(1), request(2));
-    let mut suspects = convicted(bad);
+    let mut suspects = quarantined_after_three_crashes(bad);
     suspects.note_own_crash(crash(beside, 1, 0, 60), at(60));
     suspects.note_own_crash(crash(beside, 2, 65, 130), at(130));
     suspects.note_own_crash(crash(beside, 3, 900, 1000), at(1000));
-    assert!(is_held(&suspects, bad, 1001) && is_held(&suspects, beside, 1001));
+    assert!(is_quarantined(&suspects, bad, 1001) && is_quarantined(&suspects, beside, 1001));
     suspects.note_own_crash(crash(bad, 4, 3001, 3100), at(3100));
-    assert!(is_held(&suspects, bad, 3101));
-    assert!(!is_held(&suspects, beside, 3101));
+    assert!(is_quarantined(&suspects, bad, 3101));
+    assert!(!is_quarantined(&suspects, beside, 3101));
 }
 
-/// Of hundreds of daemons few may try a request out at first, and all after some seconds.
+/// Of hundreds of daemons only a few may run a trial at first, and all after some
+/// seconds.
 #[test]
-fn few_daemons_try_a_request_out_at_once() {
+fn few_daemons_run_a_trial_at_once() {
     let may = |daemons: usize, ms: u64| {
         let names = (0..daemons).map(|n| EntryName::from(format!("entry-{n}")));
         let may = |me: &EntryName| may_try(request(1), me, daemons, at(0), at(ms));
@@ -270,17 +279,17 @@
     assert_eq!(may(1, 0), 1);
 }
 
-/// All daemons were killed. What the store has kept holds a request back as its own
-/// crashes do, until a trial.
+/// All daemons were killed. The crashes restored from the store quarantine a request
+/// like the daemon's own records, until a trial.
 #[test]
-fn what_was_kept_holds_a_request_back_after_a_start() {
+fn restored_crashes_quarantine_a_request_after_a_restart() {
     let bad = request(1);
-    let kept = convicted(bad).crashed_workers(bad);
+    let kept = quarantined_after_three_crashes(bad).crashed_workers(bad);
     assert_eq!(kept.len(), 3);
     let mut suspects = Suspects::default();
     suspects.recall(bad, &kept, at(5000));
-    assert!(is_held(&suspects, bad, 5001));
-    assert!(on_trial(&suspects, bad, Sender::Caller, 7001));
+    assert!(is_quarantined(&suspects, bad, 5001));
+    assert!(is_trial_due(&suspects, bad, Sender::Caller, 7001));
     let name = bad.to_string();
     assert_eq!(Fingerprint::try_from(name.as_str()), Ok(bad));
     for no in ["", "xyz", "+123456789abcdef", &name[1..]] {
@@ -288,21 +297,21 @@
     }
 }
 
-/// A peer's trial is waited for, and not passed on.
+/// A peer's trial blocks local ones and is not forwarded.
 #[test]
-fn a_trial_elsewhere_is_waited_for() {
+fn a_trial_at_a_peer_is_awaited() {
     let bad = request(1);
-    let mut suspects = convicted(bad);
+    let mut suspects = quarantined_after_three_crashes(bad);
     suspects.note_trial(bad, at(62_000));
-    assert!(is_held(&suspects, bad, 62_001));
+    assert!(is_quarantined(&suspects, bad, 62_001));
     assert_eq!(suspects.trials().count(), 0);
-    assert!(on_trial(&suspects, bad, Sender::Caller, 72_001));
+    assert!(is_trial_due(&suspects, bad, Sender::Caller, 72_001));
 }
 
 #[test]
-fn crashes_are_forgotten() {
+fn old_crashes_are_evicted() {
     let bad = request(1);
-    let mut suspects = convicted(bad);
+    let mut suspects = quarantined_after_three_crashes(bad);
     suspects.sweep(at(31 * 60_000));
     assert!(suspects.is_empty());
     assert_eq!(
@@ -311,59 +320,60 @@
     );
 }
 
-/// What no daemon can have seen counts for nothing.
+/// Notices that no daemon can have observed are ignored.
 #[test]
-fn impossible_crashes_are_left_aside() {
+fn impossible_crashes_are_ignored() {
     let bad = request(1);
     let mut suspects = Suspects::default();
     let now = at(40 * 60_000);
     assert!(
         !suspects.note_crash(crash(bad, 1, 100, 50), now),
-        "it ended before it began"
+        "the crash precedes the start of the run"
     );
     assert!(
         !suspects.note_crash(crash(bad, 2, 0, 41 * 60_000), now),
-        "it is still to come"
+        "the crash is in the future"
     );
     assert!(
         !suspects.note_crash(crash(bad, 3, 0, 60), now),
-        "it is forgotten"
+        "the crash is past its retention"
     );
     assert!(suspects.is_empty());
 }
 
-/// Thousands of runs end with their workers: the one that was held back before stays, and
-/// nothing grows.
+/// Thousands of runs end with their workers: the request that was quarantined before
+/// stays so, and memory and reports stay bounded.
 #[test]
-fn what_is_kept_and_told_is_bounded() {
+fn records_and_notices_are_bounded() {
     let bad = request(1);
-    let mut suspects = convicted(bad);
+    let mut suspects = quarantined_after_three_crashes(bad);
     for n in 0..15_000 {
         let notice = crash(request(100 + n), 1000 + n / 8, 1500, 2000);
         suspects.note_own_crash(notice, at(2000));
         assert!(suspects.len() <= 512);
     }
-    assert!(is_held(&suspects, bad, 2001));
+    assert!(is_quarantined(&suspects, bad, 2001));
     let notices = suspects.notices(true, at(2001));
     assert!(notices.len() <= 24);
     assert!(
         notices.iter().any(|t| t.fingerprint == bad),
-        "for those that have just started"
+        "notices for daemons that have just started"
     );
     assert!(
         suspects.notices(true, at(60_000)).len() <= 3,
-        "only what is held back"
+        "only notices of quarantined requests"
     );
 }
 
 proptest! {
-    /// Daemons that have heard the same crashes conclude the same, whatever the order.
+    /// Daemons that have received the same notices reach the same conclusions in any
+    /// order.
     #[test]
-    fn the_order_of_what_is_heard_does_not_matter(
+    fn the_order_of_notices_does_not_matter(
         crashes in prop::collection::vec((0..6_u32, 0..8_u32, 0..400_u64, 0..3000_u64), 0..40),
         turn in 0..40_usize,
     ) {
-        // A worker's life has one end, and a request one run there.
+        // An incarnation of a worker ends once, and runs a request once.
         let notices: std::collections::BTreeMap<_, _> = crashes
             .into_iter()
             .map(|(r, w, lasted, end)| ((r, w), crash(request(r), w, end, end + lasted)))
@@ -384,13 +394,13 @@
         }
     }
 
-    /// Fewer than three crashes hold nobody back.
+    /// Fewer than three crashes quarantine no request.
     #[test]
-    fn two_crashes_hold_nobody_back(began in 0..1000_u64, first in 0..1000_u64, second in 0..1000_u64) {
+    fn two_crashes_quarantine_no_request(began in 0..1000_u64, first in 0..1000_u64, second in 0..1000_u64) {
         let bad = request(1);
         let mut suspects = Suspects::default();
         suspects.note_own_crash(crash(bad, 1, began, began + first), at(5000));
         suspects.note_own_crash(crash(bad, 2, began + first, began + first + second), at(5000));
-        prop_assert!(!is_held(&suspects, bad, 5000));
+        prop_assert!(!is_quarantined(&suspects, bad, 5000));
     }
 }
--- a/crates/bluebellreel_dispatch/tests/suspects_fleet.rs
+++ b/crates/bluebellreel_dispatch/tests/suspects_fleet.rs
@@ -1,10 +1,10 @@
-//! One request that crashes workers, at fleets of several sizes.
+//! A request that crashes workers, in fleets of several sizes.
 //!
-//! What answers it: daemons that each see only the crashes under their own runs, tell
-//! them in reports of which one in five is lost, and conclude by themselves. The figures
-//! are those of a bad hour: the request comes back every 20 to 60 ms, at any daemon, each
-//! attempt goes to two workers, every worker is full of others' requests, and of those
-//! that a crash cuts, half meet the next crash as well.
+//! Each daemon observes only the crashes under its own runs, shares them in reports of
+//! which one in five is lost, and draws its own conclusions. The parameters model a bad
+//! hour: the request comes back every 20 to 60 ms at any daemon, each attempt goes to
+//! two workers, every worker is fully occupied by other requests, and half of the
+//! requests that a crash interrupts are present at the next crash as well.
 
 use bluebellreel_dispatch::{
     CrashNotice, CrashedRun, Fingerprint, QuarantineStatus, Sender, Suspects, WorkerTag, may_try,
@@ -15,25 +15,25 @@
 use std::time::Duration;
 
 /// Time between two rounds of reports.
-const ROUND: u64 = 250;
-/// Daemons that send notices of quarantined requests, in each round.
+const REPORT_INTERVAL_MS: u64 = 250;
+/// Number of daemons that send notices of quarantined requests in each round.
 const FULL_NOTIFIERS: usize = 8;
-/// How long a run takes to end its worker.
-const RUN: u64 = 60;
-/// Others that run beside it.
-const BESIDE: usize = 7;
-/// After this time all have heard of what has crashed three workers.
-const KNOWN: u64 = 3000;
+/// Time from the start of a run until its worker crashes.
+const RUN_MS: u64 = 60;
+/// Number of other requests that run at the same worker.
+const CONCURRENT_RUNS: usize = 7;
+/// Time after the third crash by which all daemons know of the request.
+const CONVERGENCE_MS: u64 = 3000;
 
 struct Fleet {
     rng: SmallRng,
     now: u64,
     daemons: Vec<Suspects>,
     workers: u32,
-    /// When each crash came.
+    /// Times of the crashes.
     crashes: Vec<u64>,
-    /// Others that the last crash has cut, with their daemons.
-    cut: Vec<(Fingerprint, usize)>,
+    /// Other requests that the last crash interrupted, with their daemons.
+    interrupted: Vec<(Fingerprint, usize)>,
     others: Vec<Fingerprint>,
 }
 
@@ -49,7 +49,7 @@
             daemons: vec![Suspects::default(); daemons],
             workers,
             crashes: Vec::new(),
-            cut: Vec::new(),
+            interrupted: Vec::new(),
             others: Vec::new(),
         }
     }
@@ -58,8 +58,8 @@
         self.rng.random_range(0..self.daemons.len())
     }
 
-    /// Whether a daemon sends a request on, as a trial if that is asked for.
-    fn lets_run(&mut self, daemon: usize, request: Fingerprint) -> bool {
+    /// Whether a daemon sends a request, on trial if its status requires one.
+    fn may_send(&mut self, daemon: usize, request: Fingerprint) -> bool {
         let now = at(self.now);
         match self.daemons[daemon].quarantine_status(request, Sender::Caller, now) {
             QuarantineStatus::Clear | QuarantineStatus::Suspect => true,
@@ -75,7 +75,7 @@
         }
     }
 
-    fn holds(&self, daemon: usize, request: Fingerprint) -> bool {
+    fn is_quarantined(&self, daemon: usize, request: Fingerprint) -> bool {
         let quarantine_status =
             self.daemons[daemon].quarantine_status(request, Sender::Caller, at(self.now));
         matches!(quarantine_status, QuarantineStatus::Quarantined(_))
@@ -84,30 +84,37 @@
     /// Runs a request until its worker has crashed.
     fn run(&mut self, daemon: usize, request: Fingerprint) {
         let began = self.now;
-        self.now += RUN;
+        self.now += RUN_MS;
         let worker = self.rng.random_range(0..self.workers);
-        let life = WorkerTag(worker * 10_000 + u32::try_from(self.crashes.len()).unwrap_or(0));
+        let incarnation =
+            WorkerTag(worker * 10_000 + u32::try_from(self.crashes.len()).unwrap_or(0));
         self.crashes.push(self.now);
-        self.see(daemon, request, life, began);
-        let mut there = Vec::new();
-        for (other, of) in std::mem::take(&mut self.cut) {
-            if self.rng.random_bool(0.5) && !self.holds(of, other) {
-                there.push((other, of));
+        self.note_crash_at(daemon, request, incarnation, began);
+        let mut affected = Vec::new();
+        for (other, of) in std::mem::take(&mut self.interrupted) {
+            if self.rng.random_bool(0.5) && !self.is_quarantined(of, other) {
+                affected.push((other, of));
             }
         }
-        while there.len() < BESIDE {
+        while affected.len() < CONCURRENT_RUNS {
             let other = Fingerprint::of(&[&self.others.len().to_le_bytes()]);
             self.others.push(other);
-            there.push((other, self.any_daemon()));
+            affected.push((other, self.any_daemon()));
         }
-        for (other, of) in &there {
+        for (other, of) in &affected {
             let before = self.rng.random_range(0..60);
-            self.see(*of, *other, life, began.saturating_sub(before));
+            self.note_crash_at(*of, *other, incarnation, began.saturating_sub(before));
         }
-        self.cut = there;
+        self.interrupted = affected;
     }
 
-    fn see(&mut self, daemon: usize, request: Fingerprint, life: WorkerTag, began: u64) {
+    fn note_crash_at(
+        &mut self,
+        daemon: usize,
+        request: Fingerprint,
+        incarnation: WorkerTag,
+        began: u64,
+    ) {
         let crashed_run = CrashedRun {
             began: at(began),
             crashed: at(self.now),
@@ -115,7 +122,7 @@
         };
         let notice = CrashNotice {
             fingerprint: request,
-            worker: life,
+            worker: incarnation,
             crashed_run,
         };
         self.daemons[daemon].note_own_crash(notice, at(self.now));
@@ -144,14 +151,14 @@
         }
     }
 
-    /// Sends a request again and again for so long.
-    fn repeat(&mut self, request: Fingerprint, lasts: u64) {
-        let until = self.now + lasts;
-        let mut next_report = self.now + ROUND;
+    /// Sends a request repeatedly for this duration.
+    fn repeat(&mut self, request: Fingerprint, duration: u64) {
+        let until = self.now + duration;
+        let mut next_report = self.now + REPORT_INTERVAL_MS;
         while self.now < until {
             let daemon = self.any_daemon();
             for _ in 0..2 {
-                if self.lets_run(daemon, request) {
+                if self.may_send(daemon, request) {
                     self.run(daemon, request);
                     self.daemons[daemon].end_trial(request);
                 }
@@ -159,53 +166,60 @@
             self.now += self.rng.random_range(20..60);
             if self.now >= next_report {
                 self.report();
-                next_report = self.now + ROUND;
+                next_report = self.now + REPORT_INTERVAL_MS;
             }
         }
     }
 }
 
-fn play(daemons: usize, workers: u32) {
+fn check_fleet(daemons: usize, workers: u32) {
     for seed in 0..4 {
         let bad = Fingerprint::of(&[b"bad"]);
         let mut fleet = Fleet::of(daemons, workers, seed);
         fleet.repeat(bad, 8000);
-        let known = fleet.crashes[2] + KNOWN;
-        let late = fleet.crashes.iter().filter(|t| **t > known).count();
+        let known = fleet.crashes[2] + CONVERGENCE_MS;
+        let late_crashes = fleet.crashes.iter().filter(|t| **t > known).count();
         assert!(
-            late <= 3,
-            "seed {seed}: {late} crashes late, {:?}",
+            late_crashes <= 3,
+            "seed {seed}: {late_crashes} late crashes, {:?}",
             fleet.crashes
         );
         for daemon in 0..daemons {
-            assert!(fleet.holds(daemon, bad), "seed {seed}: daemon {daemon}");
+            assert!(
+                fleet.is_quarantined(daemon, bad),
+                "seed {seed}: daemon {daemon}"
+            );
         }
-        let asked = [0, daemons / 2, daemons - 1];
-        let held = |other: &&Fingerprint| asked.iter().any(|d| fleet.holds(*d, **other));
-        let held = fleet.others.iter().filter(held).count();
+        let sampled = [0, daemons / 2, daemons - 1];
+        let quarantined_others =
+            |other: &&Fingerprint| sampled.iter().any(|d| fleet.is_quarantined(*d, **other));
+        let quarantined_others = fleet.others.iter().filter(quarantined_others).count();
         println!("{daemons} daemons: {} crashes", fleet.crashes.len());
-        assert_eq!(held, 0, "seed {seed}: others are held back");
+        assert_eq!(
+            quarantined_others, 0,
+            "seed {seed}: other requests are quarantined"
+        );
     }
 }
 
 #[test]
-fn four_daemons_hold_it_back() {
-    play(4, 9);
+fn four_daemons_quarantine_the_request() {
+    check_fleet(4, 9);
 }
 
 #[test]
-fn fifty_eight_daemons_hold_it_back() {
-    play(58, 76);
+fn fifty_eight_daemons_quarantine_the_request() {
+    check_fleet(58, 76);
 }
 
 #[test]
-fn four_hundred_and_ten_daemons_hold_it_back() {
-    play(410, 1900);
+fn four_hundred_and_ten_daemons_quarantine_the_request() {
+    check_fleet(410, 1900);
 }
 
-/// A daemon starts in the middle of a large fleet, and hears of it within seconds.
+/// A daemon that starts in a large fleet learns of the quarantine within seconds.
 #[test]
-fn a_daemon_that_starts_later_hears_of_it() {
+fn a_daemon_that_starts_later_learns_of_the_quarantine() {
     let bad = Fingerprint::of(&[b"bad"]);
     let mut fleet = Fleet::of(410, 1900, 7);
     fleet.repeat(bad, 6000);
@@ -214,5 +228,5 @@
     for _ in 0..4 {
         fleet.report();
     }
-    assert!(fleet.holds(17, bad));
+    assert!(fleet.is_quarantined(17, bad));
 }
