--- a/crates/bluebellreel_routing/benches/choice.rs
+++ b/crates/bluebellreel_routing/benches/choice.rs
@@ -1,8 +1,8 @@
-//! What the choice of a worker costs as workers grow.
+//! Cost of choosing a worker, and of planning connections, for growing fleets.
 
 use bluebellreel_routing::{
-    ConnectionLimits, ConnectionNeeds, ConnectionPlanner, Listing, Question, RouterLimits, Worker,
-    choose,
+    ChoiceQuery, ConnectionLimits, ConnectionNeeds, ConnectionPlanner, Listing, RouterLimits,
+    Worker, choose,
 };
 use bluebellreel_types::{
     DataCentre, Incarnation, LoadReport, ModelName, Moment, TeamName, Work, WorkKind, WorkerName,
@@ -52,14 +52,14 @@
         let mut rng = SmallRng::seed_from_u64(1);
         group.bench_function(BenchmarkId::from_parameter(count), |b| {
             b.iter(|| {
-                let question = Question {
+                let query = ChoiceQuery {
                     work: &work,
                     deadline: Moment(1) + Duration::from_secs(1),
                     avoid: &[],
                     local: &local,
                     now: Moment(1),
                 };
-                choose(workers.iter(), question, &limits, &mut rng)
+                choose(workers.iter(), query, &limits, &mut rng)
             });
         });
     }
--- a/crates/bluebellreel_routing/src/arrival.rs
+++ b/crates/bluebellreel_routing/src/arrival.rs
@@ -1,14 +1,14 @@
-//! Arrival of a request: bounds, choice of a worker, first attempt.
+//! Arrival of a request: limits, choice of a worker, first attempt.
 
 use crate::{
-    Choice, ClaimIntent, Effect, NewRequest, Outcome, Phase, Question, Request, Router, Worker,
+    Choice, ChoiceQuery, ClaimIntent, Effect, NewRequest, Outcome, Phase, Request, Router, Worker,
     choose,
 };
 use bluebellreel_types::{Moment, NotRunReason, RequestId, WorkerName};
 use rand::Rng;
 use std::time::Duration;
 
-/// Pause that a refused caller is asked to keep, at the least.
+/// Minimum pause that a refused caller is asked to wait before it retries.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 pub(crate) fn arrive(
@@ -25,7 +25,7 @@
         refusal(router, &new, now).map_or_else(|| choose_worker(router, &new, &[], now, rng), Err);
     match chosen {
         Ok(phase) => {
-            router.budget.earn();
+            router.budget.deposit();
             let request = Request::new(new, phase);
             let id = request.id;
             router.insert(request);
@@ -39,7 +39,7 @@
     }
 }
 
-/// The outcome of a request that a bound keeps out.
+/// The outcome of a request that is refused because of a limit.
 fn refusal(router: &Router, new: &NewRequest, now: Moment) -> Option<Outcome> {
     let team = &new.work.team;
     let team_count = router.team_counts.get(team).copied().unwrap_or(0);
@@ -71,14 +71,14 @@
     now: Moment,
     rng: &mut impl Rng,
 ) -> Result<Phase, Outcome> {
-    let question = Question {
+    let query = ChoiceQuery {
         work: &new.work,
         deadline: new.deadline,
         avoid,
         local: &router.data_centre,
         now,
     };
-    match choose(router.workers.values(), question, &router.limits, rng) {
+    match choose(router.workers.values(), query, &router.limits, rng) {
         Choice::Worker(name) => Ok(first_phase(
             &router.workers[&name],
             new.work.repeatable,
@@ -95,9 +95,9 @@
     }
 }
 
-/// A call that may not be repeated is claimed before it is sent, so that a
-/// resend through another entry, at the same moment or after a crash, cannot
-/// run it a second time.
+/// A call that is not repeatable is claimed before it is sent, so that a retry through
+/// another entry daemon, at the same moment or after a crash, cannot run it a second
+/// time.
 fn first_phase(worker: &Worker, repeatable: bool, now: Moment) -> Phase {
     let incarnation = worker.incarnation.expect("a chosen worker is connected");
     let worker = worker.name.clone();
@@ -115,7 +115,7 @@
     }
 }
 
-/// Starts the attempt that the request's phase names.
+/// Starts the attempt described by the request's phase.
 pub(crate) fn begin_attempt(
     router: &mut Router,
     id: RequestId,
@@ -166,7 +166,8 @@
     effects.push(Effect::Dispatch { worker, dispatch });
 }
 
-/// Chooses a worker for one more attempt; the phase to enter, or the outcome.
+/// Chooses a worker for another attempt; returns the phase to enter, or the outcome if
+/// no worker can be chosen.
 pub(crate) fn choose_again(
     router: &Router,
     request: &Request,
--- a/crates/bluebellreel_routing/src/attempt.rs
+++ b/crates/bluebellreel_routing/src/attempt.rs
@@ -1,4 +1,4 @@
-//! The course of an attempt: parts, ends, retries and doubt.
+//! Processing of an attempt: partial answers, ends, retries and in-doubt outcomes.
 
 use crate::arrival::{begin_attempt, choose_again, not_run, send};
 use crate::{Effect, Outcome, Phase, Request, Router};
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The request whose present attempt this is. An answer to an earlier attempt,
-/// or to a request that is over, belongs to nobody: taking it would mix two
-/// answers or hand one to another caller.
+/// The request whose current attempt this is. An answer to an earlier attempt or to a
+/// finished request has no recipient: accepting it would mix two answers or deliver one
+/// to another caller.
 pub(crate) fn current(router: &mut Router, attempt: AttemptId) -> Option<&mut Request> {
     let request = router.requests.get_mut(&attempt.request)?;
     (request.attempt() == attempt).then_some(request)
@@ -35,7 +35,7 @@
         return;
     };
     let id = request.id;
-    // Time has passed since the choice: a write may take long when the
+    // Time has passed since the worker was chosen: the write may take long if the
     // key-value service is slow or this process was paused.
     if request.deadline.is_past(now) {
         conclude(
@@ -47,14 +47,14 @@
         );
         return;
     }
-    let still_there = router
+    let is_available = router
         .workers
         .get(&worker)
         .is_some_and(|w| w.incarnation == Some(incarnation) && !w.is_leaving());
-    if still_there {
+    if is_available {
         send(router, id, worker, incarnation, now, effects);
     } else {
-        try_again(router, id, NotRunReason::NoWorker, now, rng, effects);
+        retry(router, id, NotRunReason::NoWorker, now, rng, effects);
     }
 }
 
@@ -74,7 +74,8 @@
     }
 }
 
-/// Drops a request whose key belongs to an earlier one; nothing was sent.
+/// Drops a request whose idempotency key is already claimed by an earlier request;
+/// nothing was sent.
 pub(crate) fn claim_taken(router: &mut Router, attempt: AttemptId) {
     let claiming = current(router, attempt)
         .is_some_and(|request| matches!(request.phase, Phase::Claiming { .. }));
@@ -83,7 +84,7 @@
     }
 }
 
-pub(crate) fn part(
+pub(crate) fn part_arrived(
     router: &mut Router,
     attempt: AttemptId,
     text: Arc<str>,
@@ -118,7 +119,7 @@
     }
 }
 
-pub(crate) fn ended(
+pub(crate) fn attempt_ended(
     router: &mut Router,
     worker: &WorkerName,
     attempt: AttemptId,
@@ -136,9 +137,9 @@
     if at != worker {
         return;
     }
-    router.note_over(worker);
+    router.note_ended(worker);
     note_health(router, worker, &end, now);
-    settle(router, attempt.request, end, now, rng, effects);
+    apply_end(router, attempt.request, end, now, rng, effects);
 }
 
 fn note_health(router: &mut Router, worker: &WorkerName, end: &AttemptEnd, now: Moment) {
@@ -157,8 +158,8 @@
     }
 }
 
-/// Decides what an attempt's end means for its request.
-pub(crate) fn settle(
+/// Decides what the end of an attempt means for its request.
+pub(crate) fn apply_end(
     router: &mut Router,
     id: RequestId,
     end: AttemptEnd,
@@ -190,15 +191,15 @@
             conclude(router, id, Outcome::Unknown, now, effects);
         }
         AttemptEnd::NotRun(reason) if reason.is_worth_retry() => {
-            try_again(router, id, reason, now, rng, effects);
+            retry(router, id, reason, now, rng, effects);
         }
         AttemptEnd::NotRun(reason) => give_up(router, id, reason, now, effects),
         AttemptEnd::Broken { reason, .. } => {
             request.may_have_run = true;
             if request.work.repeatable {
-                try_again(router, id, NotRunReason::NoWorker, now, rng, effects);
+                retry(router, id, NotRunReason::NoWorker, now, rng, effects);
             } else if reason == BrokenReason::SideLost {
-                doubt(request, now);
+                mark_in_doubt(request, now);
             } else {
                 conclude(router, id, Outcome::Unknown, now, effects);
             }
@@ -206,9 +207,9 @@
     }
 }
 
-/// The side process was lost with an unrepeatable attempt: only the same run
-/// of it can tell whether the call ran.
-fn doubt(request: &mut Request, now: Moment) {
+/// Marks a request as in doubt after its side process was lost during a non-repeatable
+/// attempt: only the same incarnation of the side process knows whether the call ran.
+fn mark_in_doubt(request: &mut Request, now: Moment) {
     if let Phase::Running {
         worker,
         incarnation,
@@ -218,13 +219,13 @@
         request.phase = Phase::InDoubt {
             worker,
             incarnation,
-            ask_at: now,
+            next_query_at: now,
         };
     }
 }
 
-/// Begins one more attempt elsewhere, or gives up.
-fn try_again(
+/// Starts another attempt at a different worker, or gives up.
+fn retry(
     router: &mut Router,
     id: RequestId,
     reason: NotRunReason,
@@ -239,8 +240,8 @@
         let worker = worker.clone();
         request.avoid.push(worker);
     }
-    let spent = request.attempts >= router.limits.attempts || request.deadline.is_past(now);
-    if spent {
+    let exhausted = request.attempts >= router.limits.attempts || request.deadline.is_past(now);
+    if exhausted {
         give_up(router, id, reason, now, effects);
         return;
     }
@@ -256,7 +257,7 @@
             return;
         }
     };
-    if !router.budget.spend() {
+    if !router.budget.withdraw() {
         give_up(router, id, reason, now, effects);
         return;
     }
@@ -267,8 +268,8 @@
     begin_attempt(router, id, now, effects);
 }
 
-/// Ends a request without an answer. "Not run" is only said when no attempt
-/// can have reached a backend server.
+/// Ends a request without an answer. "Not run" is only reported if no attempt can have
+/// reached a backend server.
 pub(crate) fn give_up(
     router: &mut Router,
     id: RequestId,
@@ -290,7 +291,7 @@
     conclude(router, id, outcome, now, effects);
 }
 
-/// Tells the caller, after the outcome of a claimed call has been recorded.
+/// Reports the outcome to the caller; the outcome of a claimed call is recorded first.
 pub(crate) fn conclude(
     router: &mut Router,
     id: RequestId,
@@ -305,7 +306,7 @@
         finish(router, id, outcome, effects);
         return;
     }
-    let until = now + router.limits.record_wait;
+    let until = now + router.limits.record_timeout;
     request.phase = Phase::Recording {
         outcome: outcome.clone(),
         until,
--- a/crates/bluebellreel_routing/src/choice.rs
+++ b/crates/bluebellreel_routing/src/choice.rs
@@ -1,111 +1,118 @@
-//! Which worker gets a request.
+//! Choice of the worker for a request.
 //!
-//! The prefix's rendezvous home keeps the engine's prefix cache warm; its load
-//! is bounded, and past the bound the better of two random workers is taken.
+//! The worker with the highest rendezvous score for the request's prefix, its home,
+//! keeps the prefix in its engine's cache. The load of a home is bounded: beyond the
+//! bound, the less loaded of two random workers is chosen.
 
 use crate::{RouterLimits, Worker};
 use bluebellreel_types::{DataCentre, ModelName, Moment, Work, WorkerName};
 use rand::{Rng, RngExt};
 use twox_hash::XxHash64;
 
-/// Load below which a home is never passed over, in tokens.
-const HOME_FLOOR_TOKENS: u64 = 512;
+/// Load in tokens below which a home is always used.
+const MIN_HOME_TOKENS: u64 = 512;
 
-/// A choice's result.
+/// Result of a choice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// Send it there.
+    /// Send the work to this worker.
     Worker(WorkerName),
-    /// No worker serves the model now.
+    /// No worker currently serves the model.
     NoWorker,
-    /// Every worker's first token would miss the deadline; the soonest one
-    /// would come at this moment.
+    /// Every worker's first token would miss the deadline; the earliest would come at
+    /// this moment.
     TooLate(Moment),
 }
 
-/// The rank of a node for a key: the highest is the key's home.
+/// Rendezvous score of a node for a key: the node with the highest score is the key's
+/// home.
 #[must_use]
 pub fn rendezvous_score(key: u64, node: &str) -> u64 {
     XxHash64::oneshot(key, node.as_bytes())
 }
 
-/// What a worker is chosen for.
+/// Input for the choice of a worker.
 #[derive(Clone, Copy, Debug)]
-pub struct Question<'a> {
+pub struct ChoiceQuery<'a> {
     /// The work.
     pub work: &'a Work,
-    /// When its answer is no longer wanted.
+    /// When the answer is no longer useful.
     pub deadline: Moment,
-    /// Workers that failed it.
+    /// Workers that have already failed the work.
     pub avoid: &'a [WorkerName],
-    /// Where the asking daemon stands.
+    /// Data centre of the daemon that chooses.
     pub local: &'a DataCentre,
-    /// The present.
+    /// The current time.
     pub now: Moment,
 }
 
 struct Candidate<'a> {
     worker: &'a Worker,
-    ahead: u64,
+    queued_tokens: u64,
 }
 
-/// Chooses a worker for some work.
+/// Chooses a worker for a piece of work.
 pub fn choose<'a>(
     workers: impl Iterator<Item = &'a Worker>,
-    question: Question<'_>,
+    query: ChoiceQuery<'_>,
     limits: &RouterLimits,
     rng: &mut impl Rng,
 ) -> Choice {
-    let Question {
+    let ChoiceQuery {
         work,
         deadline,
         avoid,
         local,
         now,
-    } = question;
-    let able: Vec<Candidate> = trusted(workers, &work.model, now)
+    } = query;
+    let candidates: Vec<Candidate> = available(workers, &work.model, now)
         .into_iter()
         .map(|worker| Candidate {
             worker,
-            ahead: worker.tokens_ahead(limits.load_age, now),
+            queued_tokens: worker.tokens_ahead(limits.load_report_ttl, now),
         })
         .collect();
-    if able.is_empty() {
+    if candidates.is_empty() {
         return Choice::NoWorker;
     }
-    let first_token = |c: &Candidate| now + c.worker.predicted_first_token(limits.load_age, now);
-    let in_time: Vec<&Candidate> = able
+    let first_token =
+        |c: &Candidate| now + c.worker.predicted_first_token(limits.load_report_ttl, now);
+    let in_time: Vec<&Candidate> = candidates
         .iter()
         .filter(|c| !deadline.is_past(first_token(c)))
         .collect();
     if in_time.is_empty() {
-        let soonest = able.iter().map(first_token).min().unwrap_or(now);
+        let soonest = candidates.iter().map(first_token).min().unwrap_or(now);
         return Choice::TooLate(soonest);
     }
     let preferred = preferred(&in_time, avoid, local, limits);
-    let used = used_workers(preferred, work, limits);
+    let used = concentrate_online(preferred, work, limits);
     Choice::Worker(pick(&used, work.prefix, limits, rng))
 }
 
-/// The workers that serve a model and are trusted; if none is, all that serve
-/// it.
+/// The workers that serve a model and accept requests by their health; if none does, all
+/// that serve it.
 ///
-/// Trust is a preference among several. While a fleet is restarted quickly,
-/// every worker may be on its way back at one moment: refusing people then, with
-/// "no worker serves this model", would harm them and help nobody.
-fn trusted<'a>(
+/// Health is a preference among several workers. During a quick rolling restart of the
+/// fleet every worker may be recovering at the same moment: refusing requests then with
+/// "no worker serves this model" would help nobody.
+fn available<'a>(
     workers: impl Iterator<Item = &'a Worker>,
     model: &ModelName,
     now: Moment,
 ) -> Vec<&'a Worker> {
     let serving: Vec<&Worker> = workers.filter(|w| w.serves(model)).collect();
-    let takes = |worker: &&&Worker| worker.takes(model, now);
-    let trusted: Vec<&Worker> = serving.iter().filter(takes).copied().collect();
-    if trusted.is_empty() { serving } else { trusted }
+    let accepts = |worker: &&&Worker| worker.accepts(model, now);
+    let available: Vec<&Worker> = serving.iter().filter(accepts).copied().collect();
+    if available.is_empty() {
+        serving
+    } else {
+        available
+    }
 }
 
-/// Leaves out workers that failed this request and those of other data
-/// centres, as long as others remain that are not overfull.
+/// Leaves out workers that failed this request, and workers of other data centres as
+/// long as local workers below the load bound remain.
 fn preferred<'a>(
     in_time: &[&'a Candidate<'a>],
     avoid: &[WorkerName],
@@ -126,18 +133,19 @@
     let near: Vec<_> = pool
         .iter()
         .copied()
-        .filter(|c| c.worker.data_centre == *local && c.ahead <= bound)
+        .filter(|c| c.worker.data_centre == *local && c.queued_tokens <= bound)
         .collect();
     if near.is_empty() { pool } else { near }
 }
 
-/// Keeps online work on as few workers as carry it.
+/// Concentrates online work on as few workers as can carry it.
 ///
-/// Beside online work an engine can take little batch without slowing it down.
-/// Spread thin, a handful of online requests would hold batch back on every
-/// worker; kept together, they leave the others to batch. All daemons rank the
-/// workers of a model alike, so they agree on which ones without a word.
-fn used_workers<'a>(
+/// Beside online work an engine can run little batch work without slowing the online
+/// work down. If a few online requests were spread over all workers, they would restrict
+/// batch work on every one; concentrated, they leave the other workers to batch. All
+/// daemons rank the workers of a model in the same order, so they select the same ones
+/// without coordination.
+fn concentrate_online<'a>(
     mut pool: Vec<&'a Candidate<'a>>,
     work: &Work,
     limits: &RouterLimits,
@@ -157,11 +165,11 @@
     pool
 }
 
-/// Load up to which a home is taken.
+/// Load up to which a home is used.
 fn bound_tokens(pool: &[&Candidate], limits: &RouterLimits) -> u64 {
-    let total: u64 = pool.iter().map(|c| c.ahead).sum();
+    let total: u64 = pool.iter().map(|c| c.queued_tokens).sum();
     let mean = total / pool.len().max(1) as u64;
-    mean + mean * limits.home_slack_percent / 100 + HOME_FLOOR_TOKENS
+    mean + mean * limits.home_slack_percent / 100 + MIN_HOME_TOKENS
 }
 
 fn pick(pool: &[&Candidate], prefix: u64, limits: &RouterLimits, rng: &mut impl Rng) -> WorkerName {
@@ -169,11 +177,15 @@
         .iter()
         .max_by_key(|c| rendezvous_score(prefix, c.worker.name.as_str()))
         .expect("the pool is not empty");
-    if home.ahead <= bound_tokens(pool, limits) {
+    if home.queued_tokens <= bound_tokens(pool, limits) {
         return home.worker.name.clone();
     }
     let one = pool[rng.random_range(0..pool.len())];
     let other = pool[rng.random_range(0..pool.len())];
-    let better = if other.ahead < one.ahead { other } else { one };
+    let better = if other.queued_tokens < one.queued_tokens {
+        other
+    } else {
+        one
+    };
     better.worker.name.clone()
 }
--- a/crates/bluebellreel_routing/src/reach.rs
+++ b/crates/bluebellreel_routing/src/connections.rs
@@ -1,12 +1,12 @@
-//! Which workers a daemon holds connections to.
+//! Selects the workers that a daemon holds connections to.
 //!
-//! With few workers it is all of them. With many, control traffic must not grow
-//! with the fleet: a daemon holds a few for each model, those of its own data
-//! centre first and in an order that all daemons there agree on, so that
-//! prefixes meet the same engines. Which models a worker serves is learnt by
-//! connecting to it; while some model is short of workers, the daemon looks at
-//! those it does not know. For a job with waiting items it reaches out to all
-//! workers of the job's model.
+//! A daemon connects to all workers if there are few. If there are many, control traffic
+//! must not grow with the fleet: a daemon then holds connections to a few workers per
+//! model. Those of its own data centre come first, in an order that all daemons there
+//! share, so that requests with the same prefix reach the same engines. A daemon learns
+//! which models a worker serves by connecting to it; while some model has too few known
+//! workers, the daemon probes unknown ones. For a job with waiting items it connects to
+//! all workers of the job's model.
 
 use crate::rendezvous_score;
 use bluebellreel_types::{DataCentre, ModelName, Moment, WorkerName};
@@ -14,19 +14,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Bounds of a daemon's reach.
+/// Limits on a daemon's connections.
 #[derive(Clone, Debug)]
 pub struct ConnectionLimits {
-    /// Up to so many workers, all are connected.
+    /// Up to this number of workers, all are connected.
     pub full_mesh_limit: usize,
-    /// Workers connected for each model beyond that.
+    /// Connected workers per model above that number.
     pub per_model: usize,
-    /// Unknown workers looked at together while a model is short.
-    pub looks: usize,
-    /// Unknown workers looked at together while none is.
-    pub background_looks: usize,
-    /// How long it is remembered what a worker that is not connected serves.
-    pub look_again: Duration,
+    /// Unknown workers probed at the same time while some model has too few workers.
+    pub probes: usize,
+    /// Unknown workers probed at the same time while no model has too few workers.
+    pub background_probes: usize,
+    /// How long the models of a worker that is not connected stay known.
+    pub models_ttl: Duration,
 }
 
 impl Default for ConnectionLimits {
@@ -34,66 +34,66 @@
         Self {
             full_mesh_limit: 64,
             per_model: 8,
-            looks: 16,
-            background_looks: 1,
-            look_again: Duration::from_mins(20),
+            probes: 16,
+            background_probes: 1,
+            models_ttl: Duration::from_mins(20),
         }
     }
 }
 
-/// What is known of a worker.
+/// The models that a worker serves.
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownModels {
     models: BTreeSet<ModelName>,
     until: Moment,
 }
 
-/// A listed worker.
+/// A worker in the VM list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listing {
     /// The worker.
     pub worker: WorkerName,
-    /// Where it stands.
+    /// Its data centre.
     pub data_centre: DataCentre,
 }
 
-/// What a daemon needs workers for.
+/// Requirements on a daemon's connections.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionNeeds {
-    /// Models and services that callers may ask for.
+    /// Models and services that callers may request.
     pub models: BTreeSet<ModelName>,
-    /// Those of jobs with waiting items.
+    /// Models of jobs with waiting items.
     pub batch: BTreeSet<ModelName>,
-    /// Whether all workers of the own data centre are needed: this daemon
-    /// matches the fleet there.
+    /// Whether all workers of the daemon's own data centre are required, as for the
+    /// daemon that matches items to workers there.
     pub all_local: bool,
-    /// Workers that hold work of this daemon: their connections stay.
+    /// Workers that execute work of this daemon: their connections stay open.
     pub busy: BTreeSet<WorkerName>,
 }
 
-/// Workers to be connected to.
+/// The workers to connect to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionPlan {
     /// The workers.
     pub workers: BTreeSet<WorkerName>,
-    /// Whether a model is short of workers while there are some to look at.
+    /// Whether some model has too few workers while unknown workers remain to be probed.
     pub is_short: bool,
 }
 
-/// A daemon's view of the listed workers.
+/// The listed workers as known to one daemon.
 #[derive(Clone, Debug)]
 pub struct ConnectionPlanner {
     limits: ConnectionLimits,
     entry_key: u64,
     local: DataCentre,
-    /// In the order in which they are taken.
+    /// Workers in order of preference.
     ranked: Vec<Listing>,
-    known: BTreeMap<WorkerName, Known>,
+    known: BTreeMap<WorkerName, KnownModels>,
 }
 
 impl ConnectionPlanner {
-    /// A daemon that knows no worker yet. `entry_key` is its own number, by
-    /// which daemons differ in their choice of far workers.
+    /// A planner without workers. `entry_key` is the daemon's own number, by which
+    /// daemons differ in their choice of remote workers.
     #[must_use]
     pub fn new(limits: ConnectionLimits, entry_key: u64, local: DataCentre) -> Self {
         Self {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Takes in the VM list.
+    /// Applies the VM list.
     pub fn list(&mut self, listed: Vec<Listing>) {
         let names: BTreeSet<&WorkerName> = listed.iter().map(|l| &l.worker).collect();
         self.known.retain(|worker, _| names.contains(worker));
@@ -118,28 +118,30 @@
         });
     }
 
-    /// Takes in what a worker serves.
+    /// Records the models that a worker serves.
     pub fn note_models(
         &mut self,
         worker: &WorkerName,
         models: impl IntoIterator<Item = ModelName>,
         now: Moment,
     ) {
-        let known = Known {
+        let known = KnownModels {
             models: models.into_iter().collect(),
-            until: now + self.limits.look_again,
+            until: now + self.limits.models_ttl,
         };
         self.known.insert(worker.clone(), known);
     }
 
-    /// Takes in that a worker could not be reached. What it serves is still
-    /// believed; of one never seen, that it serves nothing.
+    /// Records that a worker could not be reached. Its known models stay valid; a worker
+    /// without known models counts as serving none.
     pub fn note_unreachable(&mut self, worker: &WorkerName, now: Moment) {
-        let until = now + self.limits.look_again;
-        self.known.entry(worker.clone()).or_insert_with(|| Known {
-            models: BTreeSet::new(),
-            until,
-        });
+        let until = now + self.limits.models_ttl;
+        self.known
+            .entry(worker.clone())
+            .or_insert_with(|| KnownModels {
+                models: BTreeSet::new(),
+                until,
+            });
     }
 
     fn is_known(&self, worker: &WorkerName, now: Moment) -> bool {
@@ -147,7 +149,7 @@
         known.is_some_and(|known| !known.until.is_past(now))
     }
 
-    /// Which workers to hold connections to now.
+    /// The workers to hold connections to now.
     #[must_use]
     pub fn plan(&self, needs: &ConnectionNeeds, now: Moment) -> ConnectionPlan {
         if self.ranked.len() <= self.limits.full_mesh_limit {
@@ -155,8 +157,8 @@
             let is_short = false;
             return ConnectionPlan { workers, is_short };
         }
-        // Without a manifest, as when the key-value service is down at the
-        // start, whatever is found may be asked for.
+        // Without a manifest, as when the key-value service is down at startup, any
+        // model that a worker serves may be requested.
         let unknown_needs = needs.models.is_empty();
         let found = unknown_needs.then(|| ConnectionNeeds {
             models: self.known_models(),
@@ -164,11 +166,11 @@
         });
         let needs = found.as_ref().unwrap_or(needs);
         let mut workers = self.serving(needs);
-        let lacks = unknown_needs || self.lacks_a_model(needs, &workers);
-        let mut looks = if lacks {
-            self.limits.looks
+        let is_lacking = unknown_needs || self.lacks_a_model(needs, &workers);
+        let mut probes = if is_lacking {
+            self.limits.probes
         } else {
-            self.limits.background_looks
+            self.limits.background_probes
         };
         let mut is_short = false;
         for Listing {
@@ -179,9 +181,9 @@
             let wanted =
                 needs.busy.contains(worker) || needs.all_local && *data_centre == self.local;
             let unknown = !self.is_known(worker, now);
-            is_short |= lacks && unknown && !self.known.contains_key(worker);
-            if unknown && looks > 0 && !workers.contains(worker) {
-                looks -= 1;
+            is_short |= is_lacking && unknown && !self.known.contains_key(worker);
+            if unknown && probes > 0 && !workers.contains(worker) {
+                probes -= 1;
                 workers.insert(worker.clone());
             } else if wanted {
                 workers.insert(worker.clone());
@@ -195,8 +197,8 @@
         known.cloned().collect()
     }
 
-    /// Workers known to serve what is needed: a few for each model, all for
-    /// one that batch waits for.
+    /// Workers that are known to serve the required models: a few per model, or all for
+    /// a model with waiting batch items.
     fn serving(&self, needs: &ConnectionNeeds) -> BTreeSet<WorkerName> {
         let mut counts: BTreeMap<&ModelName, usize> = BTreeMap::new();
         let mut workers = BTreeSet::new();
@@ -227,7 +229,7 @@
         }
         let short =
             |model: &ModelName| counts.get(model).copied().unwrap_or(0) < self.limits.per_model;
-        // Of a model that batch waits for, all workers are to be found.
+        // All workers of a model with waiting batch items have to be found.
         needs.models.iter().any(short) || !needs.batch.is_empty()
     }
 }
--- a/crates/bluebellreel_routing/src/event.rs
+++ b/crates/bluebellreel_routing/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a router, and what it decides to do.
+//! Inputs and outputs of the router.
 
 use bluebellreel_types::{
     AttemptEnd, AttemptId, AttemptVerdict, DataCentre, Dispatch, Incarnation, LoadReport, Moment,
@@ -6,64 +6,64 @@
 };
 use std::sync::Arc;
 
-/// A caller's request as it arrives.
+/// A request as received from a caller.
 #[derive(Clone, Debug)]
 pub struct NewRequest {
     /// Its id.
     pub id: RequestId,
-    /// What is asked.
+    /// The work requested.
     pub work: Arc<Work>,
-    /// When the answer is no longer wanted.
+    /// When the answer is no longer useful.
     pub deadline: Moment,
-    /// The entry's span.
+    /// Trace context of the entry daemon's span.
     pub trace: TraceContext,
 }
 
-/// What a claim is to say before an unrepeatable attempt is sent.
+/// Content of the claim that is recorded before a non-repeatable attempt is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimIntent {
     /// The request.
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptId,
-    /// Where it will be sent.
+    /// The worker that the attempt will be sent to.
     pub worker: WorkerName,
-    /// The run of the side process that it is meant for.
+    /// The incarnation of the side process that the attempt is meant for.
     pub incarnation: Incarnation,
 }
 
-/// How a request ends for its caller.
+/// The outcome of a request, as reported to its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer; a stream's text was delivered before.
+    /// The whole answer; the text of a stream has already been delivered.
     Completed {
         /// HTTP status.
         status: u16,
-        /// Body of a plain call's answer.
+        /// Body of the answer to a call that is not streamed.
         body: Arc<[u8]>,
         /// Tokens generated.
         tokens: u32,
     },
-    /// The backend server refused the work itself.
+    /// The backend server rejected the work.
     Rejected {
         /// HTTP status.
         status: u16,
-        /// Its reason.
+        /// The server's reason.
         message: Arc<str>,
     },
-    /// It did not run and will not.
+    /// The request did not run and will not run.
     NotRun {
         /// Why.
         reason: NotRunReason,
-        /// When it is worth asking again.
+        /// When a retry is worthwhile.
         retry_at: Moment,
     },
-    /// It ran in part and is given up; running it again does no harm.
+    /// The request ran in part and was given up; running it again does no harm.
     Failed {
         /// Why.
         message: Arc<str>,
     },
-    /// It may have run; its outcome can be read later by its key.
+    /// The request may have run; its outcome can be read later by its key.
     Unknown,
 }
 
@@ -74,15 +74,15 @@
     Arrived(NewRequest),
     /// A claim has been recorded: the attempt may be sent.
     ClaimRecorded(AttemptId),
-    /// A claim could not be recorded and never will be.
+    /// A claim could not be recorded, and never will be.
     ClaimFailed(AttemptId),
-    /// The key was claimed before: the caller is told what became of it.
+    /// The key was already claimed: the caller is told the earlier request's state.
     ClaimTaken(AttemptId),
-    /// An outcome has been recorded, or given up on.
+    /// An outcome has been recorded, or recording it was given up.
     OutcomeRecorded(RequestId),
-    /// The caller has gone away.
+    /// The caller has disconnected.
     CallerGone(RequestId),
-    /// Part of an answer has come.
+    /// Part of an answer has arrived.
     PartArrived {
         /// The attempt.
         attempt: AttemptId,
@@ -95,50 +95,50 @@
         worker: WorkerName,
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// How the attempt ended.
         end: AttemptEnd,
-        /// The worker's load, when it told.
+        /// The worker's load, if it reported one.
         load: Option<LoadReport>,
     },
-    /// A side process has said what it knows of an attempt.
+    /// A side process has reported what it knows of an attempt.
     VerdictArrived {
         /// The attempt.
         attempt: AttemptId,
-        /// What it knows.
+        /// The state of the attempt.
         verdict: AttemptVerdict,
     },
-    /// The list of VMs names a worker.
+    /// The VM list contains a worker.
     WorkerListed {
         /// Its name.
         worker: WorkerName,
-        /// Where it stands.
+        /// Its data centre.
         data_centre: DataCentre,
-        /// Whether it leaves, by the list or an operator's order.
+        /// Whether the worker is leaving, according to the list or an operator's order.
         leaving: bool,
     },
-    /// The list of VMs no longer names a worker.
+    /// The VM list no longer contains a worker.
     WorkerUnlisted(WorkerName),
     /// A side process has connected.
     WorkerConnected(SideHello),
-    /// A worker's connection is gone.
+    /// The connection to a worker is lost.
     WorkerLost(WorkerName),
-    /// A worker has told its load.
+    /// A worker has reported its load.
     LoadArrived {
         /// The worker.
         worker: WorkerName,
         /// Its load.
         load: LoadReport,
     },
-    /// Time has passed.
+    /// A periodic tick.
     Ticked,
 }
 
-/// What the daemon is to do.
+/// An action for the daemon to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Record a claim and come back with its fate.
+    /// Record a claim and report the result as an event.
     Claim(ClaimIntent),
-    /// Record the outcome of a claimed request and come back.
+    /// Record the outcome of a claimed request and report completion as an event.
     RecordOutcome {
         /// The request.
         request: RequestId,
@@ -147,32 +147,32 @@
     },
     /// Send an attempt.
     Dispatch {
-        /// Where to.
+        /// The worker to send it to.
         worker: WorkerName,
         /// The attempt.
         dispatch: Box<Dispatch>,
     },
-    /// Cancel an attempt, or ask what became of it if it may not be repeated.
+    /// Cancel an attempt; for a non-repeatable attempt, query its state instead.
     Cancel {
-        /// Where it was sent.
+        /// The worker that it was sent to.
         worker: WorkerName,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Hand text to the caller.
+    /// Deliver text to the caller.
     Deliver {
         /// The request.
         request: RequestId,
         /// The text.
         text: Arc<str>,
     },
-    /// Tell the caller how the request ended.
+    /// Report to the caller how the request ended.
     Finish {
         /// The request.
         request: RequestId,
-        /// How.
+        /// How the request ended.
         outcome: Outcome,
-        /// Attempts that it took.
+        /// Number of attempts made.
         attempts: u32,
     },
 }
--- a/crates/bluebellreel_routing/src/health.rs
+++ b/crates/bluebellreel_routing/src/health.rs
@@ -1,46 +1,47 @@
-//! Whether a worker is trusted with work.
+//! Outlier detection for workers.
 //!
-//! A worker that fails is set aside, probed with one request after a pause,
-//! and let back gradually, so that a recovering worker is not flooded and a
-//! broken one costs few requests.
+//! A worker that fails is ejected, probed with one request after a delay, and readmitted
+//! gradually, so that a recovering worker is not overloaded and a broken one costs few
+//! requests.
 
 use bluebellreel_types::Moment;
 use std::time::Duration;
 
-/// Failures in a row before a worker is set aside.
-const FAILURES_TO_SET_ASIDE: u32 = 2;
-/// First pause before a probe; doubled at each further failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause before a probe.
-const LONGEST_PAUSE: Duration = Duration::from_secs(15);
-/// In-flight share at which a returning worker counts as healthy.
-const FULL_SHARE: u32 = 16;
-/// Times slower than its peers before a worker counts as slow.
+/// Consecutive failures before a worker is ejected.
+const EJECTION_FAILURES: u32 = 2;
+/// Delay before the first probe; doubled with each further failure.
+const INITIAL_PROBE_DELAY: Duration = Duration::from_millis(500);
+/// Maximum delay before a probe.
+const MAX_PROBE_DELAY: Duration = Duration::from_secs(15);
+/// Number of requests in flight at which a recovering worker counts as healthy.
+const RECOVERED_IN_FLIGHT: u32 = 16;
+/// Factor by which a worker's first-token time must exceed the mean of its peers to
+/// count as slow.
 const SLOW_FACTOR: u64 = 3;
-/// First-token times below this never count as slow, in µs.
-const SLOW_FLOOR_MICROS: u64 = 50_000;
+/// First-token times up to this value never count as slow, in µs.
+const MIN_SLOW_MICROS: u64 = 50_000;
 
-/// How far a worker is trusted.
+/// Health of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthState {
-    /// Takes its share.
+    /// Receives its full share of requests.
     Healthy,
-    /// Takes nothing until a probe is due.
-    SetAside {
-        /// When one request may probe it.
+    /// Receives nothing until a probe is due.
+    Ejected {
+        /// When one request may be sent as a probe.
         probe_at: Moment,
     },
-    /// Takes as many at one time as it has answered in a row since.
-    Returning {
-        /// Requests in flight allowed.
-        share: u32,
+    /// Readmitted; the limit of concurrent requests rises with each answer.
+    Recovering {
+        /// Maximum number of requests in flight.
+        max_in_flight: u32,
     },
 }
 
-/// A worker's record.
+/// Health record of a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Health {
-    /// How far it is trusted.
+    /// The current state.
     pub state: HealthState,
     failures: u32,
     first_token_micros: u64,
@@ -57,61 +58,65 @@
 }
 
 impl Health {
-    /// Whether it may take one more request beside `in_flight`.
+    /// Whether the worker may receive one more request in addition to `in_flight`.
     #[must_use]
     pub fn admits(&self, in_flight: u32, now: Moment) -> bool {
         match self.state {
             HealthState::Healthy => true,
-            HealthState::SetAside { probe_at } => in_flight == 0 && probe_at.is_past(now),
-            HealthState::Returning { share } => in_flight < share,
+            HealthState::Ejected { probe_at } => in_flight == 0 && probe_at.is_past(now),
+            HealthState::Recovering { max_in_flight } => in_flight < max_in_flight,
         }
     }
 
-    /// Takes in an answer.
+    /// Records an answer.
     pub fn note_success(&mut self) {
         self.failures = 0;
         self.state = match self.state {
             HealthState::Healthy => HealthState::Healthy,
-            HealthState::SetAside { .. } => HealthState::Returning { share: 2 },
-            HealthState::Returning { share } if share >= FULL_SHARE => HealthState::Healthy,
-            HealthState::Returning { share } => HealthState::Returning { share: share + 1 },
+            HealthState::Ejected { .. } => HealthState::Recovering { max_in_flight: 2 },
+            HealthState::Recovering { max_in_flight } if max_in_flight >= RECOVERED_IN_FLIGHT => {
+                HealthState::Healthy
+            }
+            HealthState::Recovering { max_in_flight } => HealthState::Recovering {
+                max_in_flight: max_in_flight + 1,
+            },
         };
     }
 
-    /// Takes in a failure that the worker is to blame for.
+    /// Records a failure caused by the worker.
     pub fn note_failure(&mut self, now: Moment) {
         self.failures += 1;
-        let trusted = self.state == HealthState::Healthy;
-        if trusted && self.failures < FAILURES_TO_SET_ASIDE {
+        let healthy = self.state == HealthState::Healthy;
+        if healthy && self.failures < EJECTION_FAILURES {
             return;
         }
-        self.set_aside(now);
+        self.eject(now);
     }
 
-    /// Sets the worker aside at once.
-    pub fn set_aside(&mut self, now: Moment) {
-        let doublings = self.failures.saturating_sub(FAILURES_TO_SET_ASIDE).min(8);
-        let pause = (FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE);
-        let probe_at = now + pause;
-        self.state = HealthState::SetAside { probe_at };
+    /// Ejects the worker at once.
+    pub fn eject(&mut self, now: Moment) {
+        let doublings = self.failures.saturating_sub(EJECTION_FAILURES).min(8);
+        let delay = (INITIAL_PROBE_DELAY * (1 << doublings)).min(MAX_PROBE_DELAY);
+        let probe_at = now + delay;
+        self.state = HealthState::Ejected { probe_at };
     }
 
-    /// Takes in a first-token time and sets the worker aside when it is far
-    /// slower than `typical`, the mean of its peers, both in µs.
+    /// Records a first-token time and ejects the worker if it is far slower than
+    /// `typical`, the mean of its peers, both in µs.
     pub fn note_first_token(&mut self, micros: u64, typical: u64, now: Moment) {
         self.first_token_micros = match self.first_token_micros {
             0 => micros,
             mean => (mean * 7 + micros) / 8,
         };
-        let limit = (typical * SLOW_FACTOR).max(SLOW_FLOOR_MICROS);
+        let limit = (typical * SLOW_FACTOR).max(MIN_SLOW_MICROS);
         if typical > 0 && self.first_token_micros > limit && self.state == HealthState::Healthy {
-            self.failures = FAILURES_TO_SET_ASIDE;
+            self.failures = EJECTION_FAILURES;
             self.first_token_micros = 0;
-            self.set_aside(now);
+            self.eject(now);
         }
     }
 
-    /// Mean first-token time, in µs; zero before the first.
+    /// Mean first-token time, in µs; zero before the first answer.
     #[must_use]
     pub fn first_token_micros(&self) -> u64 {
         self.first_token_micros
@@ -123,26 +128,26 @@
     use super::*;
 
     #[test]
-    fn failing_worker_is_set_aside_probed_and_let_back() {
+    fn failing_worker_is_ejected_probed_and_readmitted() {
         let mut health = Health::default();
         health.note_failure(Moment(0));
         assert!(health.admits(5, Moment(0)));
         health.note_failure(Moment(0));
         assert!(!health.admits(0, Moment(0)));
-        let later = Moment(0) + FIRST_PAUSE;
+        let later = Moment(0) + INITIAL_PROBE_DELAY;
         assert!(health.admits(0, later));
         assert!(!health.admits(1, later), "one probe at a time");
         health.note_success();
         assert!(health.admits(1, later));
         assert!(!health.admits(2, later));
-        for _ in 0..FULL_SHARE {
+        for _ in 0..RECOVERED_IN_FLIGHT {
             health.note_success();
         }
         assert_eq!(health.state, HealthState::Healthy);
     }
 
     #[test]
-    fn far_slower_worker_is_set_aside() {
+    fn far_slower_worker_is_ejected() {
         let mut health = Health::default();
         for _ in 0..20 {
             health.note_first_token(400_000, 20_000, Moment(0));
--- a/crates/bluebellreel_routing/src/lib.rs
+++ b/crates/bluebellreel_routing/src/lib.rs
@@ -1,10 +1,9 @@
 //! Routing decisions of an entry daemon for online requests.
 //!
-//! [`step`] takes the router's state, one event, the present moment and a
-//! random generator, and returns effects. Everything that a request can go
-//! through is decided here: which worker gets it, when it is tried again, when
-//! "not run" may be said, and how a broken stream goes on from the text that
-//! the caller already has.
+//! [`step`] takes the router's state, one event, the current time and a random
+//! generator, and returns effects. It makes all decisions on a request: which
+//! worker gets it, when it is retried, when "not run" may be reported, and how
+//! an interrupted stream resumes after the text that the caller already has.
 //!
 //! ```
 //! use bluebellreel_routing::*;
@@ -20,22 +19,24 @@
 mod arrival;
 mod attempt;
 mod choice;
+mod connections;
 mod event;
 mod health;
+mod lifecycle;
 mod limits;
-mod reach;
 mod request;
 mod retry_budget;
 mod router;
 mod step;
-mod upkeep;
 mod worker;
 
-pub use choice::{Choice, Question, choose, rendezvous_score};
+pub use choice::{Choice, ChoiceQuery, choose, rendezvous_score};
+pub use connections::{
+    ConnectionLimits, ConnectionNeeds, ConnectionPlan, ConnectionPlanner, Listing,
+};
 pub use event::{ClaimIntent, Effect, Event, NewRequest, Outcome};
 pub use health::{Health, HealthState};
 pub use limits::RouterLimits;
-pub use reach::{ConnectionLimits, ConnectionNeeds, ConnectionPlan, ConnectionPlanner, Listing};
 pub use request::{Phase, Request};
 pub use retry_budget::RetryBudget;
 pub use router::Router;
--- a/crates/bluebellreel_routing/src/upkeep.rs
+++ b/crates/bluebellreel_routing/src/lifecycle.rs
@@ -1,8 +1,8 @@
-//! What comes to requests from outside their attempts: lost workers, verdicts,
-//! deadlines, callers that go away.
+//! Events of a request other than those of its attempts: lost workers, verdicts,
+//! deadlines and disconnected callers.
 
 use crate::arrival::not_run;
-use crate::attempt::{conclude, current, ended, finish, give_up, settle};
+use crate::attempt::{apply_end, attempt_ended, conclude, current, finish, give_up};
 use crate::{Effect, Outcome, Phase, Request, Router};
 use bluebellreel_types::{
     AttemptEnd, AttemptId, AttemptVerdict, BrokenReason, Moment, NotRunReason, RequestId,
@@ -12,10 +12,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause between two questions about an attempt in doubt.
-const ASK_PAUSE: Duration = Duration::from_millis(250);
+/// Interval between two queries about an attempt in doubt.
+const VERDICT_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A worker's connection is gone: its attempts broke.
+/// Handles the loss of a worker's connection, which interrupts its attempts.
 pub(crate) fn worker_lost(
     router: &mut Router,
     lost: &WorkerName,
@@ -41,11 +41,11 @@
             reason: BrokenReason::SideLost,
             partial: Arc::from(""),
         };
-        ended(router, lost, attempt, end, now, rng, effects);
+        attempt_ended(router, lost, attempt, end, now, rng, effects);
     }
     if let Some(worker) = router.workers.get_mut(lost) {
         worker.in_flight = 0;
-        worker.health.set_aside(now);
+        worker.health.eject(now);
     }
 }
 
@@ -66,7 +66,9 @@
     match &request.phase {
         Phase::Claiming { .. } => false,
         Phase::Running { .. } => request.deadline.is_past(now),
-        Phase::InDoubt { ask_at, .. } => ask_at.is_past(now) || request.deadline.is_past(now),
+        Phase::InDoubt { next_query_at, .. } => {
+            next_query_at.is_past(now) || request.deadline.is_past(now)
+        }
         Phase::Recording { until, .. } => until.is_past(now),
     }
 }
@@ -76,14 +78,14 @@
         return;
     };
     let attempt = request.attempt();
-    let late = request.deadline.is_past(now);
+    let expired = request.deadline.is_past(now);
     match request.phase.clone() {
         Phase::Running { worker, .. } => {
-            router.note_over(&worker);
+            router.note_ended(&worker);
             effects.push(Effect::Cancel { worker, attempt });
             expire(router, id, now, effects);
         }
-        Phase::InDoubt { .. } if late => conclude(router, id, Outcome::Unknown, now, effects),
+        Phase::InDoubt { .. } if expired => conclude(router, id, Outcome::Unknown, now, effects),
         Phase::InDoubt {
             worker,
             incarnation,
@@ -92,16 +94,16 @@
             request.phase = Phase::InDoubt {
                 worker: worker.clone(),
                 incarnation,
-                ask_at: now + ASK_PAUSE,
+                next_query_at: now + VERDICT_RETRY_INTERVAL,
             };
-            ask(router, id, worker, incarnation, now, effects);
+            request_verdict(router, id, worker, incarnation, now, effects);
         }
         Phase::Recording { outcome, .. } => finish(router, id, outcome, effects),
         Phase::Claiming { .. } => {}
     }
 }
 
-/// The deadline passed with an attempt out: it may have run.
+/// Ends a request whose deadline passed during an attempt: the attempt may have run.
 pub(crate) fn expire(router: &mut Router, id: RequestId, now: Moment, effects: &mut Vec<Effect>) {
     let Some(request) = router.requests.get_mut(&id) else {
         return;
@@ -110,7 +112,7 @@
     give_up(router, id, NotRunReason::Expired, now, effects);
 }
 
-pub(crate) fn ask(
+pub(crate) fn request_verdict(
     router: &mut Router,
     id: RequestId,
     worker: WorkerName,
@@ -123,14 +125,14 @@
         Some(present) if present == incarnation => {
             effects.push(Effect::Cancel { worker, attempt });
         }
-        // Another run of the side process knows nothing of its predecessor's
-        // calls: whether this one ran cannot be told any more.
+        // Another incarnation of the side process knows nothing of the calls of the
+        // previous one: whether this call ran can no longer be determined.
         Some(_) => conclude(router, id, Outcome::Unknown, now, effects),
         None => {}
     }
 }
 
-pub(crate) fn verdict(
+pub(crate) fn verdict_arrived(
     router: &mut Router,
     attempt: AttemptId,
     verdict: AttemptVerdict,
@@ -145,7 +147,7 @@
         return;
     };
     match verdict {
-        // Refused from now on: "not run" has become true.
+        // The side process will refuse the attempt from now on, so "not run" is certain.
         AttemptVerdict::NeverSeen => {
             request.may_have_run = false;
             let outcome = not_run(NotRunReason::Unreachable, now);
@@ -157,7 +159,7 @@
         }
         AttemptVerdict::Ended(end) => {
             request.may_have_run = !matches!(end, AttemptEnd::NotRun(_));
-            settle(router, attempt.request, end, now, rng, effects);
+            apply_end(router, attempt.request, end, now, rng, effects);
         }
     }
 }
@@ -166,14 +168,14 @@
     let Some(request) = router.requests.get(&id) else {
         return;
     };
-    // A call that may not be repeated goes on to its recorded outcome: the
-    // caller will come back and read it.
+    // A call that is not repeatable continues until its outcome is recorded: the caller
+    // will come back and read it.
     if !request.work.repeatable {
         return;
     }
     let attempt = request.attempt();
     if let Phase::Running { worker, .. } = request.phase.clone() {
-        router.note_over(&worker);
+        router.note_ended(&worker);
         effects.push(Effect::Cancel { worker, attempt });
     }
     router.remove(id);
--- a/crates/bluebellreel_routing/src/limits.rs
+++ b/crates/bluebellreel_routing/src/limits.rs
@@ -1,30 +1,30 @@
-//! Bounds of one entry daemon's router.
+//! Limits of one entry daemon's router.
 
 use std::time::Duration;
 
-/// Bounds, from the settings.
+/// Limits, taken from the settings.
 #[derive(Clone, Debug)]
 pub struct RouterLimits {
-    /// Most online requests in progress.
+    /// Maximum number of online requests in progress.
     pub requests: usize,
-    /// Most bytes of online requests in progress.
+    /// Maximum size of the online requests in progress, in bytes.
     pub request_bytes: usize,
-    /// Most online requests of one team in progress.
+    /// Maximum number of online requests of one team in progress.
     pub team_requests: usize,
-    /// Most attempts at one request.
+    /// Maximum number of attempts per request.
     pub attempts: u32,
-    /// Retries allowed for every hundred first attempts.
+    /// Retries allowed per hundred first attempts.
     pub retry_percent: u32,
-    /// A worker's load may exceed the mean by this, in percent, before its
-    /// prefix home is passed over.
+    /// How far the load of a prefix's home worker may exceed the mean, in percent,
+    /// before another worker is chosen.
     pub home_slack_percent: u64,
-    /// Online requests that a worker takes before the next one is used; zero
-    /// spreads them over all.
+    /// Number of online requests per worker up to which they are concentrated on few
+    /// workers; zero spreads them over all workers.
     pub online_per_worker: u32,
-    /// Age at which a load report counts for nothing.
-    pub load_age: Duration,
-    /// Longest wait for an outcome to be recorded before the caller is told.
-    pub record_wait: Duration,
+    /// Age at which a load report no longer counts.
+    pub load_report_ttl: Duration,
+    /// Maximum time to wait for an outcome to be recorded before the caller is told.
+    pub record_timeout: Duration,
 }
 
 impl Default for RouterLimits {
@@ -37,8 +37,8 @@
             retry_percent: 10,
             home_slack_percent: 25,
             online_per_worker: 32,
-            load_age: Duration::from_secs(5),
-            record_wait: Duration::from_millis(500),
+            load_report_ttl: Duration::from_secs(5),
+            record_timeout: Duration::from_millis(500),
         }
     }
 }
--- a/crates/bluebellreel_routing/src/request.rs
+++ b/crates/bluebellreel_routing/src/request.rs
@@ -6,64 +6,64 @@
 };
 use std::sync::Arc;
 
-/// Where a request stands.
+/// Phase of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Its claim is being recorded; nothing has been sent.
     Claiming {
-        /// The worker chosen.
+        /// The chosen worker.
         worker: WorkerName,
-        /// The run of its side process.
+        /// The incarnation of its side process.
         incarnation: Incarnation,
     },
-    /// An attempt is at a worker.
+    /// An attempt is running at a worker.
     Running {
         /// The worker.
         worker: WorkerName,
-        /// The run of its side process.
+        /// The incarnation of its side process.
         incarnation: Incarnation,
         /// When it was sent.
         sent_at: Moment,
     },
-    /// An unrepeatable attempt's worker was lost: it may have run. The same
-    /// run of the side process is asked once it is back.
+    /// The worker of a non-repeatable attempt was lost: the attempt may have run. The
+    /// same incarnation of the side process is queried once it is connected again.
     InDoubt {
         /// The worker.
         worker: WorkerName,
-        /// The run of its side process.
+        /// The incarnation of its side process.
         incarnation: Incarnation,
-        /// When to ask again.
-        ask_at: Moment,
+        /// When to send the next query.
+        next_query_at: Moment,
     },
     /// The outcome is being recorded.
     Recording {
         /// The outcome.
         outcome: Outcome,
-        /// When the caller is told all the same.
+        /// When the caller is told even if the outcome has not been recorded.
         until: Moment,
     },
 }
 
-/// One request.
+/// An online request.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// What is asked.
+    /// The work requested.
     pub work: Arc<Work>,
-    /// When the answer is no longer wanted.
+    /// When the answer is no longer useful.
     pub deadline: Moment,
-    /// The entry's span.
+    /// Trace context of the entry daemon's span.
     pub trace: TraceContext,
-    /// Attempts begun.
+    /// Number of attempts started.
     pub attempts: u32,
-    /// Text that the caller has.
+    /// Text delivered to the caller so far.
     pub delivered: String,
     /// Whether any attempt may have reached a backend server.
     pub may_have_run: bool,
-    /// Workers that failed it.
+    /// Workers that have failed the request.
     pub avoid: Vec<WorkerName>,
-    /// Where it stands.
+    /// The current phase.
     pub phase: Phase,
 }
 
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The attempt under way.
+    /// The current attempt.
     #[must_use]
     pub fn attempt(&self) -> AttemptId {
         AttemptId {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The message that hands the present attempt to a side process.
+    /// The message that sends the current attempt to a side process.
     #[must_use]
     pub fn dispatch(&self, side: Incarnation) -> Box<Dispatch> {
         Box::new(Dispatch {
--- a/crates/bluebellreel_routing/src/retry_budget.rs
+++ b/crates/bluebellreel_routing/src/retry_budget.rs
@@ -1,43 +1,43 @@
-//! A budget for retries as a share of first attempts.
+//! Retry budget, as a share of the first attempts.
 //!
-//! Guards against a retry storm: when a fault makes every attempt fail, each
-//! request would otherwise cost several times its work just when the fleet has
-//! the least to give. A retry spends what several first attempts earned.
+//! Guards against a retry storm: if a fault makes every attempt fail, each request would
+//! otherwise cost several times its work just when the fleet has the least capacity. A
+//! retry withdraws what several first attempts have deposited.
 
-/// Units in one retry.
-const UNITS: u32 = 100;
-/// Retries that may be saved up: a worker that dies breaks as many streams as
-/// it held at once, and each of them has to go on elsewhere.
-const MOST_SAVED: u32 = 64;
+/// Balance units that one retry costs.
+const UNITS_PER_RETRY: u32 = 100;
+/// Maximum number of saved retries. A worker that dies interrupts as many streams as it
+/// held at once, and each of them has to resume elsewhere.
+const MAX_SAVED_RETRIES: u32 = 64;
 
-/// Retries earned and spent.
+/// Balance of retries.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     percent: u32,
-    units: u32,
+    balance: u32,
 }
 
 impl RetryBudget {
-    /// A full budget that earns `percent` retries for a hundred first attempts.
+    /// A full budget that gains `percent` retries per hundred first attempts.
     #[must_use]
     pub fn new(percent: u32) -> Self {
         Self {
             percent,
-            units: MOST_SAVED * UNITS,
+            balance: MAX_SAVED_RETRIES * UNITS_PER_RETRY,
         }
     }
 
-    /// Earns the share of one first attempt.
-    pub fn earn(&mut self) {
-        self.units = (self.units + self.percent).min(MOST_SAVED * UNITS);
+    /// Deposits the share of one first attempt.
+    pub fn deposit(&mut self) {
+        self.balance = (self.balance + self.percent).min(MAX_SAVED_RETRIES * UNITS_PER_RETRY);
     }
 
-    /// Spends one retry; whether there was one.
-    pub fn spend(&mut self) -> bool {
-        if self.units < UNITS {
+    /// Withdraws one retry; returns whether the balance sufficed.
+    pub fn withdraw(&mut self) -> bool {
+        if self.balance < UNITS_PER_RETRY {
             return false;
         }
-        self.units -= UNITS;
+        self.balance -= UNITS_PER_RETRY;
         true
     }
 }
@@ -50,15 +50,15 @@
     fn retries_stay_a_share_of_first_attempts() {
         let mut budget = RetryBudget::new(10);
         let mut retries = 0;
-        while budget.spend() {
+        while budget.withdraw() {
             retries += 1;
         }
         for _ in 0..1_000 {
-            budget.earn();
-            while budget.spend() {
+            budget.deposit();
+            while budget.withdraw() {
                 retries += 1;
             }
         }
-        assert_eq!(retries, 100 + MOST_SAVED);
+        assert_eq!(retries, 100 + MAX_SAVED_RETRIES);
     }
 }
--- a/crates/bluebellreel_routing/src/router.rs
+++ b/crates/bluebellreel_routing/src/router.rs
@@ -4,12 +4,12 @@
 use bluebellreel_types::{DataCentre, Moment, RequestId, TeamName, WorkerName};
 use std::collections::{BTreeMap, HashMap};
 
-/// Requests in progress and the workers known.
+/// Requests in progress and known workers.
 #[derive(Clone, Debug)]
 pub struct Router {
-    /// Bounds.
+    /// Limits of the router.
     pub limits: RouterLimits,
-    /// Where this daemon stands.
+    /// Data centre of this daemon.
     pub data_centre: DataCentre,
     /// Workers by name.
     pub workers: BTreeMap<WorkerName, Worker>,
@@ -21,14 +21,14 @@
     pub team_limits: HashMap<TeamName, usize>,
     /// Bytes of the requests in progress.
     pub bytes: usize,
-    /// Retries that may be made.
+    /// Budget for retries.
     pub budget: RetryBudget,
-    /// Whether the daemon takes no new requests.
+    /// Whether the daemon accepts no new requests.
     pub stopping: bool,
 }
 
 impl Router {
-    /// A router that knows no worker.
+    /// A router without workers.
     #[must_use]
     pub fn new(limits: RouterLimits, data_centre: DataCentre) -> Self {
         Self {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Most requests in progress that a team may have.
+    /// Maximum number of requests that a team may have in progress.
     #[must_use]
     pub fn team_limit(&self, team: &TeamName) -> usize {
         self.team_limits
@@ -53,7 +53,7 @@
             .unwrap_or(self.limits.team_requests)
     }
 
-    /// Mean first-token time over the other workers, in µs; zero for none.
+    /// Mean first-token time of the other workers, in µs; zero if there is none.
     #[must_use]
     pub fn typical_first_token(&self, except: &WorkerName) -> u64 {
         let times = self
@@ -65,7 +65,7 @@
         sum.checked_div(count).unwrap_or(0)
     }
 
-    /// Takes a request into the counts.
+    /// Adds a request and counts it.
     pub(crate) fn insert(&mut self, request: Request) {
         self.bytes += request.work.body.len();
         *self
@@ -75,7 +75,7 @@
         self.requests.insert(request.id, request);
     }
 
-    /// Takes a request out of the counts.
+    /// Removes a request and its counts.
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
         self.bytes -= request.work.body.len();
@@ -88,7 +88,7 @@
         Some(request)
     }
 
-    /// Notes that an attempt went to a worker.
+    /// Records that an attempt was sent to a worker.
     pub(crate) fn note_sent(&mut self, worker: &WorkerName, tokens: u32) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.in_flight += 1;
@@ -96,14 +96,14 @@
         }
     }
 
-    /// Notes that an attempt at a worker is over.
-    pub(crate) fn note_over(&mut self, worker: &WorkerName) {
+    /// Records that an attempt at a worker has ended.
+    pub(crate) fn note_ended(&mut self, worker: &WorkerName) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.in_flight = worker.in_flight.saturating_sub(1);
         }
     }
 
-    /// Takes in a worker's failure.
+    /// Records a worker's failure.
     pub(crate) fn note_failure(&mut self, worker: &WorkerName, now: Moment) {
         if let Some(worker) = self.workers.get_mut(worker) {
             worker.health.note_failure(now);
--- a/crates/bluebellreel_routing/src/step.rs
+++ b/crates/bluebellreel_routing/src/step.rs
@@ -1,10 +1,10 @@
-//! The decisions: one event in, effects out.
+//! The router as a function from one event to its effects.
 
-use crate::{Effect, Event, Health, Router, Worker, arrival, attempt, upkeep};
+use crate::{Effect, Event, Health, Router, Worker, arrival, attempt, lifecycle};
 use bluebellreel_types::{Moment, SideHello};
 use rand::Rng;
 
-/// Takes in one event and says what to do.
+/// Applies one event and returns the resulting effects.
 #[must_use]
 pub fn step(router: &mut Router, event: Event, now: Moment, rng: &mut impl Rng) -> Vec<Effect> {
     let mut effects = Vec::new();
@@ -14,9 +14,9 @@
         Event::ClaimFailed(id) => attempt::claim_failed(router, id, now, &mut effects),
         Event::ClaimTaken(id) => attempt::claim_taken(router, id),
         Event::OutcomeRecorded(id) => attempt::outcome_recorded(router, id, &mut effects),
-        Event::CallerGone(id) => upkeep::caller_gone(router, id, &mut effects),
+        Event::CallerGone(id) => lifecycle::caller_gone(router, id, &mut effects),
         Event::PartArrived { attempt, text } => {
-            attempt::part(router, attempt, text, now, &mut effects);
+            attempt::part_arrived(router, attempt, text, now, &mut effects);
         }
         Event::AttemptEnded {
             worker,
@@ -27,10 +27,10 @@
             if let (Some(load), Some(worker)) = (load, router.workers.get_mut(&worker)) {
                 worker.note_load(load, now);
             }
-            attempt::ended(router, &worker, attempt, end, now, rng, &mut effects);
+            attempt::attempt_ended(router, &worker, attempt, end, now, rng, &mut effects);
         }
         Event::VerdictArrived { attempt, verdict } => {
-            upkeep::verdict(router, attempt, verdict, now, rng, &mut effects);
+            lifecycle::verdict_arrived(router, attempt, verdict, now, rng, &mut effects);
         }
         Event::WorkerListed {
             worker,
@@ -44,19 +44,19 @@
                 .ordered_leaving = leaving;
         }
         Event::WorkerUnlisted(worker) => {
-            upkeep::worker_lost(router, &worker, now, rng, &mut effects);
+            lifecycle::worker_lost(router, &worker, now, rng, &mut effects);
             router.workers.remove(&worker);
         }
         Event::WorkerConnected(hello) => connect(router, hello, now),
         Event::WorkerLost(worker) => {
-            upkeep::worker_lost(router, &worker, now, rng, &mut effects);
+            lifecycle::worker_lost(router, &worker, now, rng, &mut effects);
         }
         Event::LoadArrived { worker, load } => {
             if let Some(worker) = router.workers.get_mut(&worker) {
                 worker.note_load(load, now);
             }
         }
-        Event::Ticked => upkeep::tick(router, now, &mut effects),
+        Event::Ticked => lifecycle::tick(router, now, &mut effects),
     }
     effects
 }
@@ -69,7 +69,8 @@
     if worker.incarnation != Some(hello.incarnation) {
         worker.in_flight = 0;
     }
-    // Its last run left as planned: no reason to trust the next one less.
+    // The previous incarnation left as planned, which is no reason to distrust the new
+    // one.
     if worker.side_leaving {
         worker.health = Health::default();
     }
--- a/crates/bluebellreel_routing/tests/reach.rs
+++ b/crates/bluebellreel_routing/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Which workers a daemon connects to, as the fleet grows and changes.
+//! The workers that a daemon connects to as the fleet grows and changes.
 
 use bluebellreel_routing::{
     ConnectionLimits, ConnectionNeeds, ConnectionPlan, ConnectionPlanner, Listing,
@@ -11,7 +11,7 @@
 
 const MODELS: usize = 38;
 
-/// A fleet of workers, spread over 16 data centres, one model each.
+/// A fleet of workers in 16 data centres with one model each.
 struct Fleet {
     count: usize,
     now: Moment,
@@ -52,8 +52,9 @@
         }
     }
 
-    /// One look: connects as planned; connections tell what they serve.
-    fn turn(&mut self) -> ConnectionPlan {
+    /// Makes a plan and connects accordingly; each connection reveals the worker's
+    /// model.
+    fn replan(&mut self) -> ConnectionPlan {
         self.now = self.now + Duration::from_millis(500);
         let plan = self.reach.plan(&self.needs, self.now);
         for worker in &plan.workers {
@@ -64,13 +65,13 @@
         plan
     }
 
-    fn settle(&mut self) {
+    fn plan_until_complete(&mut self) {
         for _ in 0..self.count {
-            if !self.turn().is_short {
+            if !self.replan().is_short {
                 break;
             }
         }
-        self.turn();
+        self.replan();
     }
 
     fn connected_for(&self, model: &ModelName) -> usize {
@@ -88,21 +89,22 @@
 }
 
 #[test]
-fn small_site_is_reached_whole_at_once() {
+fn small_site_is_fully_connected_at_once() {
     let mut fleet = Fleet::new(12, 1);
-    let plan = fleet.turn();
+    let plan = fleet.replan();
     assert_eq!(plan.workers.len(), 12);
     assert!(!plan.is_short);
 }
 
-/// With 1,900 workers a daemon held 1,900 connections: 19 % of a core for
-/// control alone. Now it holds a few for each model, however many there are.
+/// With 1,900 workers a daemon held 1,900 connections, which cost 19 % of a core for
+/// control traffic alone. The number of connections must depend on the number of models
+/// only.
 #[test]
 fn connections_stay_flat_as_workers_grow() {
     let mut counts = Vec::new();
     for count in [950, 1_900, 3_800] {
         let mut fleet = Fleet::new(count, 1);
-        fleet.settle();
+        fleet.plan_until_complete();
         for model in &fleet.needs.models {
             assert!(fleet.connected_for(model) >= 8, "{model} of {count}");
         }
@@ -114,8 +116,9 @@
     );
 }
 
-/// Daemons of one data centre take the same workers there, so that prefixes
-/// find their engine through any of them; far ones they take each their own.
+/// Daemons of one data centre must connect to the same local workers, so that requests
+/// with the same prefix reach the same engine through any of them; their remote workers
+/// differ.
 #[test]
 fn daemons_of_a_data_centre_agree_on_near_workers() {
     let local = |fleet: &Fleet| -> BTreeSet<WorkerName> {
@@ -127,44 +130,45 @@
         fleet.connected.iter().filter(near).cloned().collect()
     };
     let (mut one, mut other) = (Fleet::new(1_900, 1), Fleet::new(1_900, 2));
-    one.settle();
-    other.settle();
+    one.plan_until_complete();
+    other.plan_until_complete();
     assert_eq!(local(&one), local(&other));
     assert_ne!(one.connected, other.connected);
 }
 
-/// A job of 64,000 items must not crawl on the few workers that online needs.
+/// A job of 64,000 items must not be limited to the few workers that online requests
+/// need.
 #[test]
-fn job_reaches_all_workers_of_its_model_and_lets_them_go_after() {
+fn job_connects_to_all_workers_of_its_model_and_releases_them_after() {
     let mut fleet = Fleet::new(1_900, 1);
-    fleet.settle();
+    fleet.plan_until_complete();
     let model = ModelName::from("model-5");
     fleet.needs.batch.insert(model.clone());
     for _ in 0..200 {
-        fleet.turn();
+        fleet.replan();
     }
     let all = (0..1_900)
         .filter(|n| model_of(&worker(*n)) == model)
         .count();
     assert_eq!(fleet.connected_for(&model), all);
     fleet.needs.batch.clear();
-    fleet.turn();
+    fleet.replan();
     assert!(fleet.connected_for(&model) < 20);
 }
 
-/// Closing a connection breaks what runs over it.
+/// Closing a connection interrupts the work that uses it.
 #[test]
 fn busy_worker_is_kept_and_the_matcher_sees_its_data_centre() {
     let mut fleet = Fleet::new(1_900, 1);
-    fleet.settle();
+    fleet.plan_until_complete();
     let far = (0..1_900)
         .map(worker)
         .find(|w| !fleet.connected.contains(w));
     let far = far.expect("most are not connected");
     fleet.needs.busy.insert(far.clone());
-    assert!(fleet.turn().workers.contains(&far));
+    assert!(fleet.replan().workers.contains(&far));
     fleet.needs.all_local = true;
-    let plan = fleet.turn();
+    let plan = fleet.replan();
     let near = listings(0..1_900)
         .into_iter()
         .filter(|l| l.data_centre == centre(3));
@@ -173,8 +177,8 @@
     }
 }
 
-/// A worker was given another model while nobody here was connected to it.
-/// The look at known workers goes round, so it is found some time.
+/// A worker was given another model while no daemon was connected to it. Periodic
+/// background probes must eventually find that.
 #[test]
 fn worker_that_changed_its_model_is_found_again() {
     let mut fleet = Fleet::new(200, 1);
@@ -182,29 +186,29 @@
     fleet
         .reach
         .note_models(&moved, [ModelName::from("old")], fleet.now);
-    fleet.settle();
-    fleet.now = fleet.now + ConnectionLimits::default().look_again;
-    let mut looked = false;
+    fleet.plan_until_complete();
+    fleet.now = fleet.now + ConnectionLimits::default().models_ttl;
+    let mut probed = false;
     for _ in 0..250 {
-        looked |= fleet.turn().workers.contains(&moved);
+        probed |= fleet.replan().workers.contains(&moved);
     }
-    assert!(looked);
+    assert!(probed);
 }
 
-/// A daemon is started while the key-value service is down: it knows no
-/// manifest. It finds out what the workers serve and goes on with that.
+/// A daemon that starts while the key-value service is down has no manifest. It must
+/// discover which models the workers serve and connect accordingly.
 #[test]
 fn daemon_without_a_manifest_finds_what_is_served() {
     let mut fleet = Fleet::new(1_900, 1);
     let models = std::mem::take(&mut fleet.needs.models);
-    fleet.settle();
+    fleet.plan_until_complete();
     for model in &models {
         assert!(fleet.connected_for(model) >= 8, "{model}");
     }
 }
 
-/// Whatever is listed, unreachable or busy: busy workers stay, nothing unlisted
-/// is reached, and the bound holds.
+/// For any listed, unreachable or busy workers: busy workers stay connected, unlisted
+/// ones are not connected, and the limit on connections holds.
 #[test]
 fn plans_keep_their_bounds() {
     let config = Config {
@@ -234,7 +238,7 @@
                     fleet.needs.busy.remove(&worker(number));
                 }
             }
-            let plan = fleet.turn();
+            let plan = fleet.replan();
             prop_assert!(fleet.needs.busy.is_subset(&plan.workers));
             prop_assert!(gone.iter().all(|n| !plan.workers.contains(&worker(*n))));
             let most = MODELS * 8 + 16 + fleet.needs.busy.len();
@@ -242,5 +246,5 @@
         }
         Ok(())
     });
-    run.expect("it holds");
+    run.expect("the limits hold for all steps");
 }
--- a/crates/bluebellreel_routing/tests/requests.rs
+++ b/crates/bluebellreel_routing/tests/requests.rs
@@ -1,4 +1,4 @@
-//! The course of online requests.
+//! Processing of online requests.
 
 use bluebellreel_routing::{Effect, Event, NewRequest, Outcome, Router, RouterLimits, step};
 use bluebellreel_types::{
@@ -10,22 +10,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-struct Bench {
+struct Harness {
     router: Router,
     rng: SmallRng,
     now: Moment,
 }
 
-impl Bench {
+impl Harness {
     fn new(workers: &[&str]) -> Self {
         let router = Router::new(RouterLimits::default(), DataCentre::from("Sligo"));
         let rng = SmallRng::seed_from_u64(7);
         let now = Moment(1_000_000);
-        let mut bench = Self { router, rng, now };
+        let mut harness = Self { router, rng, now };
         for worker in workers {
-            bench.connect(worker, 1);
+            harness.connect(worker, 1);
         }
-        bench
+        harness
     }
 
     fn step(&mut self, event: Event) -> Vec<Effect> {
@@ -41,7 +41,7 @@
         }));
     }
 
-    fn ask(&mut self, id: u64, repeatable: bool) -> Vec<Effect> {
+    fn submit(&mut self, id: u64, repeatable: bool) -> Vec<Effect> {
         let deadline = self.now + Duration::from_secs(10);
         self.step(Event::Arrived(NewRequest {
             id: RequestId(id),
@@ -102,153 +102,158 @@
     }
 }
 
-/// A stream breaks; the second attempt goes on from the delivered text. Then
-/// text of the first attempt arrives after all. The caller must not see it.
+/// A stream is interrupted and the second attempt resumes after the delivered text. Text
+/// of the first attempt that arrives later must not reach the caller.
 #[test]
-fn late_text_of_an_earlier_attempt_reaches_nobody() {
-    let mut bench = Bench::new(&["w1", "w2"]);
-    let (worker, first, _) = sent(&bench.ask(1, true));
+fn late_text_of_an_earlier_attempt_is_dropped() {
+    let mut harness = Harness::new(&["w1", "w2"]);
+    let (worker, first, _) = sent(&harness.submit(1, true));
     let part = |attempt, text: &str| Event::PartArrived {
         attempt,
         text: Arc::from(text),
     };
-    assert_eq!(bench.step(part(first, "one ")).len(), 1);
-    let effects = bench.end(&worker, first, broken(BrokenReason::EngineLost));
+    assert_eq!(harness.step(part(first, "one ")).len(), 1);
+    let effects = harness.end(&worker, first, broken(BrokenReason::EngineLost));
     let (other, second, resume) = sent(&effects);
     assert_ne!(other, worker, "another worker is tried");
     assert_eq!(&*resume, "one ");
-    assert!(bench.step(part(first, "stray ")).is_empty());
-    assert_eq!(bench.step(part(second, "two ")).len(), 1);
+    assert!(harness.step(part(first, "stray ")).is_empty());
+    assert_eq!(harness.step(part(second, "two ")).len(), 1);
     let late = AttemptEnd::Completed {
         status: 200,
         body: Arc::from([]),
         tokens: 1,
     };
-    assert!(bench.end(&other, first, late).is_empty());
+    assert!(harness.end(&other, first, late).is_empty());
 }
 
-/// A slot confirmation is out when its worker's connection is lost. It must
-/// not go to another worker, and the member must not hear "not run".
+/// The connection to a worker is lost while a slot confirmation, a call that is not
+/// repeatable, is in flight. The call must not be sent to another worker, and must not
+/// be reported as "not run" before the side process has confirmed that.
 #[test]
 fn unrepeatable_call_in_doubt_is_never_sent_again() {
-    let mut bench = Bench::new(&["w1", "w2"]);
-    let effects = bench.ask(1, false);
+    let mut harness = Harness::new(&["w1", "w2"]);
+    let effects = harness.submit(1, false);
     let Effect::Claim(intent) = &effects[0] else {
         panic!("claimed before it is sent: {effects:?}");
     };
-    let effects = bench.step(Event::ClaimRecorded(intent.attempt));
+    let effects = harness.step(Event::ClaimRecorded(intent.attempt));
     let (worker, attempt, _) = sent(&effects);
-    assert!(bench.step(Event::WorkerLost(worker.clone())).is_empty());
-    bench.now = bench.now + Duration::from_secs(1);
-    assert!(bench.step(Event::Ticked).is_empty(), "nobody can be asked");
-    bench.connect(worker.as_str(), 1);
-    bench.now = bench.now + Duration::from_secs(1);
-    let asked = bench.step(Event::Ticked);
+    assert!(harness.step(Event::WorkerLost(worker.clone())).is_empty());
+    harness.now = harness.now + Duration::from_secs(1);
+    assert!(
+        harness.step(Event::Ticked).is_empty(),
+        "no side process can be queried"
+    );
+    harness.connect(worker.as_str(), 1);
+    harness.now = harness.now + Duration::from_secs(1);
+    let asked = harness.step(Event::Ticked);
     assert_eq!(asked, [Effect::Cancel { worker, attempt }]);
     let verdict = AttemptVerdict::NeverSeen;
-    let effects = bench.step(Event::VerdictArrived { attempt, verdict });
+    let effects = harness.step(Event::VerdictArrived { attempt, verdict });
     assert!(matches!(outcome(&effects), Some(Outcome::NotRun { .. })));
 }
 
-/// The same, but the side process has restarted: nobody can tell any more.
+/// The side process has restarted, so that nobody knows whether the call ran.
 #[test]
-fn restarted_side_process_leaves_it_unknown() {
-    let mut bench = Bench::new(&["w1"]);
-    let effects = bench.ask(1, false);
+fn restarted_side_process_makes_the_outcome_unknown() {
+    let mut harness = Harness::new(&["w1"]);
+    let effects = harness.submit(1, false);
     let Effect::Claim(intent) = &effects[0] else {
         panic!("claimed");
     };
-    let (worker, ..) = sent(&bench.step(Event::ClaimRecorded(intent.attempt)));
-    bench.step(Event::WorkerLost(worker.clone()));
-    bench.connect(worker.as_str(), 2);
-    bench.now = bench.now + Duration::from_secs(1);
-    let effects = bench.step(Event::Ticked);
+    let (worker, ..) = sent(&harness.step(Event::ClaimRecorded(intent.attempt)));
+    harness.step(Event::WorkerLost(worker.clone()));
+    harness.connect(worker.as_str(), 2);
+    harness.now = harness.now + Duration::from_secs(1);
+    let effects = harness.step(Event::Ticked);
     assert_eq!(outcome(&effects), Some(&Outcome::Unknown));
 }
 
-/// Every worker fails every attempt: retries stay within their budget, so the
-/// fault does not become a storm.
+/// Every attempt fails at every worker: retries must stay within their budget, so that
+/// the fault does not become a retry storm.
 #[test]
 fn failing_fleet_gets_few_retries() {
-    let mut bench = Bench::new(&["w1", "w2", "w3", "w4"]);
+    let mut harness = Harness::new(&["w1", "w2", "w3", "w4"]);
     let mut sent_attempts = 0;
     for id in 0..2_000 {
-        bench.now = bench.now + Duration::from_millis(100);
-        let mut effects = bench.ask(id, true);
+        harness.now = harness.now + Duration::from_millis(100);
+        let mut effects = harness.submit(id, true);
         while let Some(Effect::Dispatch { worker, dispatch }) = effects.first().cloned() {
             sent_attempts += 1;
-            effects = bench.end(&worker, dispatch.attempt, broken(BrokenReason::Preempted));
+            effects = harness.end(&worker, dispatch.attempt, broken(BrokenReason::Preempted));
         }
     }
     let retries = sent_attempts - 2_000;
     assert!(retries <= 2_000 / 10 + 64, "{retries} retries");
 }
 
-/// A worker leaves by its own notice; it gets nothing new from then on.
+/// A worker that reports that it is leaving gets nothing new.
 #[test]
 fn leaving_worker_gets_nothing_new() {
-    let mut bench = Bench::new(&["w1", "w2"]);
+    let mut harness = Harness::new(&["w1", "w2"]);
     let load = LoadReport {
         leaving: true,
         models: vec!["m".into()],
         ..LoadReport::default()
     };
     let worker = WorkerName::from("w1");
-    bench.step(Event::LoadArrived { worker, load });
+    harness.step(Event::LoadArrived { worker, load });
     for id in 0..50 {
-        let (worker, ..) = sent(&bench.ask(id, true));
+        let (worker, ..) = sent(&harness.submit(id, true));
         assert_eq!(worker.as_str(), "w2");
     }
 }
 
-/// One team sends without end; another one's question still gets in.
+/// While one team sends requests without limit, the request of another team must be
+/// accepted.
 #[test]
 fn one_team_cannot_fill_the_daemon() {
-    let mut bench = Bench::new(&["w1"]);
-    let limit = bench.router.limits.team_requests;
+    let mut harness = Harness::new(&["w1"]);
+    let limit = harness.router.limits.team_requests;
     for id in 0..limit {
-        sent(&bench.ask(id as u64, true));
+        sent(&harness.submit(id as u64, true));
     }
-    let refused = bench.ask(9_999, true);
+    let refused = harness.submit(9_999, true);
     let reason = NotRunReason::Overloaded;
     assert!(matches!(outcome(&refused), Some(Outcome::NotRun { reason: r, .. }) if *r == reason));
     let mut other = work(true);
     other.team = TeamName::from("member");
-    let effects = bench.step(Event::Arrived(NewRequest {
+    let effects = harness.step(Event::Arrived(NewRequest {
         id: RequestId(10_000),
         work: Arc::new(other),
-        deadline: bench.now + Duration::from_secs(1),
+        deadline: harness.now + Duration::from_secs(1),
         trace: TraceContext::fresh(),
     }));
     sent(&effects);
 }
 
-/// All side processes were restarted one after another. For a moment every
-/// worker was on its way back, set aside or at its probe's share, and people
-/// were refused with "no worker serves this model" though all were connected.
+/// All side processes were restarted one after another. For a moment every worker was
+/// recovering, either ejected or limited to a probe, and requests were refused with "no
+/// worker serves this model" though all workers were connected.
 #[test]
-fn fleet_on_its_way_back_refuses_nobody() {
+fn recovering_fleet_refuses_no_request() {
     let workers = ["w1", "w2", "w3"];
-    let mut bench = Bench::new(&workers);
+    let mut harness = Harness::new(&workers);
     for worker in workers {
-        bench.step(Event::WorkerLost(worker.into()));
-        bench.connect(worker, 2);
+        harness.step(Event::WorkerLost(worker.into()));
+        harness.connect(worker, 2);
     }
     for id in 0..20 {
-        let effects = bench.ask(id, true);
+        let effects = harness.submit(id, true);
         assert!(outcome(&effects).is_none(), "{:?}", outcome(&effects));
         sent(&effects);
     }
 }
 
-/// A worker that fails is still passed over while another one is trusted.
+/// An ejected worker is skipped while another one is healthy.
 #[test]
-fn distrusted_worker_is_passed_over_while_another_is_trusted() {
-    let mut bench = Bench::new(&["w1", "w2"]);
-    bench.step(Event::WorkerLost("w1".into()));
-    bench.connect("w1", 2);
+fn ejected_worker_is_skipped_while_another_is_healthy() {
+    let mut harness = Harness::new(&["w1", "w2"]);
+    harness.step(Event::WorkerLost("w1".into()));
+    harness.connect("w1", 2);
     for id in 0..20 {
-        let (worker, ..) = sent(&bench.ask(id, true));
+        let (worker, ..) = sent(&harness.submit(id, true));
         assert_eq!(worker, WorkerName::from("w2"));
     }
 }
