--- a/crates/bluebellreel_dispatch/src/catalog.rs
+++ b/crates/bluebellreel_dispatch/src/catalog.rs
@@ -195,7 +195,8 @@
     }
 
     /// Replaces the catalog by a complete list: workers that are not in the list are
-    /// removed. An entry without a usable record counts as a removed worker.
+    /// removed. An entry without a usable record counts as a removed worker,
+    /// without a grace period.
     ///
     /// After an outage of the store the entries of live workers may have expired; the
     /// workers register again within about two seconds. `keep_until` keeps missing
@@ -250,7 +251,7 @@
     /// Removes the workers whose time to register again is over. A removal counts from
     /// the revision up to which everything is known: the workers were absent by then,
     /// and peers that have synchronised up to that revision in the meantime were sent
-    /// them as listed.
+    /// them as listed. A removal with a lower revision would not reach these peers.
     pub fn expire(&mut self, now: Moment) -> bool {
         let mut changed = false;
         for (id, entry) in &mut self.entries {
--- a/crates/bluebellreel_dispatch/src/suspects/mod.rs
+++ b/crates/bluebellreel_dispatch/src/suspects/mod.rs
@@ -40,7 +40,8 @@
 /// Quarantine of a batch item after one more crash; it doubles with each further one.
 /// Only the job's owner sends the item, and the item holds up its whole job.
 const BATCH_QUARANTINE: Duration = Duration::from_secs(15);
-/// Maximum quarantine, which also delays a request that workers have become able to run.
+/// Maximum quarantine; a request that workers have become able to run waits this long at
+/// most.
 const MAX_QUARANTINE: Duration = Duration::from_mins(10);
 /// How long a crash is kept.
 const CRASH_RETENTION: Duration = Duration::from_mins(30);
@@ -280,7 +281,7 @@
         }
     }
 
-    /// Records a trial run at this daemon.
+    /// Records the start of a trial run at this daemon.
     pub fn begin_trial(&mut self, fingerprint: Fingerprint, now: Moment) {
         self.note_trial(fingerprint, now);
         if let Some(record) = self.records.get_mut(&fingerprint) {
@@ -289,7 +290,7 @@
         }
     }
 
-    /// Records a trial run, here or at a peer.
+    /// Records the start of a trial run, here or at a peer.
     pub fn note_trial(&mut self, fingerprint: Fingerprint, now: Moment) {
         if let Some(record) = self.records.get_mut(&fingerprint)
             && record.trial_until.is_past(now)
