--- a/crates/bluebellreel_routing/src/choice.rs
+++ b/crates/bluebellreel_routing/src/choice.rs
@@ -111,8 +111,8 @@
     }
 }
 
-/// Leaves out workers that failed this request, and workers of other data centres as
-/// long as local workers below the load bound remain.
+/// Leaves out workers that failed this request as long as others remain, and workers of
+/// other data centres as long as local workers below the load bound remain.
 fn preferred<'a>(
     in_time: &[&'a Candidate<'a>],
     avoid: &[WorkerName],
