--- a/crates/bluebellreel_gateway/src/jobs/backup.rs
+++ b/crates/bluebellreel_gateway/src/jobs/backup.rs
@@ -149,7 +149,7 @@
 }
 
 /// Keeps how far the items of a peer's job are.
-pub(crate) fn keep_copy(gw: &Gateway, id: JobId, progress: &[u8]) {
+pub(crate) fn store_progress_copy(gw: &Gateway, id: JobId, progress: &[u8]) {
     let items = read_progress(&id, progress);
     let until = gw.now() + COPY_KEPT;
     gw.jobs.borrow_mut().copies.keep(id, items, until);
--- a/crates/bluebellreel_gateway/src/jobs/cancel.rs
+++ b/crates/bluebellreel_gateway/src/jobs/cancel.rs
@@ -89,7 +89,7 @@
 }
 
 /// Goes on with an end that a stopping peer could not record.
-pub(crate) fn take_end(gw: &Rc<Gateway>, id: &JobId) -> Response<Body> {
+pub(crate) fn take_cancellation(gw: &Rc<Gateway>, id: &JobId) -> Response<Body> {
     if gw.stopping.get() {
         return answers::failure(StatusCode::SERVICE_UNAVAILABLE, "stopping");
     }
@@ -98,7 +98,7 @@
 }
 
 /// Has peers go on with the ends that a stopping daemon could not record.
-pub(crate) fn pass_ends_on(gw: &Rc<Gateway>) {
+pub(crate) fn forward_cancellations(gw: &Rc<Gateway>) {
     let pending: Vec<JobId> = {
         let jobs = &mut *gw.jobs.borrow_mut();
         let passed_on = &mut jobs.ends_passed_on;
@@ -295,7 +295,7 @@
 }
 
 /// A peer reports that a job was ended.
-pub(crate) fn end_reported(gw: &Gateway, id: &JobId, peer: &EntryName) {
+pub(crate) fn cancellation_reported(gw: &Gateway, id: &JobId, peer: &EntryName) {
     let until = gw.now() + REMEMBER_FOR;
     gw.jobs.borrow_mut().add_tombstone(id, EndedBy::Peer, until);
     let Some(owned) = owned_job(gw, id) else {
--- a/crates/bluebellreel_gateway/src/jobs/confirm.rs
+++ b/crates/bluebellreel_gateway/src/jobs/confirm.rs
@@ -127,7 +127,7 @@
 }
 
 /// Has the store confirm own jobs whose items want to start, for ever.
-pub(crate) async fn keep_confirmed(gw: Rc<Gateway>) {
+pub(crate) async fn renew_start_leases(gw: Rc<Gateway>) {
     let mut other_way = false;
     let mut fails = false;
     loop {
--- a/crates/bluebellreel_gateway/src/jobs/mod.rs
+++ b/crates/bluebellreel_gateway/src/jobs/mod.rs
@@ -28,12 +28,14 @@
 use std::rc::Rc;
 
 pub(crate) use accept::submit;
-pub(crate) use backup::{copy_progress, keep_copy};
-pub(crate) use cancel::{cancel_own, end_reported, pass_ends_on, take_end};
-pub(crate) use confirm::{confirm_all, keep_confirmed, owner_reported};
+pub(crate) use backup::{copy_progress, store_progress_copy};
+pub(crate) use cancel::{
+    cancel_own, cancellation_reported, forward_cancellations, take_cancellation,
+};
+pub(crate) use confirm::{confirm_all, owner_reported, renew_start_leases};
 pub(crate) use hand_over::{HandOvers, take_hand_over};
 pub(crate) use read::{body_of_own, read_own};
-pub(crate) use runs::{make_room, start_items};
+pub(crate) use runs::{preempt_batch_runs, start_items};
 pub(crate) use takeover::adopt_orphans;
 
 /// Answers a call of a job's interface.
--- a/crates/bluebellreel_gateway/src/jobs/own.rs
+++ b/crates/bluebellreel_gateway/src/jobs/own.rs
@@ -240,7 +240,7 @@
     }
 
     /// Jobs that reports name as ended.
-    pub(crate) fn ended_here(&self) -> Vec<JobId> {
+    pub(crate) fn cancelled_here(&self) -> Vec<JobId> {
         let here = self.tombstones.iter().filter(|(_, t)| t.by == EndedBy::Us);
         here.take(REPORTED).map(|(id, _)| id.clone()).collect()
     }
--- a/crates/bluebellreel_gateway/src/jobs/runs.rs
+++ b/crates/bluebellreel_gateway/src/jobs/runs.rs
@@ -361,7 +361,7 @@
 }
 
 /// Ends the batch runs that must make room now. Their items go on elsewhere.
-pub(crate) fn make_room(gw: &Gateway) {
+pub(crate) fn preempt_batch_runs(gw: &Gateway) {
     let Ok(mut jobs) = gw.jobs.try_borrow_mut() else {
         return;
     };
--- a/crates/bluebellreel_gateway/src/leave.rs
+++ b/crates/bluebellreel_gateway/src/leave.rs
@@ -81,7 +81,7 @@
         spawn_local(async move {
             loop {
                 hand_overs.begin(&gw);
-                jobs::pass_ends_on(&gw);
+                jobs::forward_cancellations(&gw);
                 sleep(CHECK_EVERY).await;
             }
         });
--- a/crates/bluebellreel_gateway/src/peer_api.rs
+++ b/crates/bluebellreel_gateway/src/peer_api.rs
@@ -40,7 +40,7 @@
             jobs::body_of_own(&gw, &JobId::from(*id), item)
         }
         (&Method::DELETE, ["jobs", id]) => jobs::cancel_own(&gw, &JobId::from(*id)).await,
-        (&Method::PUT, ["jobs", id, "end"]) => jobs::take_end(&gw, &JobId::from(*id)),
+        (&Method::PUT, ["jobs", id, "end"]) => jobs::take_cancellation(&gw, &JobId::from(*id)),
         (&Method::PUT, ["jobs", id, what @ ("owner" | "progress")]) => {
             let id = JobId::from(*id);
             let is_owner = *what == "owner";
@@ -50,7 +50,7 @@
             if is_owner {
                 return jobs::take_hand_over(&gw, &id, &progress).await;
             }
-            jobs::keep_copy(&gw, id, &progress);
+            jobs::store_progress_copy(&gw, id, &progress);
             answers::status(StatusCode::OK)
         }
         (&Method::POST, ["store"]) => store(&gw, req).await,
--- a/crates/bluebellreel_gateway/src/place.rs
+++ b/crates/bluebellreel_gateway/src/place.rs
@@ -1,7 +1,7 @@
 //! A worker for a caller's request, and a place there.
 
 use crate::gateway::Gateway;
-use crate::jobs::make_room;
+use crate::jobs::preempt_batch_runs;
 use crate::request::Request;
 use crate::ticket::Place;
 use bluebellreel_dispatch::{Class, Placement, Query, place_online, should_leave};
@@ -49,6 +49,6 @@
 /// Takes a place for a caller's request; batch there makes room.
 pub(crate) fn take(gw: &Rc<Gateway>, worker: &WorkerName) -> Place {
     let place = Place::take(gw, worker, Class::Online);
-    make_room(gw);
+    preempt_batch_runs(gw);
     place
 }
--- a/crates/bluebellreel_gateway/src/reports/mod.rs
+++ b/crates/bluebellreel_gateway/src/reports/mod.rs
@@ -174,7 +174,7 @@
     let load = load_of(&report, supplement, now);
     hear_load(gw, &report.entry, load);
     for job in &report.cancelled {
-        crate::jobs::end_reported(gw, job, &report.entry);
+        crate::jobs::cancellation_reported(gw, job, &report.entry);
     }
     for job in &report.jobs {
         let owner = KnownOwner {
@@ -198,7 +198,7 @@
 /// Takes over what a peer runs: batch here may have to make room, or finds some.
 fn hear_load(gw: &Gateway, peer: &EntryName, load: PeerLoad) {
     gw.board.borrow_mut().hear(peer, load);
-    crate::jobs::make_room(gw);
+    crate::jobs::preempt_batch_runs(gw);
     gw.batch_due.notify_one();
 }
 
--- a/crates/bluebellreel_gateway/src/reports/wire.rs
+++ b/crates/bluebellreel_gateway/src/reports/wire.rs
@@ -198,7 +198,7 @@
         running: running.collect(),
         waiting: gw.jobs.borrow().items_waiting(),
         tokens: gw.jobs.borrow().tokens_by_route().into_iter().collect(),
-        cancelled: gw.jobs.borrow().ended_here(),
+        cancelled: gw.jobs.borrow().cancelled_here(),
     };
     let boots = board.own().map(|(_, boot, _)| boot).collect();
     let supplement = Supplement {
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -136,7 +136,7 @@
     spawn_local(registration::list_members(gw.clone()));
     spawn_local(quarantine::load(gw.clone()));
     spawn_local(jobs::start_items(gw.clone()));
-    spawn_local(jobs::keep_confirmed(gw.clone()));
+    spawn_local(jobs::renew_start_leases(gw.clone()));
     spawn_local(jobs::adopt_orphans(gw.clone()));
     spawn_local(jobs::copy_progress(gw.clone()));
     let g = gw.clone();
--- a/crates/bluebellreel_gateway/src/workers.rs
+++ b/crates/bluebellreel_gateway/src/workers.rs
@@ -1,7 +1,7 @@
 //! Applying what is known of workers to the board.
 
 use crate::gateway::Gateway;
-use crate::jobs::make_room;
+use crate::jobs::preempt_batch_runs;
 use bluebellreel_dispatch::WorkerChange;
 use bluebellreel_types::WorkerName;
 use log::info;
@@ -27,7 +27,7 @@
         }
     }
     gw.batch_due.notify_one();
-    make_room(gw);
+    preempt_batch_runs(gw);
 }
 
 /// Drops the connections to a worker's former life, which lead nowhere, and wakes the
