--- a/crates/bluebellreel_settings/src/gateway.rs
+++ b/crates/bluebellreel_settings/src/gateway.rs
@@ -36,7 +36,7 @@
     /// Longest value that the store takes, in bytes.
     pub value_bytes: usize,
     /// Shortest lease that the store grants.
-    pub shortest_lease: Duration,
+    pub min_lease_ttl: Duration,
     /// Time from SIGTERM until the process is killed.
     pub grace: Duration,
     /// Longest time from a job's end until its items no longer start.
@@ -86,7 +86,7 @@
     /// force; `peers.seeds` and `stop.grace_s` are taken over at once.
     #[must_use]
     pub fn start_needed_for(&self, other: &Self) -> Vec<&'static str> {
-        let store = |s: &Self| (s.store, s.value_bytes, s.shortest_lease);
+        let store = |s: &Self| (s.store, s.value_bytes, s.min_lease_ttl);
         let pairs = [
             ("vm.name", self.name != other.name),
             ("vm.data_centre", self.data_centre != other.data_centre),
@@ -206,7 +206,7 @@
         seeds: raw.peers.seeds,
         store: raw.store.address,
         value_bytes: raw.store.value_bytes,
-        shortest_lease: Duration::from_millis(raw.store.shortest_lease_ms),
+        min_lease_ttl: Duration::from_millis(raw.store.shortest_lease_ms),
         grace,
         cancel_within,
     })
--- a/crates/bluebellreel_settings/src/lib.rs
+++ b/crates/bluebellreel_settings/src/lib.rs
@@ -24,5 +24,5 @@
 pub use gateway::{Advertise, GatewaySettings, load_gateway, parse_gateway};
 pub use keeper::{KeeperSettings, load_keeper, parse_keeper};
 pub use parts::{LogLevel, LogTarget, TraceTarget};
-pub use side::{SideLean, SideSettings, load_side, parse_side};
+pub use side::{SidePriority, SideSettings, load_side, parse_side};
 pub use token::{Principal, TokenTable, hash_token, is_same_token};
--- a/crates/bluebellreel_settings/src/side.rs
+++ b/crates/bluebellreel_settings/src/side.rs
@@ -10,7 +10,7 @@
 /// Which measure the deployment puts first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum SideLean {
+pub enum SidePriority {
     /// Batch throughput.
     #[default]
     Throughput,
@@ -29,7 +29,7 @@
     #[serde(default)]
     limits: RawLimits,
     #[serde(default)]
-    lean: SideLean,
+    lean: SidePriority,
     #[serde(default = "default_stop")]
     stop_s: u64,
     #[serde(default)]
@@ -93,7 +93,7 @@
     /// Time between tokens that online streams should keep.
     pub inter_token_target: Duration,
     /// Which measure goes first.
-    pub lean: SideLean,
+    pub lean: SidePriority,
     /// Time for a graceful stop.
     pub stop: Duration,
     /// Log lines.
--- a/crates/bluebellreel_side/src/run.rs
+++ b/crates/bluebellreel_side/src/run.rs
@@ -10,7 +10,7 @@
 use bluebellreel_admission::{Admission, AdmissionLimits, Lean};
 use bluebellreel_http::HttpServer;
 use bluebellreel_rpc::{SideCommand, SideNotice, run_side};
-use bluebellreel_settings::{SideLean, SideSettings};
+use bluebellreel_settings::{SidePriority, SideSettings};
 use bluebellreel_telemetry::{SideMetrics, TraceSink, Tracer};
 use bluebellreel_types::{Clock, Incarnation, ModelVersion, SideHello};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
@@ -135,8 +135,8 @@
         queue_bytes: settings.queue_bytes,
         inter_token_target: settings.inter_token_target,
         lean: match settings.lean {
-            SideLean::Throughput => Lean::Throughput,
-            SideLean::Tail => Lean::Tail,
+            SidePriority::Throughput => Lean::Throughput,
+            SidePriority::Tail => Lean::Tail,
         },
         ..AdmissionLimits::default()
     }
