--- a/crates/bluebellreel_entry/src/http/online.rs
+++ b/crates/bluebellreel_entry/src/http/online.rs
@@ -40,7 +40,7 @@
             id,
             work: Arc::new(work),
             deadline,
-            trace: call.span.below(),
+            trace: call.span.child_context(),
         },
         digest: digest.clone(),
         caller,
--- a/crates/bluebellreel_entry/src/online/part.rs
+++ b/crates/bluebellreel_entry/src/online/part.rs
@@ -311,8 +311,8 @@
                 mut dispatch,
             } => {
                 if let Some(caller) = self.callers.get_mut(&dispatch.attempt.request) {
-                    let hop = Span::begin(caller.span.below(), "rpc", now);
-                    dispatch.trace = hop.below();
+                    let hop = Span::begin(caller.span.child_context(), "rpc", now);
+                    dispatch.trace = hop.child_context();
                     let before = caller.rpc.replace(hop.with("worker", worker.as_str()));
                     end_hop(&self.parts.tracer, before, now);
                 }
--- a/crates/bluebellreel_side/src/backend.rs
+++ b/crates/bluebellreel_side/src/backend.rs
@@ -139,7 +139,7 @@
             .config()
             .timeout_global(Some(left))
             .build()
-            .header("traceparent", span.below().to_string())
+            .header("traceparent", span.child_context().to_string())
             .send_json(Value::Object(body));
         let answer = match answer {
             Ok(answer) => answer,
@@ -216,7 +216,7 @@
             .uri(format!("{}{path}", self.url))
             .header("Content-Type", "application/json")
             .header("Idempotency-Key", &*dispatch.work.key)
-            .header("traceparent", span.below().to_string())
+            .header("traceparent", span.child_context().to_string())
             .body(dispatch.work.body.to_vec());
         let request = match request {
             Ok(request) => request,
--- a/crates/bluebellreel_side/src/core.rs
+++ b/crates/bluebellreel_side/src/core.rs
@@ -181,7 +181,7 @@
     fn below_span(&self, dispatch: &Dispatch) -> TraceContext {
         self.spans
             .get(&dispatch.attempt)
-            .map_or(dispatch.trace, Span::below)
+            .map_or(dispatch.trace, Span::child_context)
     }
 
     fn decide(&mut self, event: Event) {
--- a/crates/bluebellreel_telemetry/src/tracing.rs
+++ b/crates/bluebellreel_telemetry/src/tracing.rs
@@ -67,7 +67,7 @@
 
     /// The context for the hops below this one.
     #[must_use]
-    pub fn below(&self) -> TraceContext {
+    pub fn child_context(&self) -> TraceContext {
         self.context.child(self.id)
     }
 }
@@ -145,8 +145,9 @@
             "caller",
             Moment(1),
         );
-        let below = Span::begin(root.below(), "entry", Moment(2)).with("worker", "w1");
-        let message = otlp::span_json("test", &[root.clone(), below]).to_string();
+        let child_context =
+            Span::begin(root.child_context(), "entry", Moment(2)).with("worker", "w1");
+        let message = otlp::span_json("test", &[root.clone(), child_context]).to_string();
         assert_eq!(message.matches("parentSpanId").count(), 1);
         assert!(message.contains(&format!("{:016x}", root.id)));
         assert!(message.contains("\"w1\""));
