--- a/crates/bluebellreel_gateway/src/jobs/accept.rs
+++ b/crates/bluebellreel_gateway/src/jobs/accept.rs
@@ -5,7 +5,7 @@
 //! nothing, as "not run" would be untrue if it took effect later.
 
 use super::adopt::{adopt_new, adopt_stored};
-use super::own::Accepted;
+use super::own::SubmissionOutcome;
 use super::quota;
 use super::stored::{key, stored_record};
 use crate::answers;
@@ -27,21 +27,21 @@
 use tokio::time::{Instant, timeout_at};
 
 /// How long a write that is in doubt is repeated after its caller has left.
-const DECIDE: Duration = Duration::from_secs(30);
+const COMMIT_RETRY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Longest that a caller is kept while the store turns its job away. Past it
 /// the caller does better at another daemon.
-const TRY_STORE: Duration = Duration::from_millis(1200);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1200);
 /// When a caller should return whose job was not kept.
-const RETURN_AFTER: Duration = Duration::from_millis(400);
+const RETRY_AFTER: Duration = Duration::from_millis(400);
 /// When a caller should return to another daemon.
-const ELSEWHERE: Duration = Duration::from_millis(50);
+const RETRY_AFTER_STOPPING: Duration = Duration::from_millis(50);
 /// When a caller should return whose job did not fit.
-const RETURN_WHEN_ROOM: Duration = Duration::from_millis(1200);
+const RETRY_AFTER_OVER_QUOTA: Duration = Duration::from_millis(1200);
 /// Times that an acceptance near the quota is tried again after another one
 /// came first.
-const LEDGER_TRIES: usize = 5;
+const MAX_LEDGER_TRIES: usize = 5;
 /// Puts of one write: the store takes 32 entries.
-const CHUNKS_AT_ONCE: usize = 24;
+const MAX_CHUNKS_PER_TXN: usize = 24;
 /// Share of the longest value that a chunk takes, in percent.
 const CHUNK_PERCENT: usize = 60;
 
@@ -59,16 +59,20 @@
         return answers::failure(StatusCode::BAD_REQUEST, "no id");
     }
     let is_countable =
-        quota::wait_until_countable(gw, route, deadline.min(received + TRY_STORE)).await;
+        quota::wait_until_countable(gw, route, deadline.min(received + STORE_TIMEOUT)).await;
     if gw.jobs.borrow().own.contains_key(&id) {
-        return kept(gw, &id, received, "known");
+        return accepted_response(gw, &id, received, "known");
     }
     let underway = gw.jobs.borrow().submissions.get(&id).cloned();
     if underway.is_none() && gw.stopping.get() {
         // It would lie here until this process has ended. One that is under way
         // may be kept: its sender must not be told otherwise.
         let reason = "stopping";
-        return answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, reason, ELSEWHERE);
+        return answers::retry_after(
+            StatusCode::SERVICE_UNAVAILABLE,
+            reason,
+            RETRY_AFTER_STOPPING,
+        );
     }
     let decided = if let Some(underway) = underway {
         underway
@@ -78,7 +82,11 @@
         warn!(target: "jobs", job:% = id; "job refused: open jobs not listed yet");
         gw.metrics.job("refused");
         let reason = "open jobs not listed yet";
-        return answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, reason, ELSEWHERE);
+        return answers::retry_after(
+            StatusCode::SERVICE_UNAVAILABLE,
+            reason,
+            RETRY_AFTER_STOPPING,
+        );
     } else {
         let items = match wire::decode_job(body) {
             Ok(items) => items,
@@ -89,7 +97,7 @@
         };
         let tokens: u64 = items.iter().map(|i| i.tokens).sum();
         if !quota::fits(gw, route, tokens) {
-            return no_room(gw, &id, route, tokens).await;
+            return answer_over_quota(gw, &id, route, tokens).await;
         }
         begin(gw, &id, route, items, tokens)
     };
@@ -97,7 +105,7 @@
 }
 
 /// A job that does not fit now may be one that was accepted before.
-async fn no_room(gw: &Gateway, id: &JobId, route: &Route, tokens: u64) -> Response<Body> {
+async fn answer_over_quota(gw: &Gateway, id: &JobId, route: &Route, tokens: u64) -> Response<Body> {
     let known = gw.store.read(&key(&keys::record(id))).await;
     if let Ok(Some(_)) = known {
         return answers::status(StatusCode::ACCEPTED);
@@ -107,12 +115,16 @@
     gw.metrics.job("no_room");
     if known.is_err() {
         let reason = "store away";
-        return answers::retry_after(StatusCode::BAD_GATEWAY, reason, RETURN_AFTER);
+        return answers::retry_after(StatusCode::BAD_GATEWAY, reason, RETRY_AFTER);
     }
-    answers::retry_after(StatusCode::TOO_MANY_REQUESTS, "no room", RETURN_WHEN_ROOM)
+    answers::retry_after(
+        StatusCode::TOO_MANY_REQUESTS,
+        "no room",
+        RETRY_AFTER_OVER_QUOTA,
+    )
 }
 
-fn kept(gw: &Gateway, id: &JobId, received: Instant, how: &str) -> Response<Body> {
+fn accepted_response(gw: &Gateway, id: &JobId, received: Instant, how: &str) -> Response<Body> {
     let took = received.elapsed();
     gw.metrics.job("accepted");
     gw.metrics.job_accepted.observe(took.as_secs_f64());
@@ -123,28 +135,36 @@
 async fn await_decision(
     gw: &Gateway,
     id: &JobId,
-    mut decided: watch::Receiver<Accepted>,
+    mut decided: watch::Receiver<SubmissionOutcome>,
     received: Instant,
     deadline: Instant,
 ) -> Response<Body> {
-    let outcome = timeout_at(deadline, decided.wait_for(|a| *a != Accepted::Open)).await;
+    let outcome = timeout_at(
+        deadline,
+        decided.wait_for(|a| *a != SubmissionOutcome::Pending),
+    )
+    .await;
     let outcome = match outcome {
         Ok(Ok(accepted)) => *accepted,
-        _ => Accepted::Open,
+        _ => SubmissionOutcome::Pending,
     };
     match outcome {
-        Accepted::Kept => kept(gw, id, received, "stored"),
-        Accepted::NotKept => {
+        SubmissionOutcome::Stored => accepted_response(gw, id, received, "stored"),
+        SubmissionOutcome::NotStored => {
             warn!(target: "jobs", job:% = id; "job refused: store away");
             gw.metrics.job("refused");
-            answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, "store away", RETURN_AFTER)
+            answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, "store away", RETRY_AFTER)
         }
-        Accepted::NoRoom => {
+        SubmissionOutcome::OverQuota => {
             warn!(target: "jobs", job:% = id; "job does not fit");
             gw.metrics.job("no_room");
-            answers::retry_after(StatusCode::TOO_MANY_REQUESTS, "no room", RETURN_WHEN_ROOM)
+            answers::retry_after(
+                StatusCode::TOO_MANY_REQUESTS,
+                "no room",
+                RETRY_AFTER_OVER_QUOTA,
+            )
         }
-        Accepted::Open => {
+        SubmissionOutcome::Pending => {
             warn!(target: "jobs", job:% = id; "job in doubt");
             gw.metrics.job("in_doubt");
             answers::failure(StatusCode::GATEWAY_TIMEOUT, "not decided in time")
@@ -159,8 +179,8 @@
     route: &Arc<Route>,
     items: Vec<NewItem>,
     tokens: u64,
-) -> watch::Receiver<Accepted> {
-    let (tx, rx) = watch::channel(Accepted::Open);
+) -> watch::Receiver<SubmissionOutcome> {
+    let (tx, rx) = watch::channel(SubmissionOutcome::Pending);
     let now = gw.now();
     let record = JobRecord {
         host: route.host.clone(),
@@ -196,7 +216,7 @@
     route: &Route,
     mut record: JobRecord,
     items: Vec<NewItem>,
-) -> Accepted {
+) -> SubmissionOutcome {
     let chunk_bytes = gw.settings.value_bytes / 100 * CHUNK_PERCENT;
     let chunks = split_input(&items, chunk_bytes);
     record.chunks = chunks.len();
@@ -211,16 +231,20 @@
         })
         .collect();
     // Chunks without a record are nobody's; only the record makes the job.
-    while chunk_weight(&puts) > chunk_bytes || puts.len() > CHUNKS_AT_ONCE {
+    while total_bytes(&puts) > chunk_bytes || puts.len() > MAX_CHUNKS_PER_TXN {
         let first = Txn {
             puts: vec![puts.remove(0)],
             ..Txn::default()
         };
-        match gw.store.commit(&first, Instant::now() + TRY_STORE).await {
+        match gw
+            .store
+            .commit(&first, Instant::now() + STORE_TIMEOUT)
+            .await
+        {
             Commit::Applied { .. } => {}
             other => {
                 warn!(target: "jobs", job:% = id, outcome:? = other; "input not stored");
-                return Accepted::NotKept;
+                return SubmissionOutcome::NotStored;
             }
         }
     }
@@ -236,56 +260,59 @@
         puts,
         ..Txn::default()
     };
-    let near = quota::is_near(gw, route, record.tokens);
-    for _ in 0..LEDGER_TRIES {
-        let txn = if near {
-            match quota::guard(gw, route, id, record.tokens, &txn).await {
+    let uses_ledger = quota::needs_ledger(gw, route, record.tokens);
+    for _ in 0..MAX_LEDGER_TRIES {
+        let txn = if uses_ledger {
+            match quota::add_ledger(gw, route, id, record.tokens, &txn).await {
                 Ok(Some(txn)) => txn,
-                Ok(None) => return without_room(gw, &record_key).await,
+                Ok(None) => return outcome_over_quota(gw, &record_key).await,
                 Err(e) => {
                     warn!(target: "jobs", job:% = id, error:% = e; "quota not read");
-                    return Accepted::NotKept;
+                    return SubmissionOutcome::NotStored;
                 }
             }
         } else {
             txn.clone()
         };
-        if let Some(accepted) = decide(gw, id, &record, &items, &txn, &record_key).await {
+        if let Some(accepted) = create_record(gw, id, &record, &items, &txn, &record_key).await {
             return accepted;
         }
     }
-    Accepted::NotKept
+    SubmissionOutcome::NotStored
 }
 
 /// A job that its route's ledger has no room for may be one that was accepted before.
-async fn without_room(gw: &Gateway, record_key: &Key) -> Accepted {
+async fn outcome_over_quota(gw: &Gateway, record_key: &Key) -> SubmissionOutcome {
     match gw.store.read(record_key).await {
-        Ok(Some(_)) => Accepted::Kept,
-        Ok(None) => Accepted::NoRoom,
-        Err(_) => Accepted::Open,
+        Ok(Some(_)) => SubmissionOutcome::Stored,
+        Ok(None) => SubmissionOutcome::OverQuota,
+        Err(_) => SubmissionOutcome::Pending,
     }
 }
 
-fn chunk_weight(puts: &[Put]) -> usize {
+fn total_bytes(puts: &[Put]) -> usize {
     puts.iter().map(|p| p.value.len()).sum()
 }
 
 /// Creates the record. A first try is short; once an answer was lost the write
 /// is repeated until it is decided. `None` if another acceptance on the route
 /// came first.
-async fn decide(
+async fn create_record(
     gw: &Rc<Gateway>,
     id: &JobId,
     record: &JobRecord,
     items: &[NewItem],
     txn: &Txn,
     record_key: &Key,
-) -> Option<Accepted> {
+) -> Option<SubmissionOutcome> {
     let asked = gw.stamp();
-    let mut outcome = gw.store.commit(txn, Instant::now() + TRY_STORE).await;
+    let mut outcome = gw.store.commit(txn, Instant::now() + STORE_TIMEOUT).await;
     if let Commit::Unknown(reason) = &outcome {
         warn!(target: "jobs", job:% = id, reason = reason.as_str(); "acceptance in doubt");
-        outcome = gw.store.commit(txn, Instant::now() + DECIDE).await;
+        outcome = gw
+            .store
+            .commit(txn, Instant::now() + COMMIT_RETRY_TIMEOUT)
+            .await;
         // A later try that was surely not done does not settle the first one.
         if let Commit::NotDone(reason) = outcome {
             outcome = Commit::Unknown(reason);
@@ -294,23 +321,23 @@
     match outcome {
         Commit::Applied { revision } => {
             adopt_new(gw, id, record.clone(), revision, items.to_vec(), asked);
-            Some(Accepted::Kept)
+            Some(SubmissionOutcome::Stored)
         }
         Commit::Beaten(found) => {
             let Some((revision, stored)) = stored_record(&found, record_key) else {
                 let tombstone = key(&keys::tombstone(id));
-                let is_ended = found.iter().any(|kv| kv.key == tombstone);
+                let is_cancelled = found.iter().any(|kv| kv.key == tombstone);
                 // A try whose answer was lost may outlast the tombstone.
-                return is_ended.then_some(Accepted::Open);
+                return is_cancelled.then_some(SubmissionOutcome::Pending);
             };
             if stored == *record {
                 adopt_stored(gw, id, stored, revision, asked).await;
             } else {
                 gw.jobs.borrow_mut().note_owner(id, &stored);
             }
-            Some(Accepted::Kept)
+            Some(SubmissionOutcome::Stored)
         }
-        Commit::NotDone(_) => Some(Accepted::NotKept),
-        Commit::Unknown(_) => Some(Accepted::Open),
+        Commit::NotDone(_) => Some(SubmissionOutcome::NotStored),
+        Commit::Unknown(_) => Some(SubmissionOutcome::Pending),
     }
 }
--- a/crates/bluebellreel_gateway/src/jobs/adopt.rs
+++ b/crates/bluebellreel_gateway/src/jobs/adopt.rs
@@ -74,7 +74,7 @@
         }
         return;
     }
-    if gw.jobs.borrow().is_ended(&id) {
+    if gw.jobs.borrow().is_cancelled(&id) {
         info!(target: "jobs", job:% = id, revision = job.revision; "job ended before it was owned");
         return;
     }
--- a/crates/bluebellreel_gateway/src/jobs/archive.rs
+++ b/crates/bluebellreel_gateway/src/jobs/archive.rs
@@ -44,8 +44,8 @@
             let Some(oldest) = self.order.pop_front() else {
                 return;
             };
-            if let Some(gone) = self.jobs.remove(&oldest) {
-                self.bytes -= gone.bytes();
+            if let Some(evicted) = self.jobs.remove(&oldest) {
+                self.bytes -= evicted.bytes();
             }
         }
     }
--- a/crates/bluebellreel_gateway/src/jobs/backup.rs
+++ b/crates/bluebellreel_gateway/src/jobs/backup.rs
@@ -20,10 +20,10 @@
 
 /// Time between copies. An item of 190 events lasts some five seconds; copied
 /// this often, each of its events is sent about three times.
-const COPY_EVERY: Duration = Duration::from_secs(1);
+const COPY_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a copy is kept: longer than a dead owner's entry stands (3.6 s) and
 /// its successor takes to look, and than an item lasts.
-const COPY_KEPT: Duration = Duration::from_secs(20);
+const COPY_RETENTION: Duration = Duration::from_secs(20);
 
 /// How much of a job was copied last, and to whom.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 pub(crate) async fn copy_progress(gw: Rc<Gateway>) {
     let mut copied = HashMap::new();
     loop {
-        sleep(COPY_EVERY).await;
+        sleep(COPY_INTERVAL).await;
         let due = due(&gw, &mut copied);
         for (id, to, items) in due {
             if !copy(&gw, &id, to, &items).await {
@@ -100,20 +100,20 @@
 
 /// Longest wait for keepers when a job is taken over: one that is down must not
 /// hold the job up for longer than what its items would gain.
-const CALL_LONGEST: Duration = Duration::from_millis(300);
+const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long a keeper that refuses or cuts calls is asked again: one that stops as
 /// planned is back within a second, and what it knows is worth the wait.
-const RESTART_LONGEST: Duration = Duration::from_millis(1200);
+const RESTART_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Time between two calls to it.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Lets the items of a job that was taken over go on from where they were, as
 /// far as this daemon or a keeper knows.
-pub(super) async fn recall(gw: &Rc<Gateway>, id: &JobId, job: &mut Job) {
+pub(super) async fn restore_progress(gw: &Rc<Gateway>, id: &JobId, job: &mut Job) {
     let mut begun = gw.jobs.borrow_mut().copies.take(id);
     let keepers = gw.keepers.borrow().all(gw.now());
-    let asked = keepers.into_iter().map(|at| ask(gw, at, id));
+    let asked = keepers.into_iter().map(|at| fetch_progress(gw, at, id));
     for progress in join_all(asked).await.into_iter().flatten() {
         begun.extend(read_progress(id, &progress));
     }
@@ -127,10 +127,10 @@
 /// its disk: without another try the items would begin anew. It is waited for
 /// once, so that many jobs do not wait one after the other. One that is silent
 /// has lost its VM, and is not.
-async fn ask(gw: &Rc<Gateway>, at: SocketAddr, id: &JobId) -> Option<Bytes> {
-    let end = Instant::now() + RESTART_LONGEST;
+async fn fetch_progress(gw: &Rc<Gateway>, at: SocketAddr, id: &JobId) -> Option<Bytes> {
+    let end = Instant::now() + RESTART_TIMEOUT;
     loop {
-        let call = timeout(CALL_LONGEST, peer_calls::progress(gw, at, id));
+        let call = timeout(CALL_TIMEOUT, peer_calls::progress(gw, at, id));
         let error = match call.await {
             Ok(Ok(progress)) => return Some(progress),
             Ok(Err(e)) => e,
@@ -144,14 +144,14 @@
             warn!(target: "jobs", job:% = id, keeper:% = at, error = error.as_str(); "progress not fetched");
             return None;
         }
-        sleep(RETRY).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
 /// Keeps how far the items of a peer's job are.
 pub(crate) fn store_progress_copy(gw: &Gateway, id: JobId, progress: &[u8]) {
     let items = read_progress(&id, progress);
-    let until = gw.now() + COPY_KEPT;
+    let until = gw.now() + COPY_RETENTION;
     gw.jobs.borrow_mut().copies.keep(id, items, until);
 }
 
--- a/crates/bluebellreel_gateway/src/jobs/cancel.rs
+++ b/crates/bluebellreel_gateway/src/jobs/cancel.rs
@@ -6,7 +6,7 @@
 
 use super::load;
 use super::load::owned_job;
-use super::own::{Accepted, EndedBy, OwnedJob};
+use super::own::{CancelledBy, OwnedJob, SubmissionOutcome};
 use super::read::owner_address;
 use super::stored::key;
 use crate::gateway::Gateway;
@@ -24,25 +24,25 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 /// Longest that one try to record an end takes.
-const RECORD: Duration = Duration::from_millis(2500);
+const RECORD_TIMEOUT: Duration = Duration::from_millis(2500);
 /// First pause before an end that could not be recorded is tried again.
-const BACKOFF: Duration = Duration::from_millis(500);
+const MIN_BACKOFF: Duration = Duration::from_millis(500);
 /// Longest such pause; each is twice the one before.
-const BACKOFF_LONGEST: Duration = Duration::from_secs(5);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// Ends that are tried again at once, apart from those of jobs owned here.
-const PENDING: usize = 256;
+const MAX_PENDING: usize = 256;
 /// How long an end of a job that is not owned here is tried again.
-const RETRY_FOR: Duration = Duration::from_mins(1);
+const RETRY_TIMEOUT: Duration = Duration::from_mins(1);
 /// When a caller should return while the end cannot be recorded.
-const RETURN_AFTER: Duration = Duration::from_millis(300);
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 /// How long an end is remembered, and named by the reports of the daemon that
 /// recorded it.
-const REMEMBER_FOR: Duration = Duration::from_secs(10);
+const CANCELLATION_TTL: Duration = Duration::from_secs(10);
 /// How long a job that had no record when it was ended is not accepted: a
 /// submission in doubt is repeated for half of it.
-const TOMBSTONE: Duration = Duration::from_mins(1);
+const TOMBSTONE_TTL: Duration = Duration::from_mins(1);
 /// Times that a record that changes under the call is read again.
-const TRIES: usize = 4;
+const MAX_TRIES: usize = 4;
 
 /// How a try to end a job came out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,7 +61,7 @@
             Self::Recorded => answers::status(StatusCode::OK),
             Self::NoSuchJob => answers::failure(StatusCode::NOT_FOUND, "no such job"),
             Self::Undecided => {
-                answers::retry_after(StatusCode::BAD_GATEWAY, "not recorded yet", RETURN_AFTER)
+                answers::retry_after(StatusCode::BAD_GATEWAY, "not recorded yet", RETRY_AFTER)
             }
         }
     }
@@ -78,11 +78,11 @@
     let (tx, rx) = oneshot::channel();
     let (gw, id) = (gw.clone(), id.clone());
     tokio::task::spawn_local(async move {
-        let outcome = end(&gw, &id).await;
+        let outcome = try_cancel(&gw, &id).await;
         // The caller may have left.
         let _ = tx.send(outcome);
         if outcome == Outcome::Undecided {
-            retry_end(&gw, &id).await;
+            retry_cancel(&gw, &id).await;
         }
     });
     rx
@@ -101,8 +101,8 @@
 pub(crate) fn forward_cancellations(gw: &Rc<Gateway>) {
     let pending: Vec<JobId> = {
         let jobs = &mut *gw.jobs.borrow_mut();
-        let passed_on = &mut jobs.ends_passed_on;
-        let left = jobs.ends_pending.iter();
+        let passed_on = &mut jobs.forwarded_cancellations;
+        let left = jobs.pending_cancellations.iter();
         left.filter(|id| passed_on.insert((*id).clone()))
             .cloned()
             .collect()
@@ -110,17 +110,17 @@
     for id in pending {
         let gw = gw.clone();
         tokio::task::spawn_local(async move {
-            if let Err(e) = pass_on(&gw, &id).await {
+            if let Err(e) = forward(&gw, &id).await {
                 warn!(target: "jobs", job:% = id, error:% = e; "end not passed on");
-                sleep(BACKOFF).await;
-                gw.jobs.borrow_mut().ends_passed_on.remove(&id);
+                sleep(MIN_BACKOFF).await;
+                gw.jobs.borrow_mut().forwarded_cancellations.remove(&id);
             }
         });
     }
 }
 
 /// Has the job's successor go on with its end.
-async fn pass_on(gw: &Gateway, id: &JobId) -> Result<(), PeerError> {
+async fn forward(gw: &Gateway, id: &JobId) -> Result<(), PeerError> {
     let (now, members) = (gw.now(), &gw.members);
     let successor = members.borrow().successor(id, None, now);
     let successor = successor.ok_or("nobody is heard")?;
@@ -140,48 +140,57 @@
 
 /// Tries to end a job until it is decided. Items of a job of ours have stopped and
 /// will not go on, so that its end is tried for as long as it is ours.
-async fn retry_end(gw: &Rc<Gateway>, id: &JobId) {
-    let is_full = gw.jobs.borrow().ends_pending.len() >= PENDING && owned_job(gw, id).is_none();
+async fn retry_cancel(gw: &Rc<Gateway>, id: &JobId) {
+    let is_full =
+        gw.jobs.borrow().pending_cancellations.len() >= MAX_PENDING && owned_job(gw, id).is_none();
     if is_full {
-        warn!(target: "jobs", job:% = id, jobs = PENDING; "end not tried again");
+        warn!(target: "jobs", job:% = id, jobs = MAX_PENDING; "end not tried again");
         return;
     }
-    if !gw.jobs.borrow_mut().ends_pending.insert(id.clone()) {
+    if !gw
+        .jobs
+        .borrow_mut()
+        .pending_cancellations
+        .insert(id.clone())
+    {
         return;
     }
-    let until = Instant::now() + RETRY_FOR;
-    let mut pause = BACKOFF;
+    let until = Instant::now() + RETRY_TIMEOUT;
+    let mut pause = MIN_BACKOFF;
     while owned_job(gw, id).is_some() || Instant::now() < until {
         sleep(pause).await;
-        pause = BACKOFF_LONGEST.min(pause * 2);
-        if end(gw, id).await != Outcome::Undecided {
+        pause = MAX_BACKOFF.min(pause * 2);
+        if try_cancel(gw, id).await != Outcome::Undecided {
             break;
         }
     }
-    gw.jobs.borrow_mut().ends_pending.remove(id);
+    gw.jobs.borrow_mut().pending_cancellations.remove(id);
 }
 
 /// Tries once to end a job.
-async fn end(gw: &Rc<Gateway>, id: &JobId) -> Outcome {
+async fn try_cancel(gw: &Rc<Gateway>, id: &JobId) -> Outcome {
     let submission = gw.jobs.borrow().submissions.get(id).cloned();
     if let Some(mut decided) = submission {
         // A write that is in doubt may still create the record.
-        let until = Instant::now() + RECORD;
-        let decision = timeout_at(until, decided.wait_for(|a| *a != Accepted::Open));
+        let until = Instant::now() + RECORD_TIMEOUT;
+        let decision = timeout_at(
+            until,
+            decided.wait_for(|a| *a != SubmissionOutcome::Pending),
+        );
         if !matches!(decision.await, Ok(Ok(_))) {
             return Outcome::Undecided;
         }
     }
     if let Some(owned) = owned_job(gw, id) {
         stop_running(gw, &owned);
-    } else if ask_owner(gw, id).await {
+    } else if cancel_at_owner(gw, id).await {
         return Outcome::Recorded;
     }
-    end_in_store(gw, id).await
+    cancel_in_store(gw, id).await
 }
 
 /// Has the owner of a job end it; whether it has.
-async fn ask_owner(gw: &Gateway, id: &JobId) -> bool {
+async fn cancel_at_owner(gw: &Gateway, id: &JobId) -> bool {
     let Some(owner) = owner_address(gw, id) else {
         info!(target: "jobs", job:% = id; "owner of an ended job not known");
         gw.metrics.job_end("owner_unknown");
@@ -212,12 +221,12 @@
     gw.batch_due.notify_one();
 }
 
-async fn end_in_store(gw: &Rc<Gateway>, id: &JobId) -> Outcome {
-    let until = Instant::now() + RECORD;
-    for _ in 0..TRIES {
+async fn cancel_in_store(gw: &Rc<Gateway>, id: &JobId) -> Outcome {
+    let until = Instant::now() + RECORD_TIMEOUT;
+    for _ in 0..MAX_TRIES {
         let (revision, record) = match load::record(gw, id).await {
             Ok(Some(found)) => (found.revision, found.record),
-            Ok(None) => match bury(gw, id, until).await {
+            Ok(None) => match put_tombstone(gw, id, until).await {
                 Commit::Applied { .. } => return Outcome::NoSuchJob,
                 // It was accepted meanwhile.
                 Commit::Beaten(_) => continue,
@@ -236,7 +245,7 @@
         }
         match gw
             .store
-            .commit(&end_txn(id, &record, revision), until)
+            .commit(&cancel_txn(id, &record, revision), until)
             .await
         {
             Commit::Applied { revision } => return recorded(gw, id, revision),
@@ -253,8 +262,8 @@
 
 /// Keeps a job that has no record from being accepted: its submission may be in
 /// doubt at a peer.
-async fn bury(gw: &Gateway, id: &JobId, until: Instant) -> Commit {
-    let lease = match gw.store.lease(TOMBSTONE).await {
+async fn put_tombstone(gw: &Gateway, id: &JobId, until: Instant) -> Commit {
+    let lease = match gw.store.lease(TOMBSTONE_TTL).await {
         Ok(lease) => lease.id,
         Err(e) => return Commit::NotDone(e.to_string()),
     };
@@ -271,7 +280,7 @@
     gw.store.commit(&txn, until).await
 }
 
-fn end_txn(id: &JobId, record: &JobRecord, revision: i64) -> Txn {
+fn cancel_txn(id: &JobId, record: &JobRecord, revision: i64) -> Txn {
     let ended = JobRecord {
         phase: JobPhase::Cancelled,
         ..record.clone()
@@ -284,10 +293,10 @@
 
 fn recorded(gw: &Gateway, id: &JobId, revision: i64) -> Outcome {
     info!(target: "jobs", job:% = id, revision; "job ended by its sender");
-    let until = gw.now() + REMEMBER_FOR;
+    let until = gw.now() + CANCELLATION_TTL;
     let mut jobs = gw.jobs.borrow_mut();
     jobs.evict(id);
-    jobs.add_tombstone(id, EndedBy::Us, until);
+    jobs.add_tombstone(id, CancelledBy::Us, until);
     drop(jobs);
     gw.members.borrow_mut().claimed(id, gw.now());
     gw.report_due.notify_one();
@@ -296,8 +305,10 @@
 
 /// A peer reports that a job was ended.
 pub(crate) fn cancellation_reported(gw: &Gateway, id: &JobId, peer: &EntryName) {
-    let until = gw.now() + REMEMBER_FOR;
-    gw.jobs.borrow_mut().add_tombstone(id, EndedBy::Peer, until);
+    let until = gw.now() + CANCELLATION_TTL;
+    gw.jobs
+        .borrow_mut()
+        .add_tombstone(id, CancelledBy::Peer, until);
     let Some(owned) = owned_job(gw, id) else {
         return;
     };
--- a/crates/bluebellreel_gateway/src/jobs/confirm.rs
+++ b/crates/bluebellreel_gateway/src/jobs/confirm.rs
@@ -20,13 +20,13 @@
 use tokio::time::{sleep, timeout};
 
 /// Time between looks for jobs to confirm when nothing wakes the task.
-const LOOK: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause after a call that failed.
-const RETRY: Duration = Duration::from_millis(400);
+const RETRY_PAUSE: Duration = Duration::from_millis(400);
 
 /// Whether a job that was owned is still owned, as far as can be told without a
 /// call to the store.
-fn is_sure(gw: &Gateway, owned: &OwnedJob) -> bool {
+fn is_certainly_owned(gw: &Gateway, owned: &OwnedJob) -> bool {
     if gw.stopping.get() {
         // It hands its jobs over, and may not be notified that it has.
         return false;
@@ -34,8 +34,8 @@
     let (asked, now) = (owned.lease.get().asked(), gw.stamp());
     // An entry may be taken away while its lease is renewed as ever. Peers that
     // hear this daemon leave its jobs alone all the same.
-    let vouched = gw.tenure.get().covers(asked, now);
-    vouched && (gw.isolated_since.get().is_none() || asked.is_fresh(now))
+    let is_covered = gw.tenure.get().covers(asked, now);
+    is_covered && (gw.isolated_since.get().is_none() || asked.is_fresh(now))
 }
 
 /// Whether a job is this daemon's own. One that is not is evicted.
@@ -44,7 +44,7 @@
     // Readers that come together ask once.
     let _turn = owned.confirming.lock().await;
     let is_here = owned_job(gw, &id).is_some_and(|known| Rc::ptr_eq(&known, owned));
-    if !is_here || is_sure(gw, owned) {
+    if !is_here || is_certainly_owned(gw, owned) {
         return Ok(is_here);
     }
     let found = load::record(gw, &id).await?;
@@ -55,7 +55,7 @@
             Ok(true)
         }
         found => {
-            record::lost(gw, owned, found.map(|f| (f.revision, f.record)));
+            record::ownership_lost(gw, owned, found.map(|f| (f.revision, f.record)));
             Ok(false)
         }
     }
@@ -65,12 +65,15 @@
 /// were lost meanwhile take slots of workers for results that nobody can record.
 pub(crate) async fn confirm_all(gw: Rc<Gateway>) {
     let all: Vec<Rc<OwnedJob>> = gw.jobs.borrow().own.values().cloned().collect();
-    let unsure: Vec<_> = all.into_iter().filter(|o| !is_sure(&gw, o)).collect();
-    if unsure.is_empty() {
+    let uncertain: Vec<_> = all
+        .into_iter()
+        .filter(|o| !is_certainly_owned(&gw, o))
+        .collect();
+    if uncertain.is_empty() {
         return;
     }
-    info!(target: "jobs", jobs = unsure.len(); "own jobs looked at again");
-    for owned in unsure {
+    info!(target: "jobs", jobs = uncertain.len(); "own jobs looked at again");
+    for owned in uncertain {
         if let Err(e) = confirm(&gw, &owned).await {
             // Readers ask again, and so do items that want to start.
             warn!(target: "jobs", error:% = e; "own jobs not confirmed");
@@ -89,7 +92,7 @@
     if asked.is_fresh(gw.stamp()) || owned.confirming.try_lock().is_err() {
         return;
     }
-    owned.doubt(&gw.start_terms);
+    owned.invalidate_lease(&gw.start_terms);
     let gw = gw.clone();
     tokio::task::spawn_local(async move {
         if let Err(e) = confirm(&gw, &owned).await {
@@ -128,30 +131,30 @@
 
 /// Has the store confirm own jobs whose items want to start, for ever.
 pub(crate) async fn renew_start_leases(gw: Rc<Gateway>) {
-    let mut other_way = false;
-    let mut fails = false;
+    let mut use_other_path = false;
+    let mut is_failing = false;
     loop {
         // A timeout is the next look.
-        let _ = timeout(LOOK, gw.confirmation_due.notified()).await;
+        let _ = timeout(POLL_INTERVAL, gw.confirmation_due.notified()).await;
         loop {
             let due = due_jobs(&gw);
             if due.is_empty() {
                 break;
             }
-            let by_peer = gw.store.is_lost() != other_way;
+            let by_peer = gw.store.is_lost() != use_other_path;
             match check(&gw, &due, by_peer).await {
                 Ok(()) => {
-                    other_way = false;
-                    fails = false;
+                    use_other_path = false;
+                    is_failing = false;
                     gw.batch_due.notify_one();
                 }
                 Err(e) => {
-                    if !fails {
+                    if !is_failing {
                         warn!(target: "jobs", jobs = due.len(), error:% = e; "own jobs not confirmed");
                     }
-                    fails = true;
-                    other_way = !other_way;
-                    sleep(RETRY).await;
+                    is_failing = true;
+                    use_other_path = !use_other_path;
+                    sleep(RETRY_PAUSE).await;
                 }
             }
         }
@@ -186,15 +189,15 @@
             Some(found) => stored_record(found, &key(&keys::record(id))),
             None => None,
         };
-        let holds = match &stored {
+        let is_ours = match &stored {
             // The answer to the write that completed it may be on its way.
             Some((at, r)) => at == revision || (r.phase == JobPhase::Done && r.owner.run == gw.run),
             None => found.is_none(),
         };
-        if holds {
+        if is_ours {
             owned.confirmed(asked, &gw.start_terms);
         } else {
-            record::lost(gw, owned, stored);
+            record::ownership_lost(gw, owned, stored);
         }
     }
     Ok(())
--- a/crates/bluebellreel_gateway/src/jobs/hand_over.rs
+++ b/crates/bluebellreel_gateway/src/jobs/hand_over.rs
@@ -24,13 +24,13 @@
 
 /// Longest that results under way may take to be recorded before their job is
 /// handed over without them.
-const RECORD: Duration = Duration::from_millis(1200);
+const RECORD_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Time between looks whether they are.
-const LOOK: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// How long a hand-over's write is repeated.
-const DECIDE: Duration = Duration::from_millis(1500);
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Times that a new owner is notified of its job, while this process lasts.
-const NOTICES: u32 = 3;
+const MAX_NOTICES: u32 = 3;
 /// Pause before it is notified again.
 const NOTICE_PAUSE: Duration = Duration::from_millis(150);
 
@@ -72,10 +72,10 @@
 async fn hand_over(gw: Rc<Gateway>, owned: Rc<OwnedJob>) {
     let id = owned.job.borrow().id.clone();
     stop_items(&gw, &owned, &id);
-    let until = Instant::now() + RECORD;
+    let until = Instant::now() + RECORD_TIMEOUT;
     owned.record_due.notify_one();
     while owned.job.borrow().has_pending() && Instant::now() < until {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     if !owned.job.borrow().is_open() || !gw.jobs.borrow().own.contains_key(&id) {
         return;
@@ -101,7 +101,7 @@
         (record, job.revision, progress(&owned))
     };
     let txn = owner_txn(&id, &record, revision);
-    let outcome = gw.store.commit(&txn, Instant::now() + DECIDE).await;
+    let outcome = gw.store.commit(&txn, Instant::now() + COMMIT_TIMEOUT).await;
     let Some(revision) = handed_over(&outcome, &id, &record) else {
         warn!(target: "jobs", job:% = id, outcome:? = outcome; "job not handed over");
         return;
@@ -123,7 +123,7 @@
     id: &JobId,
     progress: &[u8],
 ) -> Result<StatusCode, PeerError> {
-    let mut left = NOTICES;
+    let mut left = MAX_NOTICES;
     loop {
         let told = peer_calls::hand_over(gw, to, id, progress.to_vec()).await;
         left -= 1;
@@ -174,7 +174,7 @@
     // Somebody who only knew of the new owner may have told us before. Or it was
     // ours long ago, and the one that hands it over has listed more.
     if let Some(owned) = owned_job(gw, id) {
-        owned.doubt(&gw.start_terms);
+        owned.invalidate_lease(&gw.start_terms);
         // If the store does not answer now, nor does it below.
         if confirm::confirm(gw, &owned).await.unwrap_or(false) {
             owned.job.borrow_mut().restore(begun, gw.now());
--- a/crates/bluebellreel_gateway/src/jobs/no_route.rs
+++ b/crates/bluebellreel_gateway/src/jobs/no_route.rs
@@ -18,15 +18,15 @@
 
 /// How long an item's route must be missing under one configuration before the
 /// item is given up: versions that follow quickly may bring it back.
-const ROUTE_GONE: Duration = Duration::from_secs(3);
+const MISSING_ROUTE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// An item of a job has no route. Once that has lasted, the store is asked, and
 /// the job's items without a route are given up if it agrees.
-pub(super) fn note(gw: &Rc<Gateway>, owned: &Rc<OwnedJob>) {
+pub(super) fn note_missing_route(gw: &Rc<Gateway>, owned: &Rc<OwnedJob>) {
     let now = gw.now();
     let first = RouteMissing {
         configuration: gw.facts.borrow().revisions().configuration,
-        ask_at: now + ROUTE_GONE,
+        ask_at: now + MISSING_ROUTE_TIMEOUT,
     };
     let known = owned.route_missing.get();
     let known = known.filter(|k| k.configuration == first.configuration);
@@ -36,12 +36,12 @@
     // It is asked again as much later if it does not agree.
     owned.route_missing.set(Some(first));
     if known.is_some() {
-        let asked = ask(gw.clone(), owned.clone(), first.configuration);
+        let asked = check_configuration(gw.clone(), owned.clone(), first.configuration);
         tokio::task::spawn_local(asked);
     }
 }
 
-async fn ask(gw: Rc<Gateway>, owned: Rc<OwnedJob>, revision: i64) {
+async fn check_configuration(gw: Rc<Gateway>, owned: Rc<OwnedJob>, revision: i64) {
     let id = owned.job.borrow().id.clone();
     let stored = match gw.store.read(&Key::from(keys::CONFIGURATION)).await {
         Ok(stored) => stored.map(|kv| kv.revision),
@@ -86,6 +86,6 @@
     let waiting = job.items.iter().enumerate();
     let waiting = waiting.filter(|(_, i)| matches!(i.phase, ItemPhase::Waiting { .. }));
     let host = &job.record.host;
-    let gone = waiting.filter(|(_, i)| configuration.route(host, &i.input.path).is_none());
-    gone.map(|(at, _)| at).collect()
+    let missing = waiting.filter(|(_, i)| configuration.route(host, &i.input.path).is_none());
+    missing.map(|(at, _)| at).collect()
 }
--- a/crates/bluebellreel_gateway/src/jobs/open.rs
+++ b/crates/bluebellreel_gateway/src/jobs/open.rs
@@ -3,7 +3,7 @@
 //! They are read in the background: once as soon as this daemon starts, and at each
 //! look for jobs without an owner. Acceptances count them from memory.
 
-use super::own::{Jobs, REPORTED};
+use super::own::{Jobs, MAX_REPORTED};
 use crate::gateway::Gateway;
 use bluebellreel_batch::{JobPhase, JobRecord, OpenJob, keys};
 use bluebellreel_kv::{Key, KvError};
@@ -16,9 +16,9 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 /// Jobs remembered, some hundred bytes each. More are not counted.
-const UNREPORTED: usize = 8192;
+const MAX_UNREPORTED: usize = 8192;
 /// Pause after a first list that failed.
-const RETRY: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// Open jobs that nobody reports, and what they count.
 #[derive(Default)]
@@ -67,7 +67,7 @@
     /// Takes a list over. What was read of a job's record before is kept.
     fn replace(&mut self, listed: impl Iterator<Item = (JobId, Option<OpenJob>)>) {
         let mut before = std::mem::take(&mut self.unreported);
-        let listed = listed.take(UNREPORTED);
+        let listed = listed.take(MAX_UNREPORTED);
         self.unreported = listed
             .map(|(id, open)| {
                 let open = open.or_else(|| before.remove(&id).flatten());
@@ -80,14 +80,14 @@
 
 /// Reads the index until that has succeeded once. One that the store refuses to tell
 /// will not be had later either: nobody waits for it.
-pub(super) async fn list_first(gw: &Gateway) {
+pub(super) async fn list_initially(gw: &Gateway) {
     while let Err(e) = list(gw).await {
         warn!(target: "jobs", error:% = e; "open jobs not listed");
         if let KvError::Refused(_) = e {
             gw.jobs.borrow().open.is_listed.send_replace(true);
             return;
         }
-        sleep(RETRY).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
@@ -105,14 +105,14 @@
     let members = gw.members.borrow();
     let mut jobs = gw.jobs.borrow_mut();
     let counted = members.counted_jobs(gw.now());
-    let full: Vec<_> = members
+    let full_reports: Vec<_> = members
         .peers()
-        .filter(|(_, p)| p.jobs.len() >= REPORTED)
+        .filter(|(_, p)| p.jobs.len() >= MAX_REPORTED)
         .collect();
     let unreported: Vec<_> = all
         .into_iter()
-        .filter(|(id, _)| !counted.contains(id) && !jobs.is_own_or_ended(id))
-        .filter(|(id, _)| !may_be_left_out(&full, &jobs, id))
+        .filter(|(id, _)| !counted.contains(id) && !jobs.is_own_or_finished(id))
+        .filter(|(id, _)| !may_be_omitted(&full_reports, &jobs, id))
         .collect();
     jobs.open.replace(unreported.into_iter());
     Ok(ids)
@@ -120,9 +120,10 @@
 
 /// Whether a job may be one that its owner counts and has no room to name, given the
 /// peers whose reports are full.
-fn may_be_left_out(full: &[(&EntryName, &Peer)], jobs: &Jobs, id: &JobId) -> bool {
+fn may_be_omitted(full_reports: &[(&EntryName, &Peer)], jobs: &Jobs, id: &JobId) -> bool {
     let owner = jobs.owners.get(id);
-    full.iter()
+    full_reports
+        .iter()
         .any(|(name, p)| owner.is_none_or(|o| o.entry == **name && o.run == p.run))
 }
 
--- a/crates/bluebellreel_gateway/src/jobs/own.rs
+++ b/crates/bluebellreel_gateway/src/jobs/own.rs
@@ -45,7 +45,7 @@
 
     /// Something speaks against the job's being this daemon's: none of its items
     /// starts before the store has confirmed it again.
-    pub(super) fn doubt(&self, terms: &StartTerms) {
+    pub(super) fn invalidate_lease(&self, terms: &StartTerms) {
         self.lease.set(StartLease::new(Stamp::default(), terms));
     }
 
@@ -82,7 +82,7 @@
 
 /// Who recorded the end of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum EndedBy {
+pub(crate) enum CancelledBy {
     /// This daemon, whose reports name the job.
     Us,
     /// A peer.
@@ -92,21 +92,21 @@
 /// A job that was ended.
 #[derive(Clone, Copy, Debug)]
 struct Tombstone {
-    by: EndedBy,
+    by: CancelledBy,
     until: Moment,
 }
 
 /// How a submission came out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Accepted {
+pub(crate) enum SubmissionOutcome {
     /// Not decided yet.
-    Open,
+    Pending,
     /// The job is kept.
-    Kept,
+    Stored,
     /// It is certainly not kept, and never will be.
-    NotKept,
+    NotStored,
     /// The same, as it does not fit its route's quota.
-    NoRoom,
+    OverQuota,
 }
 
 /// All jobs that this daemon knows of.
@@ -114,7 +114,7 @@
     pub(crate) own: BTreeMap<JobId, Rc<OwnedJob>>,
     pub(crate) runs: HashMap<(JobId, usize), ItemRun>,
     /// Submissions on their way to the store.
-    pub(crate) submissions: HashMap<JobId, watch::Receiver<Accepted>>,
+    pub(crate) submissions: HashMap<JobId, watch::Receiver<SubmissionOutcome>>,
     /// Owners of other jobs, as last read.
     pub(crate) owners: HashMap<JobId, KnownOwner>,
     /// Jobs without an owner that another daemon should take over, and since
@@ -129,9 +129,9 @@
     /// must not be run.
     tombstones: BTreeMap<JobId, Tombstone>,
     /// Jobs whose end is still to be recorded.
-    pub(crate) ends_pending: BTreeSet<JobId>,
+    pub(crate) pending_cancellations: BTreeSet<JobId>,
     /// Those of them that a stopping daemon has passed on, or is passing on.
-    pub(super) ends_passed_on: BTreeSet<JobId>,
+    pub(super) forwarded_cancellations: BTreeSet<JobId>,
     /// How far the items of peers' jobs are that this daemon would take over.
     pub(crate) copies: ProgressCopies,
     /// Wakes the task that looks for jobs without an owner.
@@ -140,15 +140,15 @@
 
 /// Jobs named in a report as owned, and as ended, some 20 bytes each. Owners of
 /// more are found by reading records, ends of more by asking the store.
-pub(super) const REPORTED: usize = 500;
+pub(super) const MAX_REPORTED: usize = 500;
 /// Tombstones kept, some 40 bytes each.
-const TOMBSTONES: usize = 8192;
+const MAX_TOMBSTONES: usize = 8192;
 /// Owners remembered; each takes some hundred bytes.
-const OWNERS: usize = 8192;
+const MAX_OWNERS: usize = 8192;
 
 /// Bytes of peers' progress that are kept: some hundred items half done, of
 /// a VM that may have 88 MB.
-const COPIES_BYTES: usize = 8 * 1024 * 1024;
+const MAX_COPIES_BYTES: usize = 8 * 1024 * 1024;
 
 impl Default for Jobs {
     fn default() -> Self {
@@ -162,9 +162,9 @@
             reported: HashSet::new(),
             archive: Archive::default(),
             tombstones: BTreeMap::new(),
-            ends_pending: BTreeSet::new(),
-            ends_passed_on: BTreeSet::new(),
-            copies: ProgressCopies::new(COPIES_BYTES),
+            pending_cancellations: BTreeSet::new(),
+            forwarded_cancellations: BTreeSet::new(),
+            copies: ProgressCopies::new(MAX_COPIES_BYTES),
             orphans_due: Rc::default(),
         }
     }
@@ -189,7 +189,7 @@
 
     /// Remembers that a job's tokens are counted somewhere.
     pub(crate) fn note_reported(&mut self, id: &JobId) {
-        if self.reported.len() >= OWNERS {
+        if self.reported.len() >= MAX_OWNERS {
             self.reported.clear();
         }
         self.reported.insert(id.clone());
@@ -197,7 +197,7 @@
     }
 
     fn set_owner(&mut self, id: &JobId, owner: KnownOwner) {
-        if self.owners.len() >= OWNERS {
+        if self.owners.len() >= MAX_OWNERS {
             self.owners.clear();
         }
         self.owners.insert(id.clone(), owner);
@@ -210,23 +210,23 @@
     }
 
     /// Whether a job is counted as this daemon's, or is over as far as is known here.
-    pub(super) fn is_own_or_ended(&self, id: &JobId) -> bool {
-        self.own.contains_key(id) || self.is_ended(id) || self.archive.get(id).is_some()
+    pub(super) fn is_own_or_finished(&self, id: &JobId) -> bool {
+        self.own.contains_key(id) || self.is_cancelled(id) || self.archive.get(id).is_some()
     }
 
     /// Jobs owned here that reports name.
     pub(crate) fn owned_ids(&self) -> Vec<JobId> {
-        self.own.keys().take(REPORTED).cloned().collect()
+        self.own.keys().take(MAX_REPORTED).cloned().collect()
     }
 
     /// Remembers that a job was ended, by whom, until a moment.
-    pub(crate) fn add_tombstone(&mut self, id: &JobId, by: EndedBy, until: Moment) {
-        if self.tombstones.len() >= TOMBSTONES {
+    pub(crate) fn add_tombstone(&mut self, id: &JobId, by: CancelledBy, until: Moment) {
+        if self.tombstones.len() >= MAX_TOMBSTONES {
             self.tombstones.clear();
         }
         let known = self.tombstones.get(id).map(|t| t.by);
-        let by = if known == Some(EndedBy::Us) {
-            EndedBy::Us
+        let by = if known == Some(CancelledBy::Us) {
+            CancelledBy::Us
         } else {
             by
         };
@@ -235,14 +235,17 @@
     }
 
     /// Whether a job is known to be ended.
-    pub(crate) fn is_ended(&self, id: &JobId) -> bool {
+    pub(crate) fn is_cancelled(&self, id: &JobId) -> bool {
         self.tombstones.contains_key(id)
     }
 
     /// Jobs that reports name as ended.
     pub(crate) fn cancelled_here(&self) -> Vec<JobId> {
-        let here = self.tombstones.iter().filter(|(_, t)| t.by == EndedBy::Us);
-        here.take(REPORTED).map(|(id, _)| id.clone()).collect()
+        let here = self
+            .tombstones
+            .iter()
+            .filter(|(_, t)| t.by == CancelledBy::Us);
+        here.take(MAX_REPORTED).map(|(id, _)| id.clone()).collect()
     }
 
     /// Forgets what has outlived its time.
--- a/crates/bluebellreel_gateway/src/jobs/quota.rs
+++ b/crates/bluebellreel_gateway/src/jobs/quota.rs
@@ -13,7 +13,7 @@
 /// Share of a quota from which on acceptances go through the route's ledger,
 /// in percent. Below it, four daemons that accept at the same moment without
 /// knowing of each other still stay within the quota.
-const NEAR_PERCENT: u64 = 25;
+const LEDGER_THRESHOLD_PERCENT: u64 = 25;
 
 /// Tokens that wait on a route at all daemons, as far as is known.
 pub(crate) fn tokens_waiting(gw: &Gateway, route: &str) -> u64 {
@@ -34,9 +34,9 @@
 }
 
 /// Whether a job's acceptance goes through the route's ledger.
-pub(crate) fn is_near(gw: &Gateway, route: &Route, tokens: u64) -> bool {
+pub(crate) fn needs_ledger(gw: &Gateway, route: &Route, tokens: u64) -> bool {
     let waiting = tokens_waiting(gw, &route.name) + tokens;
-    route.quota_tokens > 0 && waiting * 100 > route.quota_tokens * NEAR_PERCENT
+    route.quota_tokens > 0 && waiting * 100 > route.quota_tokens * LEDGER_THRESHOLD_PERCENT
 }
 
 /// Adds the ledger to a job's acceptance; `None` if the job does not fit.
@@ -44,7 +44,7 @@
 /// # Errors
 ///
 /// Gives the reason when the ledger cannot be read.
-pub(crate) async fn guard(
+pub(crate) async fn add_ledger(
     gw: &Gateway,
     route: &Route,
     id: &JobId,
--- a/crates/bluebellreel_gateway/src/jobs/read.rs
+++ b/crates/bluebellreel_gateway/src/jobs/read.rs
@@ -22,12 +22,12 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Longest that a read waits for a result.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+const MAX_WAIT: Duration = Duration::from_secs(1);
 /// How much longer a read waits for results that are being written. The store
 /// answers in some 4 ms; to read the job there costs two calls.
-const SETTLE_LONGEST: Duration = Duration::from_millis(100);
+const MAX_SETTLE: Duration = Duration::from_millis(100);
 /// When a caller should return while a job cannot be read.
-const RETURN_AFTER: Duration = Duration::from_millis(300);
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
 fn page(total: usize, after: usize, listed: &[ItemResult]) -> Response<Body> {
     answers::json(encode_results(total, after, listed))
@@ -40,7 +40,7 @@
     after: usize,
     wait: Duration,
 ) -> Response<Body> {
-    let until = Instant::now() + wait.min(LONGEST_WAIT);
+    let until = Instant::now() + wait.min(MAX_WAIT);
     if let Some(answer) = read_here(gw, id, after, until).await {
         return answer;
     }
@@ -61,7 +61,7 @@
     match from_store(gw, id).await {
         Ok(Some(archived)) => page(archived.total, after, &archived.listed),
         Ok(None) => answers::failure(StatusCode::NOT_FOUND, "no such job"),
-        Err(e) => unsure(id, &e),
+        Err(e) => not_readable(id, &e),
     }
 }
 
@@ -81,10 +81,10 @@
     });
 }
 
-fn unsure(id: &JobId, e: &KvError) -> Response<Body> {
+fn not_readable(id: &JobId, e: &KvError) -> Response<Body> {
     warn!(target: "jobs", job:% = id, error:% = e; "job not readable now");
     let reason = "job not readable now";
-    answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, reason, RETURN_AFTER)
+    answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, reason, RETRY_AFTER)
 }
 
 /// Where the owner of a job is, if it is heard.
@@ -103,7 +103,7 @@
     after: usize,
     wait: Duration,
 ) -> Response<Body> {
-    let until = Instant::now() + wait.min(LONGEST_WAIT);
+    let until = Instant::now() + wait.min(MAX_WAIT);
     if let Some(answer) = read_here(gw, id, after, until).await {
         return answer;
     }
@@ -122,7 +122,7 @@
 ) -> Option<Response<Body>> {
     let owned = owned_job(gw, id)?;
     let read = read_owned(gw, &owned, after, until).await;
-    read.unwrap_or_else(|e| Some(unsure(id, &e)))
+    read.unwrap_or_else(|e| Some(not_readable(id, &e)))
 }
 
 /// Results of a job of ours; none if it is another daemon's now.
@@ -156,7 +156,7 @@
         {
             let job = owned.job.borrow();
             let is_over = !job.is_open() || gw.stopping.get() || Instant::now() >= until;
-            let settles = job.is_writing() && Instant::now() < until + SETTLE_LONGEST;
+            let settles = job.is_writing() && Instant::now() < until + MAX_SETTLE;
             if job.listed.len() > after || (is_over && !settles) {
                 return;
             }
@@ -165,7 +165,7 @@
         let until = if Instant::now() < until {
             until
         } else {
-            until + SETTLE_LONGEST
+            until + MAX_SETTLE
         };
         let _ = timeout_at(until, listed).await;
     }
@@ -203,7 +203,7 @@
     match body_from_store(gw, id, item).await {
         Ok(Some(body)) => answers::bytes(body),
         Ok(None) => answers::failure(StatusCode::NOT_FOUND, "no such item"),
-        Err(e) => unsure(id, &e),
+        Err(e) => not_readable(id, &e),
     }
 }
 
--- a/crates/bluebellreel_gateway/src/jobs/record.rs
+++ b/crates/bluebellreel_gateway/src/jobs/record.rs
@@ -14,13 +14,13 @@
 
 /// How long results gather before they are recorded. A write costs as much as
 /// a read; what is not recorded runs again if this daemon dies.
-const GATHER: Duration = Duration::from_secs(1);
+const RECORD_DELAY: Duration = Duration::from_secs(1);
 /// Time between looks at what gathers.
-const LOOK: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// How far the clocks of two daemons may differ, with some margin.
 const CLOCK_SLACK: Duration = Duration::from_secs(8);
 /// How long one round of repeating a write lasts.
-const ROUND: Duration = Duration::from_secs(5);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Share of the longest value that a segment's texts take, in percent: JSON's
 /// escapes and the ids take the rest.
 const SEGMENT_PERCENT: usize = 40;
@@ -35,7 +35,7 @@
             continue;
         }
         // A timeout is the next look.
-        let _ = timeout(LOOK, owned.record_due.notified()).await;
+        let _ = timeout(POLL_INTERVAL, owned.record_due.notified()).await;
     }
 }
 
@@ -49,14 +49,14 @@
 fn next_segment(gw: &Gateway, owned: &OwnedJob) -> Option<Segment> {
     let bytes = gw.settings.value_bytes / 100 * SEGMENT_PERCENT;
     // A daemon that stops hands its jobs over and records what it has.
-    let gather = if gw.stopping.get() {
+    let delay = if gw.stopping.get() {
         Duration::ZERO
     } else {
-        GATHER
+        RECORD_DELAY
     };
     let mut job = owned.job.borrow_mut();
     job.give_up_overdue(CLOCK_SLACK, gw.now());
-    job.segment_to_write(|since: Moment| since + gather, gw.now(), bytes)
+    job.segment_to_write(|since: Moment| since + delay, gw.now(), bytes)
 }
 
 fn txn_of(job: &Job, segment: &Segment) -> Txn {
@@ -84,7 +84,7 @@
 async fn write(gw: &Rc<Gateway>, id: &JobId, owned: &Rc<OwnedJob>, segment: &Segment) {
     let txn = txn_of(&owned.job.borrow(), segment);
     let asked = gw.stamp();
-    match gw.store.commit(&txn, Instant::now() + ROUND).await {
+    match gw.store.commit(&txn, Instant::now() + COMMIT_TIMEOUT).await {
         Commit::Applied { revision } => {
             owned.confirmed(asked, &gw.start_terms);
             recorded(gw, id, owned, segment, revision);
@@ -100,7 +100,7 @@
             let revision = owned.job.borrow().revision;
             let is_unchanged = stored.as_ref().is_some_and(|(at, _)| *at == revision);
             if own.is_none() || !is_unchanged {
-                lost(gw, owned, stored);
+                ownership_lost(gw, owned, stored);
             }
         }
         Commit::NotDone(reason) | Commit::Unknown(reason) => {
@@ -139,7 +139,7 @@
 }
 
 /// Another daemon owns the job now, or it was ended: its record is as stored.
-pub(super) fn lost(gw: &Gateway, owned: &Rc<OwnedJob>, stored: Option<(i64, JobRecord)>) {
+pub(super) fn ownership_lost(gw: &Gateway, owned: &Rc<OwnedJob>, stored: Option<(i64, JobRecord)>) {
     let id = &owned.job.borrow().id.clone();
     let mut jobs = gw.jobs.borrow_mut();
     if !jobs.own.get(id).is_some_and(|o| Rc::ptr_eq(o, owned)) {
--- a/crates/bluebellreel_gateway/src/jobs/runs.rs
+++ b/crates/bluebellreel_gateway/src/jobs/runs.rs
@@ -27,20 +27,20 @@
 use tokio::time::{Instant, timeout};
 
 /// Longest wait for the head of a worker's answer to an item.
-const HEAD: Duration = Duration::from_millis(900);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(900);
 /// Silence after which an item goes on at another worker.
-const SILENCE: Duration = Duration::from_millis(700);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Rest of an item after a run that came to nothing, so that it does not go
 /// round workers that all refuse it.
-const REST: Duration = Duration::from_millis(120);
+const ITEM_BACKOFF: Duration = Duration::from_millis(120);
 
 /// Starts waiting items wherever a slot is free, for ever.
 pub(crate) async fn start_items(gw: Rc<Gateway>) {
     /// Time between looks when nothing wakes the task.
-    const LOOK: Duration = Duration::from_millis(50);
+    const POLL_INTERVAL: Duration = Duration::from_millis(50);
     loop {
         // A timeout is the next look.
-        let _ = timeout(LOOK, gw.batch_due.notified()).await;
+        let _ = timeout(POLL_INTERVAL, gw.batch_due.notified()).await;
         if !gw.stopping.get() {
             fill_slots(&gw);
         }
@@ -51,8 +51,8 @@
     let mut full: BTreeSet<Arc<str>> = BTreeSet::new();
     let mut unconfirmed: BTreeSet<JobId> = BTreeSet::new();
     while let Some(next) = choose_item(gw, &full, &unconfirmed) {
-        let leave = match may_run(gw, &next) {
-            Ok(leave) => leave,
+        let permit = match may_run(gw, &next) {
+            Ok(permit) => permit,
             Err(until) => {
                 let later = ItemPhase::Waiting { from: until };
                 next.owned.job.borrow_mut().items[next.item].phase = later;
@@ -72,11 +72,11 @@
             Some(_) if !confirm::allows_start(gw, &next.owned) => {
                 unconfirmed.insert(next.job);
             }
-            Some(worker) => start(gw, next, &worker, leave),
+            Some(worker) => start(gw, next, &worker, permit),
             None if !avoid.is_empty() => {
                 // Others may start where it has failed: it holds none of them up.
                 let later = ItemPhase::Waiting {
-                    from: gw.now() + REST,
+                    from: gw.now() + ITEM_BACKOFF,
                 };
                 next.owned.job.borrow_mut().items[next.item].phase = later;
             }
@@ -116,9 +116,9 @@
     let now = gw.now();
     let configuration = gw.configuration()?;
     let jobs = gw.jobs.borrow();
-    let mut ruled_out = unconfirmed.clone();
+    let mut excluded = unconfirmed.clone();
     loop {
-        let open = jobs.own.iter().filter(|(id, _)| !ruled_out.contains(*id));
+        let open = jobs.own.iter().filter(|(id, _)| !excluded.contains(*id));
         let borrowed: Vec<_> = open.map(|(_, owned)| owned.job.borrow()).collect();
         let found = next_item(borrowed.iter().map(|j| &**j), now)?;
         drop(borrowed);
@@ -141,18 +141,18 @@
                 });
             }
             Some(_) => {
-                ruled_out.insert(found.job);
+                excluded.insert(found.job);
             }
             None => {
-                no_route::note(gw, &owned);
-                ruled_out.insert(found.job);
+                no_route::note_missing_route(gw, &owned);
+                excluded.insert(found.job);
             }
         }
     }
 }
 
-fn start(gw: &Rc<Gateway>, next: Next, worker: &WorkerName, leave: Leave) {
-    let trial = Trial::begin(gw, &next.id, leave);
+fn start(gw: &Rc<Gateway>, next: Next, worker: &WorkerName, permit: Leave) {
+    let trial = Trial::begin(gw, &next.id, permit);
     let place = Place::take(gw, worker, Class::Batch);
     next.owned.job.borrow_mut().items[next.item].phase = ItemPhase::Running;
     let key = (next.job.clone(), next.item);
@@ -221,7 +221,7 @@
             left: None,
             after,
             reuse: Reuse::Any,
-            until: Instant::now() + HEAD,
+            until: Instant::now() + HEAD_TIMEOUT,
         },
     )
     .await;
@@ -244,7 +244,7 @@
                 crash::look(gw, cut_of(next, &out, ticket, began)).await;
             }
             warn!(target: "jobs", job:% = next.job, request:% = next.id, worker:% = worker, outcome:? = e; "no answer to an item");
-            rest(gw)
+            back_off(gw)
         }
     }
 }
@@ -258,12 +258,12 @@
             upstream.place.failed_item();
             ItemEnd::Failed
         }
-        _ => rest(gw),
+        _ => back_off(gw),
     }
 }
 
-fn rest(gw: &Gateway) -> ItemEnd {
-    ItemEnd::Interrupted(gw.now() + REST)
+fn back_off(gw: &Gateway) -> ItemEnd {
+    ItemEnd::Interrupted(gw.now() + ITEM_BACKOFF)
 }
 
 /// Why an item's run was broken off by its worker.
@@ -278,7 +278,7 @@
     let mut events = Events::default();
     let mut pulse = Pulse::default();
     loop {
-        match timeout(SILENCE, next_piece(gw, upstream)).await {
+        match timeout(SILENCE_TIMEOUT, next_chunk(gw, upstream)).await {
             Ok(Ok(Some(bytes))) => {
                 events.push(&bytes);
                 take_events(gw, next, &mut events, &mut pulse, upstream)?;
@@ -292,7 +292,7 @@
 
 /// The next piece of an item's output. A worker that has started again brings
 /// none, and its silence is not waited out.
-async fn next_piece(gw: &Gateway, upstream: &mut Upstream) -> Result<Option<Bytes>, Broken> {
+async fn next_chunk(gw: &Gateway, upstream: &mut Upstream) -> Result<Option<Bytes>, Broken> {
     let Upstream { body, place, .. } = upstream;
     tokio::select! {
         biased;
@@ -342,7 +342,7 @@
         let ticket = upstream.place.ticket().clone();
         crash::look(gw, cut_of(next, out, ticket, upstream.began)).await;
     }
-    rest(gw)
+    back_off(gw)
 }
 
 /// A run of an item that its worker broke off.
--- a/crates/bluebellreel_gateway/src/jobs/takeover.rs
+++ b/crates/bluebellreel_gateway/src/jobs/takeover.rs
@@ -2,7 +2,7 @@
 
 use super::adopt::{adopt, adopt_stored};
 use super::load::FoundRecord;
-use super::own::REPORTED;
+use super::own::MAX_REPORTED;
 use super::stored::{key, owner_txn, stored_record};
 use super::{backup, load, open, read};
 use crate::gateway::Gateway;
@@ -18,23 +18,23 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// Time between looks when nothing hints at a lost owner.
-const LOOK: Duration = Duration::from_secs(6);
+const SCAN_INTERVAL: Duration = Duration::from_secs(6);
 /// Time between looks while an owner is gone or this daemon is new.
-const LOOK_SOON: Duration = Duration::from_millis(900);
+const SCAN_INTERVAL_SHORT: Duration = Duration::from_millis(900);
 /// Time between looks of daemons that another one looks for: it tells them by
 /// being lost.
-const LOOK_SELDOM: Duration = Duration::from_secs(20);
+const SCAN_INTERVAL_LONG: Duration = Duration::from_secs(20);
 /// Wait after the start for peers to be heard: they report four times a second,
 /// and to a new daemon from its first report on. The jobs of a fleet that was
 /// killed stand still until then.
-const FIRST_LOOK: Duration = Duration::from_millis(600);
+const FIRST_SCAN_DELAY: Duration = Duration::from_millis(600);
 /// How long a job without an owner is left to its successor.
-const LEFT_BY_SUCCESSOR: Duration = Duration::from_millis(2500);
+const SUCCESSOR_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long an owner that is heard may leave a job out of its reports before it
 /// is notified that the job is its own.
-const UNREPORTED: Duration = Duration::from_secs(3);
+const UNREPORTED_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long a take-over's write is repeated.
-const DECIDE: Duration = Duration::from_secs(3);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Jobs whose owners are heard and do not report them, and when those are notified.
 type Unreported = HashMap<JobId, Moment>;
@@ -43,33 +43,33 @@
 pub(crate) async fn adopt_orphans(gw: Rc<Gateway>) {
     let due = gw.jobs.borrow().orphans_due.clone();
     let mut unreported = Unreported::new();
-    let first_look = Instant::now() + FIRST_LOOK;
-    open::list_first(&gw).await;
-    sleep_until(first_look).await;
+    let first_scan_at = Instant::now() + FIRST_SCAN_DELAY;
+    open::list_initially(&gw).await;
+    sleep_until(first_scan_at).await;
     loop {
-        let more = match look(&gw, &mut unreported).await {
-            Ok(left) => left > 0,
+        let more = match scan_open_jobs(&gw, &mut unreported).await {
+            Ok(remaining) => remaining > 0,
             Err(e) => {
                 warn!(target: "jobs", error:% = e; "open jobs not listed");
                 true
             }
         };
         let pause = match (more, is_caretaker(&gw)) {
-            (true, _) => LOOK_SOON,
-            (false, true) => LOOK,
-            (false, false) if !hears_of_all_jobs(&gw) => LOOK,
-            (false, false) => LOOK_SELDOM,
+            (true, _) => SCAN_INTERVAL_SHORT,
+            (false, true) => SCAN_INTERVAL,
+            (false, false) if !are_all_jobs_reported(&gw) => SCAN_INTERVAL,
+            (false, false) => SCAN_INTERVAL_LONG,
         };
         if timeout(pause, due.notified()).await.is_ok() {
             // Its peers may be silent for a moment longer than its entry.
-            sleep(LOOK_SOON).await;
+            sleep(SCAN_INTERVAL_SHORT).await;
         }
     }
 }
 
 /// Goes through all open jobs; gives the number of those whose owner is not
 /// here and that are not taken over yet.
-async fn look(gw: &Rc<Gateway>, unreported: &mut Unreported) -> Result<usize, KvError> {
+async fn scan_open_jobs(gw: &Rc<Gateway>, unreported: &mut Unreported) -> Result<usize, KvError> {
     if gw.stopping.get() {
         return Ok(0);
     }
@@ -77,7 +77,7 @@
     if open.is_empty() {
         gw.jobs.borrow_mut().orphans.clear();
     }
-    let mut left = 0;
+    let mut remaining = 0;
     let mut entries_read = false;
     let before = std::mem::take(unreported);
     for id in open {
@@ -92,19 +92,19 @@
             registration::read_members(gw).await?;
         }
         if is_owner_silent(gw, &id) && !gw.jobs.borrow().open.needs_record(&id) {
-            left += 1;
+            remaining += 1;
             continue;
         }
         // One job that cannot be read must not hold up those behind it.
         match take_over(gw, &id, before.get(&id).copied(), unreported).await {
-            Ok(settled) => left += usize::from(!settled),
+            Ok(settled) => remaining += usize::from(!settled),
             Err(KvError::Refused(reason)) => {
                 warn!(target: "jobs", job:% = id, reason = reason.as_str(); "job not taken over");
             }
             Err(e) => return Err(e),
         }
     }
-    Ok(left)
+    Ok(remaining)
 }
 
 /// Whether this daemon looks more often than the others.
@@ -113,7 +113,7 @@
 }
 
 /// Whether reports tell of all jobs that count against quotas.
-fn hears_of_all_jobs(gw: &Gateway) -> bool {
+fn are_all_jobs_reported(gw: &Gateway) -> bool {
     gw.members.borrow().hears_all(gw.now()) && gw.jobs.borrow().open.is_empty()
 }
 
@@ -139,9 +139,9 @@
     if record.phase != JobPhase::Open {
         return Ok(true);
     }
-    let sign = sign_of(gw, &record.owner);
+    let sign = owner_sign(gw, &record.owner);
     let is_successor =
-        sign == OwnerSign::Gone && (is_successor(gw, id) || is_left_by_successor(gw, id));
+        sign == OwnerSign::Gone && (is_successor(gw, id) || has_successor_timed_out(gw, id));
     match custody(sign, is_successor) {
         Custody::Settled => {
             let waits = leave_to_owner(gw, id, &record.owner, notify_at);
@@ -171,13 +171,13 @@
     let reports_all = {
         let members = gw.members.borrow();
         let peer = members.alive(&owner.entry, now);
-        peer.is_some_and(|p| p.jobs.len() < REPORTED)
+        peer.is_some_and(|p| p.jobs.len() < MAX_REPORTED)
     };
     let address = read::owner_address(gw, id)?;
     if !reports_all || !is_caretaker(gw) {
         return None;
     }
-    let notify_at = notify_at.unwrap_or(now + UNREPORTED);
+    let notify_at = notify_at.unwrap_or(now + UNREPORTED_TIMEOUT);
     if !notify_at.is_past(now) {
         return Some(notify_at);
     }
@@ -195,7 +195,7 @@
         .is_some_and(|o| members.presence(&o.entry, o.run, gw.now()) == Presence::Silent)
 }
 
-fn sign_of(gw: &Gateway, owner: &Owner) -> OwnerSign {
+fn owner_sign(gw: &Gateway, owner: &Owner) -> OwnerSign {
     if owner.entry == *gw.me() {
         let is_now = owner.run == gw.run;
         return if is_now {
@@ -221,11 +221,11 @@
 /// Whether this daemon is the one that looks after jobs that their successor leaves
 /// alone: the successor may believe that the owner lives, or not reach the store.
 /// The write is guarded, so two that claim a job at once do no harm.
-fn is_left_by_successor(gw: &Gateway, id: &JobId) -> bool {
+fn has_successor_timed_out(gw: &Gateway, id: &JobId) -> bool {
     let now = gw.now();
     let mut jobs = gw.jobs.borrow_mut();
     let found_at = *jobs.orphans.entry(id.clone()).or_insert(now);
-    is_caretaker(gw) && (found_at + LEFT_BY_SUCCESSOR).is_past(now)
+    is_caretaker(gw) && (found_at + SUCCESSOR_TIMEOUT).is_past(now)
 }
 
 /// Makes this daemon the owner of a job whose owner is gone.
@@ -251,7 +251,7 @@
     let mut txn = owner_txn(id, &record, found.revision);
     txn.compares.extend(ended);
     let asked = gw.stamp();
-    let taken = match gw.store.commit(&txn, Instant::now() + DECIDE).await {
+    let taken = match gw.store.commit(&txn, Instant::now() + COMMIT_TIMEOUT).await {
         Commit::Applied { revision } => Some(revision),
         Commit::Beaten(found) => stored_record(&found, &key(&keys::record(id)))
             .filter(|(_, stored)| *stored == record)
@@ -264,7 +264,7 @@
     };
     info!(target: "jobs", job:% = id, owner:% = before.entry, run:% = before.run, revision; "job taken over");
     let mut job = load::job(gw, id, record, revision).await?;
-    backup::recall(gw, id, &mut job).await;
+    backup::restore_progress(gw, id, &mut job).await;
     adopt(gw, job, asked);
     Ok(true)
 }
