--- a/crates/bluebellreel_gateway/src/jobs/accept.rs
+++ b/crates/bluebellreel_gateway/src/jobs/accept.rs
@@ -1,8 +1,9 @@
-//! Accepting a job once.
+//! Accepting each job exactly once.
 //!
-//! A job is kept when its record is created. The write goes on when its caller
-//! has left, until it is decided: while it is in doubt the answer promises
-//! nothing, as "not run" would be untrue if it took effect later.
+//! A job is accepted when its record is created in the store. The write is
+//! retried until its outcome is known, even after the caller has disconnected.
+//! While the outcome is unknown, the response says neither that the job is accepted
+//! nor that it will not run: the write may still take effect later.
 
 use super::adopt::{adopt_new, adopt_stored};
 use super::own::SubmissionOutcome;
@@ -26,23 +27,26 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-/// How long a write that is in doubt is repeated after its caller has left.
+/// How long a write with an unknown outcome is retried, even if its caller has
+/// disconnected.
 const COMMIT_RETRY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest that a caller is kept while the store turns its job away. Past it
-/// the caller does better at another daemon.
+/// Limit on the time that a caller waits while the store fails. After it, the
+/// caller does better to try another daemon.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1200);
-/// When a caller should return whose job was not kept.
+/// Sent to a caller whose job was not stored: time to wait before it retries.
 const RETRY_AFTER: Duration = Duration::from_millis(400);
-/// When a caller should return to another daemon.
+/// Sent to a caller that should retry at another daemon, as this one stops or has
+/// not listed the open jobs yet.
 const RETRY_AFTER_STOPPING: Duration = Duration::from_millis(50);
-/// When a caller should return whose job did not fit.
+/// Sent to a caller whose job exceeds its route's quota.
 const RETRY_AFTER_OVER_QUOTA: Duration = Duration::from_millis(1200);
-/// Times that an acceptance near the quota is tried again after another one
-/// came first.
+/// Limit on the attempts to write an acceptance together with its route's ledger,
+/// which concurrent acceptances change.
 const MAX_LEDGER_TRIES: usize = 5;
-/// Puts of one write: the store takes 32 entries.
+/// Limit on the puts of one transaction: the store takes 32 entries.
 const MAX_CHUNKS_PER_TXN: usize = 24;
-/// Share of the longest value that a chunk takes, in percent.
+/// Limit on the size of a chunk, in percent of the longest value that the store
+/// takes.
 const CHUNK_PERCENT: usize = 60;
 
 /// Answers a submission.
@@ -65,8 +69,9 @@
     }
     let underway = gw.jobs.borrow().submissions.get(&id).cloned();
     if underway.is_none() && gw.stopping.get() {
-        // It would lie here until this process has ended. One that is under way
-        // may be kept: its sender must not be told otherwise.
+        // A new submission would only wait until this process exits. One that is
+        // already being written may yet be accepted, so its sender must not be told
+        // that it was refused.
         let reason = "stopping";
         return answers::retry_after(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -77,8 +82,8 @@
     let decided = if let Some(underway) = underway {
         underway
     } else if !is_countable {
-        // The write would go the way of the list that has failed, and the caller can
-        // be told now that the job is not kept.
+        // Listing the open jobs has failed, so the write would probably fail too. The
+        // caller is told at once that the job is not accepted.
         warn!(target: "jobs", job:% = id; "job refused: open jobs not listed yet");
         gw.metrics.job("refused");
         let reason = "open jobs not listed yet";
@@ -104,7 +109,8 @@
     await_decision(gw, &id, decided, received, deadline).await
 }
 
-/// A job that does not fit now may be one that was accepted before.
+/// Answers a submission that exceeds the quota. Its job may have been accepted
+/// before, so the store is read first.
 async fn answer_over_quota(gw: &Gateway, id: &JobId, route: &Route, tokens: u64) -> Response<Body> {
     let known = gw.store.read(&key(&keys::record(id))).await;
     if let Ok(Some(_)) = known {
@@ -151,7 +157,7 @@
     match outcome {
         SubmissionOutcome::Stored => accepted_response(gw, id, received, "stored"),
         SubmissionOutcome::NotStored => {
-            warn!(target: "jobs", job:% = id; "job refused: store away");
+            warn!(target: "jobs", job:% = id; "job refused: store unavailable");
             gw.metrics.job("refused");
             answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, "store away", RETRY_AFTER)
         }
@@ -172,7 +178,8 @@
     }
 }
 
-/// Starts the write; those who submit the same job meanwhile wait for it too.
+/// Starts writing the job. Concurrent submissions of the same job wait for the
+/// same outcome.
 fn begin(
     gw: &Rc<Gateway>,
     id: &JobId,
@@ -230,7 +237,7 @@
             )
         })
         .collect();
-    // Chunks without a record are nobody's; only the record makes the job.
+    // Chunks without a record belong to no job: only the record creates the job.
     while total_bytes(&puts) > chunk_bytes || puts.len() > MAX_CHUNKS_PER_TXN {
         let first = Txn {
             puts: vec![puts.remove(0)],
@@ -281,7 +288,8 @@
     SubmissionOutcome::NotStored
 }
 
-/// A job that its route's ledger has no room for may be one that was accepted before.
+/// Outcome of a submission that its route's ledger has no room for. Its job may have
+/// been accepted before, so the store is read first.
 async fn outcome_over_quota(gw: &Gateway, record_key: &Key) -> SubmissionOutcome {
     match gw.store.read(record_key).await {
         Ok(Some(_)) => SubmissionOutcome::Stored,
@@ -294,9 +302,9 @@
     puts.iter().map(|p| p.value.len()).sum()
 }
 
-/// Creates the record. A first try is short; once an answer was lost the write
-/// is repeated until it is decided. `None` if another acceptance on the route
-/// came first.
+/// Creates the record. The first attempt has a short timeout. If its response is
+/// lost, the write is retried until its outcome is known. `None` if another
+/// acceptance has changed the route's ledger meanwhile.
 async fn create_record(
     gw: &Rc<Gateway>,
     id: &JobId,
@@ -313,7 +321,8 @@
             .store
             .commit(txn, Instant::now() + COMMIT_RETRY_TIMEOUT)
             .await;
-        // A later try that was surely not done does not settle the first one.
+        // That a retry was certainly not applied says nothing about the first
+        // attempt.
         if let Commit::NotDone(reason) = outcome {
             outcome = Commit::Unknown(reason);
         }
@@ -327,7 +336,8 @@
             let Some((revision, stored)) = stored_record(&found, record_key) else {
                 let tombstone = key(&keys::tombstone(id));
                 let is_cancelled = found.iter().any(|kv| kv.key == tombstone);
-                // A try whose answer was lost may outlast the tombstone.
+                // An attempt whose response was lost may still be applied after the
+                // tombstone has expired.
                 return is_cancelled.then_some(SubmissionOutcome::Pending);
             };
             if stored == *record {
--- a/crates/bluebellreel_gateway/src/jobs/adopt.rs
+++ b/crates/bluebellreel_gateway/src/jobs/adopt.rs
@@ -1,9 +1,10 @@
-//! Beginning to run a job: the one place through which every way goes.
+//! The single entry point through which this daemon starts to run a job.
 //!
-//! A job comes here when it was accepted, when an acceptance was decided late,
-//! when it was found, taken over or handed over. Only a job whose record this
-//! daemon has just created begins with nothing listed; every other one begins
-//! with what the store has recorded, as somebody may have read it.
+//! It is used for accepted jobs, also those whose acceptance was confirmed late,
+//! and for jobs that were found in the store, taken over or handed over. Only a
+//! job whose record this daemon has just created starts without listed results.
+//! Every other job starts with the results recorded in the store, as readers may
+//! have seen them.
 
 use super::load::owned_job;
 use super::own::OwnedJob;
@@ -15,7 +16,7 @@
 use log::{info, warn};
 use std::rc::Rc;
 
-/// Begins a job whose record was created by a write that was sent at `asked`.
+/// Starts a job whose record this daemon created by a write sent at `asked`.
 pub(super) fn adopt_new(
     gw: &Rc<Gateway>,
     id: &JobId,
@@ -28,13 +29,14 @@
     adopt(gw, job, asked);
 }
 
-/// Begins a job whose record was found to name this daemon by a call that was
-/// sent at `asked`.
+/// Starts a job whose stored record names this daemon as the owner, as read by a
+/// call sent at `asked`.
 ///
-/// An acceptance whose answer was lost may be decided many seconds later. The job
-/// may have been taken over meanwhile, some of its results listed and read, and
-/// the job handed back: its record is the same to the letter, its results are
-/// not. Begun with none, it would tell readers that nothing is listed.
+/// An acceptance whose response was lost may be confirmed many seconds later.
+/// Meanwhile another daemon may have taken the job over, listed some results that
+/// were then read, and handed the job back. Its record is then identical to the
+/// first one, but its results are not: started without them, the job would answer
+/// readers that nothing is listed.
 pub(super) async fn adopt_stored(
     gw: &Rc<Gateway>,
     id: &JobId,
@@ -49,7 +51,7 @@
         Ok(job) => adopt(gw, job, asked),
         Err(e) => {
             warn!(target: "jobs", job:% = id, error:% = e; "own job not read");
-            // The look for orphans finds it by its record.
+            // The scan for jobs without an owner finds it by its record.
             gw.jobs.borrow().orphans_due.notify_one();
         }
     }
@@ -61,14 +63,15 @@
     known.is_some_and(|known| known.job.borrow().revision >= revision)
 }
 
-/// Begins to run a job that this daemon owns by the store's word, given to a call
-/// that was sent at `asked`.
+/// Starts to run a job that this daemon owns, as the store confirmed to a call sent
+/// at `asked`.
 pub(super) fn adopt(gw: &Rc<Gateway>, job: Job, asked: Stamp) {
     let id = job.id.clone();
     if runs_already(gw, &id, job.revision) {
-        // Two ways led here while each awaited the store: an acceptance without
-        // an answer, a look for jobs without an owner, a caller's read. The one
-        // that runs goes on; it has listed what the other has not read.
+        // Several tasks may adopt the same job, each after waiting for the store: an
+        // acceptance without a response, the scan for jobs without an owner, a
+        // caller's read. The instance that already runs continues, as it may have
+        // listed results that the other one has not read.
         if let Some(known) = owned_job(gw, &id) {
             known.job.borrow_mut().restore(job.progress(), gw.now());
         }
--- a/crates/bluebellreel_gateway/src/jobs/archive.rs
+++ b/crates/bluebellreel_gateway/src/jobs/archive.rs
@@ -1,11 +1,11 @@
-//! Results of jobs that are over, kept for readers within a bound.
+//! A bounded cache of the results of finished jobs, for readers.
 
 use bluebellreel_batch::ItemResult;
 use bluebellreel_types::JobId;
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Bytes of results kept. A small VM has some 100 MB.
+/// Limit on the cached results, in bytes. A small VM has about 100 MB of memory.
 const MAX_BYTES: usize = 12 * 1024 * 1024;
 
 /// The final results of one job.
@@ -20,7 +20,7 @@
     }
 }
 
-/// Jobs that are over; the ones added last are kept.
+/// Results of finished jobs. The oldest entries are evicted first.
 #[derive(Default)]
 pub(crate) struct Archive {
     jobs: HashMap<JobId, Rc<Archived>>,
--- a/crates/bluebellreel_gateway/src/jobs/backup.rs
+++ b/crates/bluebellreel_gateway/src/jobs/backup.rs
@@ -1,9 +1,9 @@
-//! Replicating to a keeper how far the items of each job are.
+//! Replicating the progress of each job's items to a keeper.
 //!
-//! Else an owner that dies takes what its items have generated with it, and results
-//! that the store has not recorded yet. Copies are full, not differences: one that
-//! is lost is made up for by the next. They stay within the data centre, so their
-//! bytes are not priced.
+//! Without these copies, the output that items have generated so far and the results
+//! that the store has not recorded yet would be lost with their owner. Copies are
+//! complete, not incremental, so that the next copy makes up for a lost one. They
+//! stay within the data centre, where traffic is not charged.
 
 use crate::gateway::Gateway;
 use crate::peer_calls;
@@ -18,21 +18,22 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Time between copies. An item of 190 events lasts some five seconds; copied
-/// this often, each of its events is sent about three times.
+/// Interval between copies. An item of 190 events takes about five seconds, so each
+/// of its events is sent about three times at this interval.
 const COPY_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a copy is kept: longer than a dead owner's entry stands (3.6 s) and
-/// its successor takes to look, and than an item lasts.
+/// How long a peer's progress is kept: longer than it takes until a dead owner's
+/// entry in the store expires (3.6 s) and its successor scans for the job, and longer
+/// than an item takes.
 const COPY_RETENTION: Duration = Duration::from_secs(20);
 
-/// How much of a job was copied last, and to whom.
+/// What was last copied of a job, and to which daemon.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Copied {
     to: SocketAddr,
     extent: u64,
 }
 
-/// Replicates how far items are, for ever.
+/// Replicates the progress of all items in an endless loop.
 pub(crate) async fn copy_progress(gw: Rc<Gateway>) {
     let mut copied = HashMap::new();
     loop {
@@ -40,9 +41,9 @@
         let due = due(&gw, &mut copied);
         for (id, to, items) in due {
             if !copy(&gw, &id, to, &items).await {
-                // Its items may generate nothing more, so it is copied again. A
-                // keeper that starts again is unreachable for a moment; its disk
-                // is all that a kill of everything leaves.
+                // The copy is retried even if the items generate nothing more. A
+                // restarting keeper is unreachable only briefly, and its disk is
+                // all that survives if every process is killed.
                 copied.remove(&id);
                 gw.keepers.borrow_mut().mark_unreachable(to);
             }
@@ -50,8 +51,8 @@
     }
 }
 
-/// Jobs whose items have got further since they were copied, or that are to be
-/// copied to another place now.
+/// Jobs whose items have progressed since their last copy, or whose copies go to
+/// another address now.
 fn due(
     gw: &Gateway,
     copied: &mut HashMap<JobId, Copied>,
@@ -74,8 +75,9 @@
     due
 }
 
-/// Where a job's progress is copied to: the keeper of this data centre, whose
-/// disk outlives a kill of everything; if there is none, the job's successor.
+/// The address to which a job's progress is copied: the keeper of this data centre,
+/// whose disk survives if every process is killed. Without a keeper it is the daemon
+/// that would take the job over.
 fn target(gw: &Gateway, id: &JobId) -> Option<SocketAddr> {
     let now = gw.now();
     if let Some(near) = gw.keepers.borrow().near(now) {
@@ -86,7 +88,7 @@
     Some(members.alive(&successor, now)?.calls)
 }
 
-/// Copies one job's progress; whether it was taken.
+/// Copies one job's progress. Returns whether the receiver has accepted it.
 async fn copy(gw: &Rc<Gateway>, id: &JobId, to: SocketAddr, items: &[ItemProgress]) -> bool {
     let copied = match postcard::to_allocvec(items) {
         Ok(body) => peer_calls::copy_progress(gw, to, id, body).await,
@@ -98,18 +100,18 @@
     copied.is_ok()
 }
 
-/// Longest wait for keepers when a job is taken over: one that is down must not
-/// hold the job up for longer than what its items would gain.
+/// Limit on one call to a keeper when a job is taken over: a keeper that is down must
+/// not delay the job for longer than its items would save.
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a keeper that refuses or cuts calls is asked again: one that stops as
-/// planned is back within a second, and what it knows is worth the wait.
+/// How long calls to a keeper that refuses or breaks connections are retried: after a
+/// planned restart it is back within a second, and its data is worth the wait.
 const RESTART_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Time between two calls to it.
+/// Pause between two calls to such a keeper.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Lets the items of a job that was taken over go on from where they were, as
-/// far as this daemon or a keeper knows.
+/// Restores the progress of the items of a job that was taken over, from the copies
+/// on this daemon and on the keepers.
 pub(super) async fn restore_progress(gw: &Rc<Gateway>, id: &JobId, job: &mut Job) {
     let mut begun = gw.jobs.borrow_mut().copies.take(id);
     let keepers = gw.keepers.borrow().all(gw.now());
@@ -117,16 +119,16 @@
     for progress in join_all(asked).await.into_iter().flatten() {
         begun.extend(read_progress(id, &progress));
     }
-    info!(target: "jobs", job:% = id, begun = begun.len(); "items go on");
+    info!(target: "jobs", job:% = id, begun = begun.len(); "item progress restored");
     job.restore(begun, gw.now());
 }
 
-/// Asks a keeper how far the items of a job are.
+/// Fetches the progress of a job's items from a keeper.
 ///
-/// One that refuses or cuts the call may be starting again, with the answer on
-/// its disk: without another try the items would begin anew. It is waited for
-/// once, so that many jobs do not wait one after the other. One that is silent
-/// has lost its VM, and is not.
+/// A keeper that refuses or breaks the connection may be restarting, with the
+/// progress on its disk. Without a retry the items would start from scratch. Each
+/// keeper is waited for only once, so that the waits of many jobs do not add up. One
+/// that does not respond at all has lost its VM and is not waited for.
 async fn fetch_progress(gw: &Rc<Gateway>, at: SocketAddr, id: &JobId) -> Option<Bytes> {
     let end = Instant::now() + RESTART_TIMEOUT;
     loop {
@@ -148,20 +150,21 @@
     }
 }
 
-/// Keeps how far the items of a peer's job are.
+/// Stores a copy of the progress of a peer's job.
 pub(crate) fn store_progress_copy(gw: &Gateway, id: JobId, progress: &[u8]) {
     let items = read_progress(&id, progress);
     let until = gw.now() + COPY_RETENTION;
     gw.jobs.borrow_mut().copies.keep(id, items, until);
 }
 
-/// What the items had generated; nothing if the peer did not know.
+/// Decodes the progress of a job's items. An empty body means that the peer has no
+/// progress of the job.
 pub(super) fn read_progress(id: &JobId, progress: &[u8]) -> Vec<ItemProgress> {
     if progress.is_empty() {
         return Vec::new();
     }
     postcard::from_bytes(progress).unwrap_or_else(|e| {
-        // The items begin anew, which is right if slower.
+        // The items start from scratch, which is correct but slower.
         warn!(target: "jobs", job:% = id, error:% = e; "progress not read");
         Vec::new()
     })
--- a/crates/bluebellreel_gateway/src/jobs/cancel.rs
+++ b/crates/bluebellreel_gateway/src/jobs/cancel.rs
@@ -1,8 +1,8 @@
-//! Ending a job on its sender's word.
+//! Cancelling a job at its sender's request.
 //!
-//! An end is acknowledged once the job's record says so. Whatever way leads there
-//! is followed until it is recorded, also when the caller has left or was answered
-//! that it is not recorded yet: its sender may not ask again.
+//! A cancellation is acknowledged once it is recorded in the job's record. The
+//! attempts go on until then, even if the caller has disconnected or was told that
+//! the cancellation is not recorded yet: the sender may not send the request again.
 
 use super::load;
 use super::load::owned_job;
@@ -23,35 +23,37 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Longest that one try to record an end takes.
+/// Limit on one attempt to record a cancellation.
 const RECORD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// First pause before an end that could not be recorded is tried again.
+/// First pause before a cancellation that could not be recorded is retried.
 const MIN_BACKOFF: Duration = Duration::from_millis(500);
-/// Longest such pause; each is twice the one before.
+/// Limit on this pause, which doubles with each retry.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
-/// Ends that are tried again at once, apart from those of jobs owned here.
+/// Limit on the cancellations that are retried concurrently. Those of jobs that this
+/// daemon owns are retried even beyond the limit.
 const MAX_PENDING: usize = 256;
-/// How long an end of a job that is not owned here is tried again.
+/// How long the cancellation of a job that another daemon owns is retried.
 const RETRY_TIMEOUT: Duration = Duration::from_mins(1);
-/// When a caller should return while the end cannot be recorded.
+/// Sent to a caller whose cancellation could not be recorded yet: time to wait before
+/// it retries.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
-/// How long an end is remembered, and named by the reports of the daemon that
-/// recorded it.
+/// How long a cancellation is remembered, and listed in the reports of the daemon
+/// that recorded it.
 const CANCELLATION_TTL: Duration = Duration::from_secs(10);
-/// How long a job that had no record when it was ended is not accepted: a
-/// submission in doubt is repeated for half of it.
+/// How long a job that was cancelled before it had a record is not accepted. A
+/// submission with an unknown outcome is retried for half of this time.
 const TOMBSTONE_TTL: Duration = Duration::from_mins(1);
-/// Times that a record that changes under the call is read again.
+/// Limit on the attempts to change a record that other daemons change meanwhile.
 const MAX_TRIES: usize = 4;
 
-/// How a try to end a job came out.
+/// Outcome of an attempt to cancel a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
-    /// The end is recorded.
+    /// The cancellation is recorded.
     Recorded,
-    /// There is no such job.
+    /// The job does not exist.
     NoSuchJob,
-    /// The end is not recorded, or not known to be.
+    /// The cancellation is not recorded, or it is not known whether it is.
     Undecided,
 }
 
@@ -67,13 +69,14 @@
     }
 }
 
-/// Ends a job, wherever it is.
+/// Cancels a job, whichever daemon owns it.
 pub(super) async fn cancel(gw: &Rc<Gateway>, id: &JobId) -> Response<Body> {
     let decided = begin(gw, id).await;
     decided.unwrap_or(Outcome::Undecided).answer()
 }
 
-/// Ends a job in a task of its own; how the first try came out.
+/// Spawns a task that cancels a job. The receiver gets the outcome of the first
+/// attempt.
 fn begin(gw: &Rc<Gateway>, id: &JobId) -> oneshot::Receiver<Outcome> {
     let (tx, rx) = oneshot::channel();
     let (gw, id) = (gw.clone(), id.clone());
@@ -88,7 +91,7 @@
     rx
 }
 
-/// Goes on with an end that a stopping peer could not record.
+/// Takes over a cancellation that a stopping peer could not record.
 pub(crate) fn take_cancellation(gw: &Rc<Gateway>, id: &JobId) -> Response<Body> {
     if gw.stopping.get() {
         return answers::failure(StatusCode::SERVICE_UNAVAILABLE, "stopping");
@@ -97,7 +100,7 @@
     answers::status(StatusCode::OK)
 }
 
-/// Has peers go on with the ends that a stopping daemon could not record.
+/// Forwards the cancellations that this stopping daemon could not record to peers.
 pub(crate) fn forward_cancellations(gw: &Rc<Gateway>) {
     let pending: Vec<JobId> = {
         let jobs = &mut *gw.jobs.borrow_mut();
@@ -111,7 +114,7 @@
         let gw = gw.clone();
         tokio::task::spawn_local(async move {
             if let Err(e) = forward(&gw, &id).await {
-                warn!(target: "jobs", job:% = id, error:% = e; "end not passed on");
+                warn!(target: "jobs", job:% = id, error:% = e; "job end not passed on");
                 sleep(MIN_BACKOFF).await;
                 gw.jobs.borrow_mut().forwarded_cancellations.remove(&id);
             }
@@ -119,18 +122,18 @@
     }
 }
 
-/// Has the job's successor go on with its end.
+/// Forwards the cancellation of a job to the job's successor.
 async fn forward(gw: &Gateway, id: &JobId) -> Result<(), PeerError> {
     let (now, members) = (gw.now(), &gw.members);
     let successor = members.borrow().successor(id, None, now);
-    let successor = successor.ok_or("nobody is heard")?;
+    let successor = successor.ok_or("no live peer to forward to")?;
     let calls = members.borrow().alive(&successor, now).map(|p| p.calls);
-    peer_calls::pass_end_on(gw, calls.ok_or("nobody is heard")?, id).await?;
-    info!(target: "jobs", job:% = id, peer:% = successor; "end passed on");
+    peer_calls::pass_end_on(gw, calls.ok_or("no live peer to forward to")?, id).await?;
+    info!(target: "jobs", job:% = id, peer:% = successor; "job end passed on to a peer");
     Ok(())
 }
 
-/// Ends a job of ours for a peer.
+/// Cancels a job that this daemon owns, at a peer's request.
 pub(crate) async fn cancel_own(gw: &Rc<Gateway>, id: &JobId) -> Response<Body> {
     if owned_job(gw, id).is_none() {
         return answers::failure(StatusCode::CONFLICT, "not the owner");
@@ -138,13 +141,14 @@
     cancel(gw, id).await
 }
 
-/// Tries to end a job until it is decided. Items of a job of ours have stopped and
-/// will not go on, so that its end is tried for as long as it is ours.
+/// Retries a cancellation until its outcome is known. The items of a job owned by
+/// this daemon have been stopped for good, so its cancellation is retried for as long
+/// as the daemon owns the job.
 async fn retry_cancel(gw: &Rc<Gateway>, id: &JobId) {
     let is_full =
         gw.jobs.borrow().pending_cancellations.len() >= MAX_PENDING && owned_job(gw, id).is_none();
     if is_full {
-        warn!(target: "jobs", job:% = id, jobs = MAX_PENDING; "end not tried again");
+        warn!(target: "jobs", job:% = id, jobs = MAX_PENDING; "job end not retried, too many pending");
         return;
     }
     if !gw
@@ -167,11 +171,11 @@
     gw.jobs.borrow_mut().pending_cancellations.remove(id);
 }
 
-/// Tries once to end a job.
+/// Makes one attempt to cancel a job.
 async fn try_cancel(gw: &Rc<Gateway>, id: &JobId) -> Outcome {
     let submission = gw.jobs.borrow().submissions.get(id).cloned();
     if let Some(mut decided) = submission {
-        // A write that is in doubt may still create the record.
+        // A submission with an unknown outcome may still create the record.
         let until = Instant::now() + RECORD_TIMEOUT;
         let decision = timeout_at(
             until,
@@ -189,7 +193,7 @@
     cancel_in_store(gw, id).await
 }
 
-/// Has the owner of a job end it; whether it has.
+/// Asks the owner of a job to cancel it. Returns whether it has done so.
 async fn cancel_at_owner(gw: &Gateway, id: &JobId) -> bool {
     let Some(owner) = owner_address(gw, id) else {
         info!(target: "jobs", job:% = id; "owner of an ended job not known");
@@ -208,7 +212,7 @@
     false
 }
 
-/// Stops a job's items at once; whether the end is recorded shows later.
+/// Stops a job's items at once, before the cancellation is recorded.
 fn stop_running(gw: &Gateway, owned: &Rc<OwnedJob>) {
     let id = {
         let mut job = owned.job.borrow_mut();
@@ -228,7 +232,7 @@
             Ok(Some(found)) => (found.revision, found.record),
             Ok(None) => match put_tombstone(gw, id, until).await {
                 Commit::Applied { .. } => return Outcome::NoSuchJob,
-                // It was accepted meanwhile.
+                // The job was accepted meanwhile.
                 Commit::Beaten(_) => continue,
                 Commit::NotDone(reason) | Commit::Unknown(reason) => {
                     warn!(target: "jobs", job:% = id, reason = reason.as_str(); "end not recorded");
@@ -249,7 +253,7 @@
             .await
         {
             Commit::Applied { revision } => return recorded(gw, id, revision),
-            // It was changed meanwhile: read it again.
+            // The record was changed meanwhile and is read again.
             Commit::Beaten(_) => {}
             Commit::NotDone(reason) | Commit::Unknown(reason) => {
                 warn!(target: "jobs", job:% = id, reason = reason.as_str(); "end not recorded");
@@ -260,8 +264,8 @@
     Outcome::Undecided
 }
 
-/// Keeps a job that has no record from being accepted: its submission may be in
-/// doubt at a peer.
+/// Writes a tombstone that keeps a job without a record from being accepted: a peer
+/// may still be retrying its submission.
 async fn put_tombstone(gw: &Gateway, id: &JobId, until: Instant) -> Commit {
     let lease = match gw.store.lease(TOMBSTONE_TTL).await {
         Ok(lease) => lease.id,
@@ -303,7 +307,7 @@
     Outcome::Recorded
 }
 
-/// A peer reports that a job was ended.
+/// Stops a job that a peer reports as cancelled.
 pub(crate) fn cancellation_reported(gw: &Gateway, id: &JobId, peer: &EntryName) {
     let until = gw.now() + CANCELLATION_TTL;
     gw.jobs
@@ -313,7 +317,7 @@
         return;
     };
     let revision = owned.job.borrow().revision;
-    info!(target: "jobs", job:% = id, peer:% = peer, revision; "job ended, says a peer");
+    info!(target: "jobs", job:% = id, peer:% = peer, revision; "job ended, reported by a peer");
     gw.metrics.job_end("reported");
     stop_running(gw, &owned);
     gw.jobs.borrow_mut().evict(id);
--- a/crates/bluebellreel_gateway/src/jobs/confirm.rs
+++ b/crates/bluebellreel_gateway/src/jobs/confirm.rs
@@ -1,9 +1,9 @@
-//! Making sure that a job is still this daemon's own.
+//! Confirming with the store that this daemon still owns a job.
 //!
-//! Two things rest on the store's confirmation of a job. Items start only while
-//! it is young ([`bluebellreel_batch::StartLease`]). And an owner that remembers
-//! what it has listed may say "nothing more is listed" only while it surely owns
-//! the job; [`bluebellreel_batch::Tenure`] tells when that is so without a call.
+//! Two things depend on this confirmation. Items start only while it is recent
+//! ([`bluebellreel_batch::StartLease`]). And an owner that lists results from memory
+//! may answer "nothing more is listed" only while it certainly owns the job;
+//! [`bluebellreel_batch::Tenure`] shows when this is certain without a call.
 
 use super::load::owned_job;
 use super::own::OwnedJob;
@@ -19,29 +19,30 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Time between looks for jobs to confirm when nothing wakes the task.
+/// Interval between checks for jobs to confirm when nothing wakes the task.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause after a call that failed.
+/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// Whether a job that was owned is still owned, as far as can be told without a
+/// Whether this daemon certainly still owns a job, as far as it can tell without a
 /// call to the store.
 fn is_certainly_owned(gw: &Gateway, owned: &OwnedJob) -> bool {
     if gw.stopping.get() {
-        // It hands its jobs over, and may not be notified that it has.
+        // The daemon hands its jobs over, and the response that confirms a hand-over
+        // may be lost.
         return false;
     }
     let (asked, now) = (owned.lease.get().asked(), gw.stamp());
-    // An entry may be taken away while its lease is renewed as ever. Peers that
-    // hear this daemon leave its jobs alone all the same.
+    // This daemon's entry may be deleted although its lease is still being renewed.
+    // Even then, peers that receive its reports do not take its jobs over.
     let is_covered = gw.tenure.get().covers(asked, now);
     is_covered && (gw.isolated_since.get().is_none() || asked.is_fresh(now))
 }
 
-/// Whether a job is this daemon's own. One that is not is evicted.
+/// Whether this daemon owns a job. A job that it no longer owns is evicted.
 pub(super) async fn confirm(gw: &Rc<Gateway>, owned: &Rc<OwnedJob>) -> Result<bool, KvError> {
     let id = owned.job.borrow().id.clone();
-    // Readers that come together ask once.
+    // Concurrent readers share one call to the store.
     let _turn = owned.confirming.lock().await;
     let is_here = owned_job(gw, &id).is_some_and(|known| Rc::ptr_eq(&known, owned));
     if !is_here || is_certainly_owned(gw, owned) {
@@ -61,8 +62,8 @@
     }
 }
 
-/// Asks the store about every job of which this daemon is not sure. Jobs that
-/// were lost meanwhile take slots of workers for results that nobody can record.
+/// Confirms every job whose ownership is uncertain. Jobs that another daemon owns by
+/// now occupy worker slots for results that cannot be recorded.
 pub(crate) async fn confirm_all(gw: Rc<Gateway>) {
     let all: Vec<Rc<OwnedJob>> = gw.jobs.borrow().own.values().cloned().collect();
     let uncertain: Vec<_> = all
@@ -72,22 +73,22 @@
     if uncertain.is_empty() {
         return;
     }
-    info!(target: "jobs", jobs = uncertain.len(); "own jobs looked at again");
+    info!(target: "jobs", jobs = uncertain.len(); "confirming own jobs");
     for owned in uncertain {
         if let Err(e) = confirm(&gw, &owned).await {
-            // Readers ask again, and so do items that want to start.
+            // Readers and items that wait to start trigger further attempts.
             warn!(target: "jobs", error:% = e; "own jobs not confirmed");
             return;
         }
     }
 }
 
-/// A peer reports that it owns a job.
+/// Confirms a job that a peer reports as its own.
 pub(crate) fn owner_reported(gw: &Rc<Gateway>, id: &JobId) {
     let Some(owned) = owned_job(gw, id) else {
         return;
     };
-    // Its report may have been under way since before the job came here.
+    // The report may be older than this daemon's ownership of the job.
     let asked = owned.lease.get().asked();
     if asked.is_fresh(gw.stamp()) || owned.confirming.try_lock().is_err() {
         return;
@@ -101,8 +102,8 @@
     });
 }
 
-/// Whether an item of a job may start now. If the store's confirmation is not
-/// young enough, or soon will not be, the store is asked.
+/// Whether an item of a job may start now. If the store's confirmation is too old or
+/// soon will be, a new one is requested.
 pub(super) fn allows_start(gw: &Gateway, owned: &OwnedJob) -> bool {
     let (lease, now) = (owned.lease.get(), gw.stamp());
     if lease.is_due(true, now) && !owned.wants_start.replace(true) {
@@ -111,13 +112,13 @@
     lease.allows_start(now) || outage_began(gw).is_some_and(|at| lease.ran_at(at, now))
 }
 
-/// Since when the store is away for all daemons, as far as is known; none if it may
-/// be there for some.
+/// Since when the store is unavailable to all daemons, as far as this one knows;
+/// `None` if some daemon may reach it.
 ///
-/// Nothing can be ended or taken over in an outage, so that items of the jobs that
-/// were confirmed when it began go on. A daemon that hears no peer, or few of them,
-/// cannot tell an outage from its own being cut off, and one whose own calls fail may
-/// have been cut off long before the outage began.
+/// No job can be cancelled or taken over during an outage, so items of the jobs that
+/// were confirmed when it began continue to start. A daemon that receives reports of
+/// no peer, or of few, cannot tell an outage from a network partition. A daemon whose
+/// own calls fail may have lost its connection long before the outage began.
 fn outage_began(gw: &Gateway) -> Option<Moment> {
     let members = gw.members.borrow();
     let now = gw.now();
@@ -129,12 +130,13 @@
     Some(failing_since.max(members.store_answered_at()))
 }
 
-/// Has the store confirm own jobs whose items want to start, for ever.
+/// Renews the start leases of own jobs in an endless loop, by asking the store for
+/// confirmation.
 pub(crate) async fn renew_start_leases(gw: Rc<Gateway>) {
     let mut use_other_path = false;
     let mut is_failing = false;
     loop {
-        // A timeout is the next look.
+        // A timeout triggers the next periodic check.
         let _ = timeout(POLL_INTERVAL, gw.confirmation_due.notified()).await;
         loop {
             let due = due_jobs(&gw);
@@ -161,7 +163,7 @@
     }
 }
 
-/// Open jobs that the store should be asked for now.
+/// Open jobs to confirm now, in one call to the store.
 fn due_jobs(gw: &Gateway) -> Vec<Rc<OwnedJob>> {
     let jobs = gw.jobs.borrow();
     let open = jobs.own.values().filter(|o| o.job.borrow().is_open());
@@ -169,7 +171,8 @@
     jobs_to_check(leases, gw.stamp())
 }
 
-/// Asks the store about several jobs in one call.
+/// Confirms several jobs in one call to the store. Jobs that this daemon does not own
+/// any more are evicted.
 async fn check(gw: &Rc<Gateway>, jobs: &[Rc<OwnedJob>], by_peer: bool) -> Result<(), KvError> {
     let asked = gw.stamp();
     let revisions: Vec<(JobId, i64)> = jobs
@@ -182,7 +185,7 @@
     let found = match gw.store.check(guards.collect(), by_peer).await? {
         TxnOutcome::Conflict(found) => Some(found),
         TxnOutcome::Done(_) => None,
-        TxnOutcome::NoLease => return Err(KvError::Refused("no lease was named".into())),
+        TxnOutcome::NoLease => return Err(KvError::Refused("check without a lease".into())),
     };
     for (owned, (id, revision)) in jobs.iter().zip(&revisions) {
         let stored = match &found {
@@ -190,7 +193,7 @@
             None => None,
         };
         let is_ours = match &stored {
-            // The answer to the write that completed it may be on its way.
+            // The response to the write that completed the job may be in flight.
             Some((at, r)) => at == revision || (r.phase == JobPhase::Done && r.owner.run == gw.run),
             None => found.is_none(),
         };
--- a/crates/bluebellreel_gateway/src/jobs/hand_over.rs
+++ b/crates/bluebellreel_gateway/src/jobs/hand_over.rs
@@ -1,4 +1,4 @@
-//! Handing jobs over when this daemon stops.
+//! Handing over jobs to peers when this daemon stops.
 
 use super::adopt::adopt;
 use super::backup::read_progress;
@@ -22,19 +22,19 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Longest that results under way may take to be recorded before their job is
+/// How long a hand-over waits until pending results are recorded. After it, the job is
 /// handed over without them.
 const RECORD_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Time between looks whether they are.
+/// Interval between checks whether they are recorded.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// How long a hand-over's write is repeated.
+/// How long the write of a hand-over is retried.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Times that a new owner is notified of its job, while this process lasts.
+/// Limit on the attempts to notify a new owner of its job, while this process runs.
 const MAX_NOTICES: u32 = 3;
-/// Pause before it is notified again.
+/// Pause between these attempts.
 const NOTICE_PAUSE: Duration = Duration::from_millis(150);
 
-/// The hand-overs of a daemon that stops.
+/// The hand-overs of a stopping daemon.
 #[derive(Default)]
 pub(crate) struct HandOvers {
     tried: RefCell<BTreeSet<JobId>>,
@@ -42,8 +42,8 @@
 }
 
 impl HandOvers {
-    /// Begins to hand over the jobs that have not been tried yet. Jobs that
-    /// cannot be handed over are taken over by others once this daemon is gone.
+    /// Starts to hand over the jobs that were not tried yet. Peers take over those
+    /// that cannot be handed over once this daemon has exited.
     pub(crate) fn begin(self: &Rc<Self>, gw: &Rc<Gateway>) {
         let all: Vec<Rc<OwnedJob>> = gw.jobs.borrow().own.values().cloned().collect();
         for owned in all {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Whether one is under way or has still to begin.
+    /// Whether a hand-over is in progress or still to be started.
     pub(crate) fn is_busy(&self, gw: &Gateway) -> bool {
         let tried = self.tried.borrow();
         let is_left = gw.jobs.borrow().own.keys().any(|id| !tried.contains(id));
@@ -68,7 +68,7 @@
     }
 }
 
-/// Hands one job over to a peer that goes on.
+/// Hands one job over to a peer that keeps running.
 async fn hand_over(gw: Rc<Gateway>, owned: Rc<OwnedJob>) {
     let id = owned.job.borrow().id.clone();
     stop_items(&gw, &owned, &id);
@@ -82,7 +82,7 @@
     }
     let to = gw.members.borrow().successor(&id, None, gw.now());
     let Some(to) = to else {
-        warn!(target: "jobs", job:% = id; "nobody to hand the job over to");
+        warn!(target: "jobs", job:% = id; "no peer to hand the job over to");
         return;
     };
     let peer = gw.members.borrow().alive(&to, gw.now()).cloned();
@@ -111,12 +111,13 @@
         jobs.evict(&id);
         jobs.note_owner(&id, &record);
     }
-    let told = notify(&gw, peer.calls, &id, &progress).await;
-    info!(target: "jobs", job:% = id, peer:% = to, revision, told:? = told; "job handed over");
+    let notified = notify(&gw, peer.calls, &id, &progress).await;
+    info!(target: "jobs", job:% = id, peer:% = to, revision, told:? = notified; "job handed over");
 }
 
-/// Notifies the new owner of a job: one that misses it finds the job at a look, and
-/// its items begin anew. What it has taken before does no harm.
+/// Notifies the new owner of a job and sends it the progress of the items. An owner
+/// that is not reached finds the job by scanning the store, and the items start from
+/// scratch. Repeated notifications do no harm.
 async fn notify(
     gw: &Gateway,
     to: SocketAddr,
@@ -125,17 +126,17 @@
 ) -> Result<StatusCode, PeerError> {
     let mut left = MAX_NOTICES;
     loop {
-        let told = peer_calls::hand_over(gw, to, id, progress.to_vec()).await;
+        let outcome = peer_calls::hand_over(gw, to, id, progress.to_vec()).await;
         left -= 1;
-        if matches!(told, Ok(StatusCode::OK | StatusCode::CONFLICT)) || left == 0 {
-            return told;
+        if matches!(outcome, Ok(StatusCode::OK | StatusCode::CONFLICT)) || left == 0 {
+            return outcome;
         }
         sleep(NOTICE_PAUSE).await;
     }
 }
 
-/// The record's revision after a hand-over. The first try's answer may be lost,
-/// and the second one meet the first one's record.
+/// The record's revision after a successful hand-over. The response to the first
+/// attempt may be lost, so that a retry finds the record already written.
 fn handed_over(outcome: &Commit, id: &JobId, record: &JobRecord) -> Option<i64> {
     match outcome {
         Commit::Applied { revision } => Some(*revision),
@@ -147,7 +148,7 @@
     }
 }
 
-/// Ends the job's runs; their items keep what they have generated.
+/// Ends the job's runs. The items keep their progress.
 fn stop_items(gw: &Gateway, owned: &OwnedJob, id: &JobId) {
     gw.jobs.borrow_mut().end_runs(id);
     let now = gw.now();
@@ -160,22 +161,22 @@
 }
 
 fn progress(owned: &OwnedJob) -> Vec<u8> {
-    // Without it the items begin anew, which is right if slower.
+    // Without progress the items start from scratch, which is correct but slower.
     postcard::to_allocvec(&owned.job.borrow().progress()).unwrap_or_default()
 }
 
-/// Takes a job that a peer has handed over.
+/// Accepts a job that a peer has handed over.
 pub(crate) async fn take_hand_over(
     gw: &Rc<Gateway>,
     id: &JobId,
     progress: &[u8],
 ) -> Response<Body> {
     let begun = read_progress(id, progress);
-    // Somebody who only knew of the new owner may have told us before. Or it was
-    // ours long ago, and the one that hands it over has listed more.
+    // Another peer may have notified this daemon of its ownership already. Or this
+    // daemon owned the job earlier, and the peer has listed more results since.
     if let Some(owned) = owned_job(gw, id) {
         owned.invalidate_lease(&gw.start_terms);
-        // If the store does not answer now, nor does it below.
+        // If this call to the store fails, the read below probably fails as well.
         if confirm::confirm(gw, &owned).await.unwrap_or(false) {
             owned.job.borrow_mut().restore(begun, gw.now());
             return answers::status(StatusCode::OK);
@@ -195,7 +196,8 @@
     answers::status(StatusCode::OK)
 }
 
-/// A job that the store says is ours, and when it was asked.
+/// Loads an open job whose record names this daemon as the owner, with the time at
+/// which the store was asked.
 async fn load_own(gw: &Gateway, id: &JobId) -> Result<Option<(Job, Stamp)>, KvError> {
     let Some(found) = load::record(gw, id).await? else {
         return Ok(None);
--- a/crates/bluebellreel_gateway/src/jobs/load.rs
+++ b/crates/bluebellreel_gateway/src/jobs/load.rs
@@ -14,11 +14,11 @@
     KvError::Refused(e.to_string())
 }
 
-/// A job's record as the store has it.
+/// A job's record as stored.
 pub(super) struct FoundRecord {
     pub(super) revision: i64,
     pub(super) record: JobRecord,
-    /// When the store was asked.
+    /// When the call to the store was sent.
     pub(super) asked: Stamp,
 }
 
@@ -61,7 +61,7 @@
     Ok(items)
 }
 
-/// A job as its record at this revision, its input and its segments make it.
+/// Assembles a job from its record at this revision and its stored input and segments.
 pub(super) async fn job(
     gw: &Gateway,
     id: &JobId,
@@ -73,7 +73,7 @@
     Ok(Job::new(id.clone(), record, revision, input, segments))
 }
 
-/// A job that this daemon takes for its own.
+/// A job that this daemon owns, as far as it knows.
 pub(super) fn owned_job(gw: &Gateway, id: &JobId) -> Option<Rc<OwnedJob>> {
     gw.jobs.borrow().own.get(id).cloned()
 }
--- a/crates/bluebellreel_gateway/src/jobs/mod.rs
+++ b/crates/bluebellreel_gateway/src/jobs/mod.rs
@@ -1,7 +1,8 @@
-//! Batch jobs: accepted, run, recorded, read, ended, taken over.
+//! The life cycle of batch jobs: acceptance, execution, recording, reading,
+//! cancellation and takeover.
 //!
-//! What a job is and when a result counts is decided in `bluebellreel_batch`;
-//! here it meets the store, the workers and the peers.
+//! `bluebellreel_batch` defines jobs and the rules by which a result counts. This
+//! module applies these rules with the store, the workers and the peers.
 
 mod accept;
 mod adopt;
@@ -38,7 +39,7 @@
 pub(crate) use runs::{preempt_batch_runs, start_items};
 pub(crate) use takeover::adopt_orphans;
 
-/// Answers a call of a job's interface.
+/// Answers a caller's request about a job that was submitted before.
 pub(crate) async fn answer(gw: &Rc<Gateway>, call: JobCall) -> Response<Body> {
     match call {
         JobCall::Read { id, after, wait } => read::read(gw, &id, after, wait).await,
--- a/crates/bluebellreel_gateway/src/jobs/no_route.rs
+++ b/crates/bluebellreel_gateway/src/jobs/no_route.rs
@@ -1,8 +1,8 @@
-//! Giving items up whose route the operators took away.
+//! Giving up items whose route was removed from the configuration.
 //!
-//! The configuration in force here may be older than a job's route: the job may
-//! come from a daemon that learnt of the route first. An item that is given up
-//! is so for good, so the store must have said that there is nothing newer.
+//! This daemon's configuration may be older than a job's route if the job comes from
+//! a daemon with a newer configuration. Giving up an item is final, so the store must
+//! have confirmed first that no newer configuration exists.
 
 use super::load::owned_job;
 use super::own::{OwnedJob, RouteMissing};
@@ -16,12 +16,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long an item's route must be missing under one configuration before the
-/// item is given up: versions that follow quickly may bring it back.
+/// How long an item's route must be missing from one version of the configuration
+/// before the item is given up: a version that follows soon may restore the route.
 const MISSING_ROUTE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// An item of a job has no route. Once that has lasted, the store is asked, and
-/// the job's items without a route are given up if it agrees.
+/// Notes that an item of a job has no route. If this lasts for
+/// [`MISSING_ROUTE_TIMEOUT`], the store is asked for the newest configuration, and the
+/// job's items without a route are given up if it is the one in force here.
 pub(super) fn note_missing_route(gw: &Rc<Gateway>, owned: &Rc<OwnedJob>) {
     let now = gw.now();
     let first = RouteMissing {
@@ -33,7 +34,7 @@
     if known.is_some_and(|k| !k.ask_at.is_past(now)) {
         return;
     }
-    // It is asked again as much later if it does not agree.
+    // If the store has a newer configuration, it is asked again after the same time.
     owned.route_missing.set(Some(first));
     if known.is_some() {
         let asked = check_configuration(gw.clone(), owned.clone(), first.configuration);
@@ -52,11 +53,12 @@
     };
     let in_force = gw.facts.borrow().revisions().configuration;
     if stored != Some(revision) || in_force != revision || gw.facts.borrow().is_from_snapshot() {
-        info!(target: "jobs", job:% = id, revision:? = stored, known = revision; "items kept, their route may be newer");
+        info!(target: "jobs", job:% = id, revision:? = stored, known = revision; "items kept, a newer configuration may have their route");
         return;
     }
     let is_here = owned_job(&gw, &id).is_some_and(|known| Rc::ptr_eq(&known, &owned));
-    // A job that is being handed over is as its copy says.
+    // The items of a job that is being handed over must not change any more: their
+    // progress may have been sent to the new owner already.
     if is_here && !gw.stopping.get() {
         give_up(&gw, &owned, revision);
     }
@@ -72,7 +74,7 @@
     let in_force_ms = millis(now.since(since));
     for item in without_route(owned, &configuration) {
         let mut job = owned.job.borrow_mut();
-        warn!(target: "jobs", job:% = job.id, request:% = job.items[item].input.id, revision, in_force_ms; "item given up, its route is gone");
+        warn!(target: "jobs", job:% = job.id, request:% = job.items[item].input.id, revision, in_force_ms; "item given up, its route was removed");
         job.give_up(item, now);
     }
     owned.record_due.notify_one();
--- a/crates/bluebellreel_gateway/src/jobs/open.rs
+++ b/crates/bluebellreel_gateway/src/jobs/open.rs
@@ -1,7 +1,8 @@
-//! Open jobs of the store that no report tells of.
+//! Open jobs in the store that no daemon reports as its own.
 //!
-//! They are read in the background: once as soon as this daemon starts, and at each
-//! look for jobs without an owner. Acceptances count them from memory.
+//! They are read in the background: once when this daemon starts, and with each scan
+//! for jobs without an owner. When a submission is checked against its route's quota,
+//! they are counted from memory.
 
 use super::own::{Jobs, MAX_REPORTED};
 use crate::gateway::Gateway;
@@ -15,22 +16,24 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Jobs remembered, some hundred bytes each. More are not counted.
+/// Limit on the jobs remembered, at about a hundred bytes each. Jobs beyond it are not
+/// counted.
 const MAX_UNREPORTED: usize = 8192;
-/// Pause after a first list that failed.
+/// Pause after a failed attempt to read the initial list.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Open jobs that nobody reports, and what they count.
+/// Open jobs that no daemon reports, with their routes and tokens.
 #[derive(Default)]
 pub(crate) struct OpenJobs {
-    /// Without a value if the index does not tell and the record was not read.
+    /// `None` for a job whose index entry is not readable and whose record was not
+    /// read yet.
     unreported: HashMap<JobId, Option<OpenJob>>,
-    /// Whether the index was read since the start.
+    /// Whether the index was read since this daemon started.
     is_listed: watch::Sender<bool>,
 }
 
 impl OpenJobs {
-    /// Tokens of a route's jobs.
+    /// Total tokens of a route's unreported jobs.
     pub(super) fn tokens(&self, route: &str) -> u64 {
         let known = self.unreported.values().flatten();
         known.filter(|o| *o.route == *route).map(|o| o.tokens).sum()
@@ -41,7 +44,7 @@
         self.unreported.get(id).is_some_and(Option::is_some)
     }
 
-    /// Whether a job is listed, and its record has to be read for what it counts.
+    /// Whether a job is unreported and its record must be read to know its tokens.
     pub(super) fn needs_record(&self, id: &JobId) -> bool {
         self.unreported.get(id).is_some_and(Option::is_none)
     }
@@ -50,12 +53,12 @@
         self.unreported.is_empty()
     }
 
-    /// A job is counted elsewhere, or is over.
+    /// Removes a job that is counted elsewhere or has finished.
     pub(super) fn remove(&mut self, id: &JobId) {
         self.unreported.remove(id);
     }
 
-    /// A listed job's record was read.
+    /// Updates an unreported job from its record.
     pub(super) fn note_record(&mut self, id: &JobId, record: &JobRecord) {
         if record.phase != JobPhase::Open {
             self.remove(id);
@@ -64,7 +67,7 @@
         }
     }
 
-    /// Takes a list over. What was read of a job's record before is kept.
+    /// Replaces the list. Jobs that stay in it keep what was read from their records.
     fn replace(&mut self, listed: impl Iterator<Item = (JobId, Option<OpenJob>)>) {
         let mut before = std::mem::take(&mut self.unreported);
         let listed = listed.take(MAX_UNREPORTED);
@@ -78,8 +81,9 @@
     }
 }
 
-/// Reads the index until that has succeeded once. One that the store refuses to tell
-/// will not be had later either: nobody waits for it.
+/// Reads the index of open jobs, with retries until the first success. If the store
+/// refuses the read, later attempts would be refused as well, so the index counts as
+/// read and submissions do not wait for it.
 pub(super) async fn list_initially(gw: &Gateway) {
     while let Err(e) = list(gw).await {
         warn!(target: "jobs", error:% = e; "open jobs not listed");
@@ -91,7 +95,8 @@
     }
 }
 
-/// All open jobs; those that nobody reports are counted from now on.
+/// Lists all open jobs in the store. Those that no daemon reports are counted here
+/// from now on.
 pub(super) async fn list(gw: &Gateway) -> Result<Vec<JobId>, KvError> {
     let (all, _) = gw.store.list(&Key::from(keys::OPEN)).await?;
     let all: Vec<(JobId, Option<OpenJob>)> = all
@@ -118,8 +123,8 @@
     Ok(ids)
 }
 
-/// Whether a job may be one that its owner counts and has no room to name, given the
-/// peers whose reports are full.
+/// Whether a job's tokens may be in the report of an owner that cannot name the job
+/// there, given the peers whose reports have reached the limit on named jobs.
 fn may_be_omitted(full_reports: &[(&EntryName, &Peer)], jobs: &Jobs, id: &JobId) -> bool {
     let owner = jobs.owners.get(id);
     full_reports
@@ -127,7 +132,8 @@
         .any(|(name, p)| owner.is_none_or(|o| o.entry == **name && o.run == p.run))
 }
 
-/// Waits until the index was read since the start; whether it was in time.
+/// Waits until the index was read since this daemon started. Returns whether this
+/// happened before the deadline.
 pub(super) async fn wait_until_listed(gw: &Gateway, deadline: Instant) -> bool {
     let mut listed = gw.jobs.borrow().open.is_listed.subscribe();
     let listed = timeout_at(deadline, listed.wait_for(|l| *l)).await;
--- a/crates/bluebellreel_gateway/src/jobs/own.rs
+++ b/crates/bluebellreel_gateway/src/jobs/own.rs
@@ -1,4 +1,4 @@
-//! The jobs that this daemon owns.
+//! The jobs that this daemon owns or knows of.
 
 use bluebellreel_batch::{Job, JobRecord, ProgressCopies, Stamp, StartLease, StartTerms};
 use bluebellreel_types::{EntryName, Incarnation, JobId, Moment, WorkerName};
@@ -11,26 +11,26 @@
 use super::archive::Archive;
 use super::open::OpenJobs;
 
-/// One job, with what wakes those that wait for it.
+/// One owned job, with the notifications of the tasks that wait for its changes.
 pub(crate) struct OwnedJob {
     pub(crate) job: RefCell<Job>,
     /// Wakes the task that records its results.
     pub(crate) record_due: Notify,
-    /// Wakes readers.
+    /// Wakes readers when results are listed.
     pub(crate) listed: Notify,
-    /// The right to start its items, by the store's last confirmation that the
-    /// job is this daemon's.
+    /// The right to start its items, based on the store's last confirmation that
+    /// this daemon owns the job.
     pub(super) lease: Cell<StartLease>,
-    /// Whether an item waits for a confirmation only.
+    /// Whether an item could start but for a missing confirmation.
     pub(super) wants_start: Cell<bool>,
-    /// Held while the store is asked whose the job is.
+    /// Held while the store is asked who owns the job.
     pub(super) confirming: Mutex<()>,
-    /// Set once an item had no route.
+    /// Set once an item of the job has no route.
     pub(super) route_missing: Cell<Option<RouteMissing>>,
 }
 
 impl OwnedJob {
-    /// A job that the store has confirmed to a call that was sent at `asked`.
+    /// Creates the state of a job that the store confirmed by a call sent at `asked`.
     pub(super) fn new(job: Job, asked: Stamp, terms: &StartTerms) -> Rc<Self> {
         Rc::new(Self {
             job: RefCell::new(job),
@@ -43,13 +43,13 @@
         })
     }
 
-    /// Something speaks against the job's being this daemon's: none of its items
-    /// starts before the store has confirmed it again.
+    /// Invalidates the start lease, as another daemon may own the job: none of its
+    /// items starts before the store has confirmed the ownership again.
     pub(super) fn invalidate_lease(&self, terms: &StartTerms) {
         self.lease.set(StartLease::new(Stamp::default(), terms));
     }
 
-    /// The store has confirmed the job once more.
+    /// Renews the start lease after the store has confirmed the ownership again.
     pub(super) fn confirmed(&self, asked: Stamp, terms: &StartTerms) {
         if asked.at > self.lease.get().asked().at {
             self.lease.set(StartLease::new(asked, terms));
@@ -58,54 +58,54 @@
     }
 }
 
-/// A job of which an item has no route.
+/// State of a job that has an item without a route.
 #[derive(Clone, Copy)]
 pub(super) struct RouteMissing {
-    /// Revision of the configuration that lacks it.
+    /// Revision of the configuration that lacks the route.
     pub(super) configuration: i64,
-    /// When the store is asked whether that is the newest one.
+    /// When the store is asked whether this is the newest configuration.
     pub(super) ask_at: Moment,
 }
 
-/// A run of an item at a worker.
+/// One execution of an item by a worker.
 pub(crate) struct ItemRun {
     pub(crate) worker: WorkerName,
     pub(crate) abort: AbortHandle,
 }
 
-/// Where a job is known to be.
+/// The owner of a job, as last known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct KnownOwner {
     pub(crate) entry: EntryName,
     pub(crate) run: Incarnation,
 }
 
-/// Who recorded the end of a job.
+/// Which daemon recorded a job's cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CancelledBy {
-    /// This daemon, whose reports name the job.
+    /// This daemon, which lists the job in its reports.
     Us,
     /// A peer.
     Peer,
 }
 
-/// A job that was ended.
+/// A job that was cancelled.
 #[derive(Clone, Copy, Debug)]
 struct Tombstone {
     by: CancelledBy,
     until: Moment,
 }
 
-/// How a submission came out.
+/// Outcome of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SubmissionOutcome {
-    /// Not decided yet.
+    /// The outcome is not known yet.
     Pending,
-    /// The job is kept.
+    /// The job is stored.
     Stored,
-    /// It is certainly not kept, and never will be.
+    /// The job is certainly not stored and never will be.
     NotStored,
-    /// The same, as it does not fit its route's quota.
+    /// As [`Self::NotStored`], because the job exceeds its route's quota.
     OverQuota,
 }
 
@@ -113,41 +113,42 @@
 pub(crate) struct Jobs {
     pub(crate) own: BTreeMap<JobId, Rc<OwnedJob>>,
     pub(crate) runs: HashMap<(JobId, usize), ItemRun>,
-    /// Submissions on their way to the store.
+    /// Submissions that are being written to the store.
     pub(crate) submissions: HashMap<JobId, watch::Receiver<SubmissionOutcome>>,
     /// Owners of other jobs, as last read.
     pub(crate) owners: HashMap<JobId, KnownOwner>,
-    /// Jobs without an owner that another daemon should take over, and since
-    /// when they are known.
+    /// Jobs without an owner that another daemon should take over, with the time at
+    /// which this daemon first found them so.
     pub(crate) orphans: HashMap<JobId, Moment>,
-    /// Jobs that lie open in the store and that nobody reports.
+    /// Open jobs in the store that no daemon reports.
     pub(crate) open: OpenJobs,
     /// Jobs that were owned here or that peers have reported as theirs.
     reported: HashSet<JobId>,
     pub(crate) archive: Archive,
-    /// Jobs that were ended lately. One that is still being read from the store
-    /// must not be run.
+    /// Recently cancelled jobs. If such a job is still being loaded from the store,
+    /// it must not be run.
     tombstones: BTreeMap<JobId, Tombstone>,
-    /// Jobs whose end is still to be recorded.
+    /// Jobs whose cancellation is still to be recorded.
     pub(crate) pending_cancellations: BTreeSet<JobId>,
-    /// Those of them that a stopping daemon has passed on, or is passing on.
+    /// Those of them that this stopping daemon has forwarded or is forwarding.
     pub(super) forwarded_cancellations: BTreeSet<JobId>,
-    /// How far the items of peers' jobs are that this daemon would take over.
+    /// Progress of the items of peers' jobs, for which this daemon is the successor.
     pub(crate) copies: ProgressCopies,
-    /// Wakes the task that looks for jobs without an owner.
+    /// Wakes the task that scans for jobs without an owner.
     pub(crate) orphans_due: Rc<Notify>,
 }
 
-/// Jobs named in a report as owned, and as ended, some 20 bytes each. Owners of
-/// more are found by reading records, ends of more by asking the store.
+/// Limit on the owned jobs, and on the cancelled jobs, named in a report, at about 20
+/// bytes each. For jobs beyond it, peers find the owner by reading the record, and a
+/// cancellation by asking the store.
 pub(super) const MAX_REPORTED: usize = 500;
-/// Tombstones kept, some 40 bytes each.
+/// Limit on the tombstones kept, at about 40 bytes each.
 const MAX_TOMBSTONES: usize = 8192;
-/// Owners remembered; each takes some hundred bytes.
+/// Limit on the owners remembered, at about a hundred bytes each.
 const MAX_OWNERS: usize = 8192;
 
-/// Bytes of peers' progress that are kept: some hundred items half done, of
-/// a VM that may have 88 MB.
+/// Limit on the stored progress of peers' items, in bytes: enough for some hundred
+/// half-finished items, on a VM that may have 88 MB.
 const MAX_COPIES_BYTES: usize = 8 * 1024 * 1024;
 
 impl Default for Jobs {
@@ -180,14 +181,14 @@
         self.set_owner(id, owner);
     }
 
-    /// Takes a peer's report over that it owns a job, whose tokens are among
-    /// those that it reports.
+    /// Applies a peer's report that it owns a job, and that the job's tokens are
+    /// among those that the peer reports.
     pub(crate) fn reported(&mut self, id: &JobId, owner: KnownOwner) {
         self.note_reported(id);
         self.set_owner(id, owner);
     }
 
-    /// Remembers that a job's tokens are counted somewhere.
+    /// Remembers that a job's tokens are counted by its owner.
     pub(crate) fn note_reported(&mut self, id: &JobId) {
         if self.reported.len() >= MAX_OWNERS {
             self.reported.clear();
@@ -203,23 +204,22 @@
         self.owners.insert(id.clone(), owner);
     }
 
-    /// Whether a job's tokens are, or were, among those counted here or reported
-    /// by peers.
+    /// Whether a job's tokens are or were counted here, or reported by a peer.
     pub(crate) fn is_counted(&self, id: &JobId) -> bool {
         self.reported.contains(id)
     }
 
-    /// Whether a job is counted as this daemon's, or is over as far as is known here.
+    /// Whether this daemon owns a job, or knows that it has finished or was cancelled.
     pub(super) fn is_own_or_finished(&self, id: &JobId) -> bool {
         self.own.contains_key(id) || self.is_cancelled(id) || self.archive.get(id).is_some()
     }
 
-    /// Jobs owned here that reports name.
+    /// Owned jobs to name in reports.
     pub(crate) fn owned_ids(&self) -> Vec<JobId> {
         self.own.keys().take(MAX_REPORTED).cloned().collect()
     }
 
-    /// Remembers that a job was ended, by whom, until a moment.
+    /// Remembers until `until` that a job was cancelled, and which daemon recorded it.
     pub(crate) fn add_tombstone(&mut self, id: &JobId, by: CancelledBy, until: Moment) {
         if self.tombstones.len() >= MAX_TOMBSTONES {
             self.tombstones.clear();
@@ -234,12 +234,12 @@
         self.open.remove(id);
     }
 
-    /// Whether a job is known to be ended.
+    /// Whether a job is known to be cancelled.
     pub(crate) fn is_cancelled(&self, id: &JobId) -> bool {
         self.tombstones.contains_key(id)
     }
 
-    /// Jobs that reports name as ended.
+    /// Jobs whose cancellation this daemon has recorded, to name in reports.
     pub(crate) fn cancelled_here(&self) -> Vec<JobId> {
         let here = self
             .tombstones
@@ -248,13 +248,13 @@
         here.take(MAX_REPORTED).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Forgets what has outlived its time.
+    /// Removes expired tombstones and progress copies.
     pub(crate) fn sweep(&mut self, now: Moment) {
         self.copies.sweep(now);
         self.tombstones.retain(|_, t| !t.until.is_past(now));
     }
 
-    /// Items that wait for a slot.
+    /// Number of own items that wait for a worker slot.
     pub(crate) fn items_waiting(&self) -> u32 {
         let open = self
             .own
@@ -263,7 +263,7 @@
         u32::try_from(open.sum::<usize>()).unwrap_or(u32::MAX)
     }
 
-    /// Tokens of own jobs that wait, by route.
+    /// Tokens of own jobs that are still to be processed, by route.
     pub(crate) fn tokens_by_route(&self) -> BTreeMap<String, u64> {
         let mut tokens = BTreeMap::new();
         for owned in self.own.values() {
@@ -276,7 +276,7 @@
         tokens
     }
 
-    /// Evicts a job that another daemon owns now, or that is over, and aborts its
+    /// Evicts a job that another daemon owns now or that has finished, and aborts its
     /// runs.
     pub(crate) fn evict(&mut self, id: &JobId) -> Option<Rc<OwnedJob>> {
         self.end_runs(id);
@@ -286,7 +286,7 @@
         Some(owned)
     }
 
-    /// Ends all runs of a job's items.
+    /// Aborts all runs of a job's items.
     pub(crate) fn end_runs(&mut self, id: &JobId) {
         let of_job = |(job, _): &(JobId, usize)| job == id;
         self.runs.retain(|key, run| {
--- a/crates/bluebellreel_gateway/src/jobs/quota.rs
+++ b/crates/bluebellreel_gateway/src/jobs/quota.rs
@@ -1,4 +1,4 @@
-//! How much a route's callers may have waiting.
+//! Quotas: limits on the waiting tokens of each route.
 
 use super::open;
 use super::stored::key;
@@ -10,40 +10,43 @@
 use log::warn;
 use tokio::time::Instant;
 
-/// Share of a quota from which on acceptances go through the route's ledger,
-/// in percent. Below it, four daemons that accept at the same moment without
-/// knowing of each other still stay within the quota.
+/// Share of a quota in percent above which acceptances go through the route's ledger.
+/// Below it, four daemons that accept concurrently without knowledge of each other
+/// still stay within the quota.
 const LEDGER_THRESHOLD_PERCENT: u64 = 25;
 
-/// Tokens that wait on a route at all daemons, as far as is known.
+/// Tokens that wait on a route at all daemons, as far as this daemon knows.
 pub(crate) fn tokens_waiting(gw: &Gateway, route: &str) -> u64 {
     let jobs = gw.jobs.borrow();
     let own = jobs.tokens_by_route().get(route).copied().unwrap_or(0);
     own + gw.members.borrow().tokens(route, gw.now()) + jobs.open.tokens(route)
 }
 
-/// Waits until what is open in the store was read since this daemon's start; whether
-/// it was in time. Only jobs of routes with a quota wait.
+/// Waits until the store's open jobs were read since this daemon started. Returns
+/// whether this happened before the deadline. Only submissions to routes with a quota
+/// wait.
 pub(crate) async fn wait_until_countable(gw: &Gateway, route: &Route, deadline: Instant) -> bool {
     route.quota_tokens == 0 || open::wait_until_listed(gw, deadline).await
 }
 
-/// Whether a job of so many tokens fits, as far as is known.
+/// Whether a job with this number of tokens is within its route's quota, as far as
+/// this daemon knows.
 pub(crate) fn fits(gw: &Gateway, route: &Route, tokens: u64) -> bool {
     route.quota_tokens == 0 || tokens_waiting(gw, &route.name) + tokens <= route.quota_tokens
 }
 
-/// Whether a job's acceptance goes through the route's ledger.
+/// Whether the acceptance of a job must go through the route's ledger.
 pub(crate) fn needs_ledger(gw: &Gateway, route: &Route, tokens: u64) -> bool {
     let waiting = tokens_waiting(gw, &route.name) + tokens;
     route.quota_tokens > 0 && waiting * 100 > route.quota_tokens * LEDGER_THRESHOLD_PERCENT
 }
 
-/// Adds the ledger to a job's acceptance; `None` if the job does not fit.
+/// Adds an update of the route's ledger to the transaction that accepts a job.
+/// `None` if the job exceeds the quota.
 ///
 /// # Errors
 ///
-/// Gives the reason when the ledger cannot be read.
+/// Fails if the ledger cannot be read from the store.
 pub(crate) async fn add_ledger(
     gw: &Gateway,
     route: &Route,
@@ -55,7 +58,7 @@
     let stored = gw.store.read(&ledger_key).await?;
     let mut ledger = match &stored {
         Some(kv) => QuotaLedger::try_from(kv.value.as_slice()).unwrap_or_else(|e| {
-            warn!(target: "jobs", route:% = route.name, error:% = e; "ledger begun anew");
+            warn!(target: "jobs", route:% = route.name, error:% = e; "quota ledger not readable, reset");
             QuotaLedger::default()
         }),
         None => QuotaLedger::default(),
--- a/crates/bluebellreel_gateway/src/jobs/read.rs
+++ b/crates/bluebellreel_gateway/src/jobs/read.rs
@@ -1,7 +1,8 @@
-//! Reading results and bodies at any daemon.
+//! Reading results and item bodies through any daemon.
 //!
-//! The owner knows best and is asked first. If it is not heard, the store
-//! answers. "No such job" is said only if the store says so.
+//! The owner of a job has the newest results and is asked first. If the owner is not
+//! reachable, the answer comes from the store. "No such job" is answered only if the
+//! store has no record of the job.
 
 use super::archive::Archived;
 use super::load::owned_job;
@@ -21,19 +22,19 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Longest that a read waits for a result.
+/// Limit on the time that a read waits for a result.
 const MAX_WAIT: Duration = Duration::from_secs(1);
-/// How much longer a read waits for results that are being written. The store
-/// answers in some 4 ms; to read the job there costs two calls.
+/// How much longer a read waits for results that are being written. The store responds
+/// in about 4 ms, and reading the job from the store instead would cost two calls.
 const MAX_SETTLE: Duration = Duration::from_millis(100);
-/// When a caller should return while a job cannot be read.
+/// Sent to a caller while a job cannot be read: time to wait before it retries.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
 fn page(total: usize, after: usize, listed: &[ItemResult]) -> Response<Body> {
     answers::json(encode_results(total, after, listed))
 }
 
-/// Results of a job, wherever it is.
+/// Answers a caller with results of a job, whichever daemon owns it.
 pub(super) async fn read(
     gw: &Rc<Gateway>,
     id: &JobId,
@@ -52,7 +53,7 @@
         match peer_calls::results(gw, owner, id, after, wait).await {
             Ok((StatusCode::OK, body)) => return answers::json(body),
             Ok((status, _)) => {
-                info!(target: "jobs", job:% = id, status = status.as_u16(); "owner does not have it");
+                info!(target: "jobs", job:% = id, status = status.as_u16(); "owner does not have the job");
                 notify_owner(gw, id, owner);
             }
             Err(e) => warn!(target: "jobs", job:% = id, error:% = e; "owner not reached"),
@@ -65,8 +66,9 @@
     }
 }
 
-/// Notifies a daemon that the record names it a job's owner. It may have missed
-/// the hand-over, and would find the job only when it looks for orphans.
+/// Notifies a daemon that a job's record names it as the owner. It may have missed
+/// the hand-over, and would otherwise find the job only with its next scan for jobs
+/// without an owner.
 pub(super) fn notify_owner(gw: &Rc<Gateway>, id: &JobId, owner: SocketAddr) {
     let (gw, id) = (gw.clone(), id.clone());
     tokio::task::spawn_local(async move {
@@ -75,8 +77,8 @@
         };
         let record = found.record;
         if record.phase == JobPhase::Open && owner_address(&gw, &id) == Some(owner) {
-            let told = peer_calls::hand_over(&gw, owner, &id, Vec::new()).await;
-            info!(target: "jobs", job:% = id, owner:% = record.owner.entry, told:? = told; "owner told of its job");
+            let notified = peer_calls::hand_over(&gw, owner, &id, Vec::new()).await;
+            info!(target: "jobs", job:% = id, owner:% = record.owner.entry, told:? = notified; "owner notified of its job");
         }
     });
 }
@@ -87,7 +89,7 @@
     answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, reason, RETRY_AFTER)
 }
 
-/// Where the owner of a job is, if it is heard.
+/// Address of a job's owner, if the owner is known and alive.
 pub(super) fn owner_address(gw: &Gateway, id: &JobId) -> Option<SocketAddr> {
     let jobs = gw.jobs.borrow();
     let owner = jobs.owners.get(id)?;
@@ -96,7 +98,7 @@
     (peer.run == owner.run).then_some(peer.calls)
 }
 
-/// Results of a job of ours, for a peer's caller.
+/// Results of a job owned by this daemon, for a caller of a peer.
 pub(crate) async fn read_own(
     gw: &Rc<Gateway>,
     id: &JobId,
@@ -113,7 +115,8 @@
     }
 }
 
-/// The answer to a reader, if the job is this daemon's or that is not known.
+/// The answer to a reader if this daemon owns the job, or an error response if the
+/// ownership cannot be confirmed. `None` if another daemon owns it.
 async fn read_here(
     gw: &Rc<Gateway>,
     id: &JobId,
@@ -125,11 +128,12 @@
     read.unwrap_or_else(|e| Some(not_readable(id, &e)))
 }
 
-/// Results of a job of ours; none if it is another daemon's now.
+/// Results of a job owned by this daemon; `None` if another daemon owns it now.
 ///
-/// What is listed at a position stays, so results may be read from memory at any
-/// time. That nothing is listed there may be answered only while the job is surely
-/// ours: another owner may have listed more, and a reader have seen it.
+/// A result never changes once it is listed at a position, so listed results may be
+/// read from memory at any time. "Nothing is listed here" may be answered only while
+/// this daemon certainly owns the job: another owner may have listed more, and a
+/// reader may have seen it.
 async fn read_owned(
     gw: &Rc<Gateway>,
     owned: &Rc<OwnedJob>,
@@ -140,7 +144,7 @@
     if owned.job.borrow().listed.len() <= after {
         let is_ours = confirm::confirm(gw, owned).await?;
         if !is_ours || owned.job.borrow().is_writing() {
-            // Others may find in the store what is being written.
+            // Other readers may already find the results being written in the store.
             return Ok(None);
         }
     }
@@ -148,8 +152,8 @@
     Ok(Some(page(job.items.len(), after, &job.listed)))
 }
 
-/// Waits until a position is listed, or cannot be, or `until` has come; a moment
-/// longer for results that are being written.
+/// Waits until a result is listed at position `after`, or none can be, or until
+/// `until`. For results that are being written it waits up to [`MAX_SETTLE`] longer.
 async fn wait_for_results(gw: &Gateway, owned: &OwnedJob, after: usize, until: Instant) {
     loop {
         let listed = owned.listed.notified();
@@ -161,7 +165,7 @@
                 return;
             }
         }
-        // A timeout shows at the top of the loop.
+        // A timeout is handled at the top of the loop.
         let until = if Instant::now() < until {
             until
         } else {
@@ -171,7 +175,7 @@
     }
 }
 
-/// Recorded results as the store has them.
+/// The recorded results of a job, read from the store.
 async fn from_store(gw: &Gateway, id: &JobId) -> Result<Option<Archived>, KvError> {
     let Some(found) = load::record(gw, id).await? else {
         return Ok(None);
@@ -188,7 +192,7 @@
     Ok(Some(archived()))
 }
 
-/// Body of an item, wherever its job is.
+/// Answers a caller with the body of an item, whichever daemon owns its job.
 pub(super) async fn item_body(gw: &Rc<Gateway>, id: &JobId, item: &str) -> Response<Body> {
     if let Some(owned) = owned_job(gw, id)
         && let Some(body) = owned.job.borrow().body(item)
@@ -220,7 +224,7 @@
     Ok(found.map(|i| i.body))
 }
 
-/// Body of an item of a job of ours, for a peer's caller.
+/// Body of an item of a job owned by this daemon, for a caller of a peer.
 pub(crate) fn body_of_own(gw: &Gateway, id: &JobId, item: &str) -> Response<Body> {
     let body = owned_job(gw, id).and_then(|owned| owned.job.borrow().body(item));
     match body {
--- a/crates/bluebellreel_gateway/src/jobs/record.rs
+++ b/crates/bluebellreel_gateway/src/jobs/record.rs
@@ -1,4 +1,4 @@
-//! Recording results: the only way for a result to count.
+//! Recording results in the store. A result counts only once it is recorded.
 
 use super::archive::Archived;
 use super::own::OwnedJob;
@@ -12,20 +12,21 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// How long results gather before they are recorded. A write costs as much as
-/// a read; what is not recorded runs again if this daemon dies.
+/// How long results are collected before they are recorded together. A write costs as
+/// much as a read, and items whose results are not recorded run again if this daemon
+/// dies.
 const RECORD_DELAY: Duration = Duration::from_secs(1);
-/// Time between looks at what gathers.
+/// Interval between checks for results to record.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// How far the clocks of two daemons may differ, with some margin.
+/// How far the clocks of two daemons may differ, with a margin.
 const CLOCK_SLACK: Duration = Duration::from_secs(8);
-/// How long one round of repeating a write lasts.
+/// How long a write is retried before the job's state is checked again.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Share of the longest value that a segment's texts take, in percent: JSON's
-/// escapes and the ids take the rest.
+/// Limit on the texts of a segment, in percent of the longest value that the store
+/// takes. The JSON escapes and the ids take the rest.
 const SEGMENT_PERCENT: usize = 40;
 
-/// Records a job's results until it is over or another daemon owns it.
+/// Records a job's results until the job has finished or another daemon owns it.
 pub(crate) async fn record_results(gw: Rc<Gateway>, owned: Rc<OwnedJob>) {
     let id = owned.job.borrow().id.clone();
     while is_ours(&gw, &id, &owned) {
@@ -34,12 +35,12 @@
             write(&gw, &id, &owned, &segment).await;
             continue;
         }
-        // A timeout is the next look.
+        // A timeout triggers the next periodic check.
         let _ = timeout(POLL_INTERVAL, owned.record_due.notified()).await;
     }
 }
 
-/// Whether this daemon still owns the job and it can have more results.
+/// Whether this daemon still owns the job and the job can have more results.
 fn is_ours(gw: &Gateway, id: &JobId, owned: &Rc<OwnedJob>) -> bool {
     let jobs = gw.jobs.borrow();
     let same = jobs.own.get(id).is_some_and(|o| Rc::ptr_eq(o, owned));
@@ -48,7 +49,8 @@
 
 fn next_segment(gw: &Gateway, owned: &OwnedJob) -> Option<Segment> {
     let bytes = gw.settings.value_bytes / 100 * SEGMENT_PERCENT;
-    // A daemon that stops hands its jobs over and records what it has.
+    // A stopping daemon records its pending results at once, before it hands its jobs
+    // over.
     let delay = if gw.stopping.get() {
         Duration::ZERO
     } else {
@@ -90,8 +92,8 @@
             recorded(gw, id, owned, segment, revision);
         }
         Commit::Beaten(found) => {
-            // A try whose answer was lost may have recorded them, and the job have
-            // been ended or taken over since.
+            // An attempt whose response was lost may have recorded the results, and the
+            // job may have been cancelled or taken over since.
             let own = own_write(&found, &txn);
             if let Some(revision) = own {
                 recorded(gw, id, owned, segment, revision);
@@ -109,7 +111,8 @@
     }
 }
 
-/// The revision of our own write, if a try whose answer was lost has done it.
+/// The revision of this daemon's own write, if an attempt whose response was lost has
+/// been applied.
 fn own_write(found: &[KeyValue], txn: &Txn) -> Option<i64> {
     let put = &txn.puts[0];
     let kv = found.iter().find(|kv| kv.key == put.key)?;
@@ -138,7 +141,8 @@
     gw.report_due.notify_one();
 }
 
-/// Another daemon owns the job now, or it was ended: its record is as stored.
+/// Evicts a job that another daemon owns now or that was cancelled. `stored` is its
+/// record, if it could be read.
 pub(super) fn ownership_lost(gw: &Gateway, owned: &Rc<OwnedJob>, stored: Option<(i64, JobRecord)>) {
     let id = &owned.job.borrow().id.clone();
     let mut jobs = gw.jobs.borrow_mut();
@@ -152,13 +156,14 @@
     };
     jobs.note_owner(id, &record);
     if record.phase == JobPhase::Cancelled {
-        info!(target: "jobs", job:% = id, revision; "job ended, says the store");
+        info!(target: "jobs", job:% = id, revision; "job ended, found in the store");
         gw.metrics.job_end("found_in_store");
         return;
     }
     warn!(target: "jobs", job:% = id, owner:% = record.owner.entry, run:% = record.owner.run, phase:? = record.phase, revision; "job lost");
     if record.owner.entry == *gw.me() && record.phase == JobPhase::Open {
-        // It has come back here, with more recorded than was remembered.
+        // The record names this daemon as the owner again, with more results than it
+        // has in memory, so the job has to be loaded from the store.
         jobs.orphans_due.notify_one();
     }
 }
--- a/crates/bluebellreel_gateway/src/jobs/runs.rs
+++ b/crates/bluebellreel_gateway/src/jobs/runs.rs
@@ -1,4 +1,4 @@
-//! Running items at workers.
+//! Running items on workers.
 
 use super::own::{ItemRun, Jobs, OwnedJob};
 use super::{confirm, no_route};
@@ -26,20 +26,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// Longest wait for the head of a worker's answer to an item.
+/// Limit on the wait for the head of a worker's response to an item.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(900);
-/// Silence after which an item goes on at another worker.
+/// Time without output after which an item resumes on another worker.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Rest of an item after a run that came to nothing, so that it does not go
-/// round workers that all refuse it.
+/// Pause of an item after a run without success, so that it does not cycle through
+/// workers that all refuse it.
 const ITEM_BACKOFF: Duration = Duration::from_millis(120);
 
-/// Starts waiting items wherever a slot is free, for ever.
+/// Starts waiting items on free worker slots, in an endless loop.
 pub(crate) async fn start_items(gw: Rc<Gateway>) {
-    /// Time between looks when nothing wakes the task.
+    /// Interval between checks when nothing wakes the task.
     const POLL_INTERVAL: Duration = Duration::from_millis(50);
     loop {
-        // A timeout is the next look.
+        // A timeout triggers the next periodic check.
         let _ = timeout(POLL_INTERVAL, gw.batch_due.notified()).await;
         if !gw.stopping.get() {
             fill_slots(&gw);
@@ -74,7 +74,8 @@
             }
             Some(worker) => start(gw, next, &worker, permit),
             None if !avoid.is_empty() => {
-                // Others may start where it has failed: it holds none of them up.
+                // Other items may start on the workers where this one has failed, so it
+                // must not hold them up.
                 let later = ItemPhase::Waiting {
                     from: gw.now() + ITEM_BACKOFF,
                 };
@@ -87,7 +88,7 @@
     }
 }
 
-/// Whether an item may be sent to a worker; else when it may be tried again.
+/// Whether an item may be sent to a worker. The error is when it may be tried again.
 fn may_run(gw: &Gateway, next: &Next) -> Result<Leave, Moment> {
     let fingerprint = || {
         let out = outgoing(next);
@@ -96,7 +97,7 @@
     suspicion::may_run(gw, &next.id, Sender::Job, fingerprint)
 }
 
-/// An item to start and what it needs.
+/// The item to start next, with its route and service.
 struct Next {
     owned: Rc<OwnedJob>,
     job: JobId,
@@ -107,7 +108,8 @@
     service: Arc<str>,
 }
 
-/// The item to start next, of a service that is not full and a job that may go on.
+/// Chooses the item to start next, of a service with free slots and a job whose
+/// ownership is confirmed.
 fn choose_item(
     gw: &Rc<Gateway>,
     full: &BTreeSet<Arc<str>>,
@@ -197,7 +199,7 @@
     gw.batch_due.notify_one();
 }
 
-/// An item's request; `None` if none can be made of it.
+/// An item's request; `None` if the item cannot be turned into a valid request.
 fn outgoing(next: &Next) -> Option<Outgoing> {
     let job = next.owned.job.borrow();
     let input = &job.items[next.item].input;
@@ -266,10 +268,11 @@
     ItemEnd::Interrupted(gw.now() + ITEM_BACKOFF)
 }
 
-/// Why an item's run was broken off by its worker.
+/// Reason logged for a run whose response the worker broke off.
 const BROKEN_OFF: &str = "broken off";
 
-/// Reads a run's events to its end; else why it has none.
+/// Reads a run's events until the response is complete. The error is the reason why
+/// it is not.
 async fn read_events(
     gw: &Rc<Gateway>,
     next: &Next,
@@ -290,8 +293,8 @@
     }
 }
 
-/// The next piece of an item's output. A worker that has started again brings
-/// none, and its silence is not waited out.
+/// The next chunk of an item's output. A restarted worker sends no more, so its
+/// response is given up without waiting for [`SILENCE_TIMEOUT`].
 async fn next_chunk(gw: &Gateway, upstream: &mut Upstream) -> Result<Option<Bytes>, Broken> {
     let Upstream { body, place, .. } = upstream;
     tokio::select! {
@@ -317,7 +320,7 @@
             continue;
         };
         if progress.push(id, &event.data).is_err() {
-            return Err("events do not follow");
+            return Err("event ids not consecutive");
         }
         pulse.beat(gw, &upstream.place);
     }
@@ -345,7 +348,7 @@
     back_off(gw)
 }
 
-/// A run of an item that its worker broke off.
+/// Describes a run whose response the worker broke off.
 fn cut_of(next: &Next, out: &Outgoing, ticket: Ticket, began: Moment) -> Cut {
     Cut {
         request: next.id.clone(),
@@ -360,7 +363,8 @@
     owned.map_or(0, |o| o.job.borrow().items[key.1].progress.events())
 }
 
-/// Ends the batch runs that must make room now. Their items go on elsewhere.
+/// Preempts the batch runs that must yield their slots to online requests now. Their
+/// items resume on other workers.
 pub(crate) fn preempt_batch_runs(gw: &Gateway) {
     let Ok(mut jobs) = gw.jobs.try_borrow_mut() else {
         return;
@@ -388,7 +392,7 @@
             let mut job = owned.job.borrow_mut();
             let end = ItemEnd::Interrupted(gw.now());
             job.end_run(key.1, end, u32::MAX, gw.now());
-            info!(target: "jobs", job:% = key.0, request:% = job.items[key.1].input.id, worker:% = run.worker; "item makes room");
+            info!(target: "jobs", job:% = key.0, request:% = job.items[key.1].input.id, worker:% = run.worker; "item preempted");
         }
     }
 }
--- a/crates/bluebellreel_gateway/src/jobs/stored.rs
+++ b/crates/bluebellreel_gateway/src/jobs/stored.rs
@@ -1,4 +1,4 @@
-//! A job's keys and record as the store holds them.
+//! Stored keys and records of jobs.
 
 use bluebellreel_batch::JobRecord;
 use bluebellreel_batch::keys::{self, KeyText};
@@ -6,12 +6,12 @@
 use bluebellreel_types::JobId;
 use log::warn;
 
-/// A key of the store.
+/// Converts a key's text to a key of the store.
 pub(super) fn key(text: &KeyText) -> Key {
     Key::from(text.as_str())
 }
 
-/// The record among the keys that a failed guard showed.
+/// The job record among the key-value pairs that a failed transaction returned.
 pub(super) fn stored_record(found: &[KeyValue], record_key: &Key) -> Option<(i64, JobRecord)> {
     let kv = found.iter().find(|kv| kv.key == *record_key)?;
     match JobRecord::try_from(kv.value.as_slice()) {
@@ -23,7 +23,7 @@
     }
 }
 
-/// A write that makes the record's owner the job's owner.
+/// A transaction that replaces a job's record, to change the owner.
 pub(super) fn owner_txn(id: &JobId, record: &JobRecord, revision: i64) -> Txn {
     Txn::replace(key(&keys::record(id)), revision, record.encode())
 }
--- a/crates/bluebellreel_gateway/src/jobs/takeover.rs
+++ b/crates/bluebellreel_gateway/src/jobs/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking over jobs whose owner is gone.
+//! Taking over jobs whose owner has exited or died.
 
 use super::adopt::{adopt, adopt_stored};
 use super::load::FoundRecord;
@@ -17,29 +17,32 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Time between looks when nothing hints at a lost owner.
+/// Interval between scans for jobs without an owner when nothing hints at one.
 const SCAN_INTERVAL: Duration = Duration::from_secs(6);
-/// Time between looks while an owner is gone or this daemon is new.
+/// Interval between scans while jobs without an owner remain, as on a daemon that has
+/// just started, or while scans fail. Also the delay of a scan that was requested.
 const SCAN_INTERVAL_SHORT: Duration = Duration::from_millis(900);
-/// Time between looks of daemons that another one looks for: it tells them by
-/// being lost.
+/// Interval between scans on daemons that rely on the caretaker's scans: the loss of
+/// the caretaker itself wakes them.
 const SCAN_INTERVAL_LONG: Duration = Duration::from_secs(20);
-/// Wait after the start for peers to be heard: they report four times a second,
-/// and to a new daemon from its first report on. The jobs of a fleet that was
-/// killed stand still until then.
+/// Delay of the first scan after the start, until peers have reported: they report four
+/// times a second, and to a new daemon once they have received its first report. If
+/// the whole fleet was killed, no job runs until this scan.
 const FIRST_SCAN_DELAY: Duration = Duration::from_millis(600);
-/// How long a job without an owner is left to its successor.
+/// How long a job without an owner is left to its successor before the caretaker takes
+/// it over.
 const SUCCESSOR_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long an owner that is heard may leave a job out of its reports before it
-/// is notified that the job is its own.
+/// How long a live owner may omit a job from its reports before it is notified that it
+/// owns the job.
 const UNREPORTED_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a take-over's write is repeated.
+/// How long the write of a takeover is retried.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Jobs whose owners are heard and do not report them, and when those are notified.
+/// Jobs that their live owners do not report, with the time at which the owner is to be
+/// notified.
 type Unreported = HashMap<JobId, Moment>;
 
-/// Looks for jobs without an owner, for ever.
+/// Scans for jobs without an owner and adopts them, in an endless loop.
 pub(crate) async fn adopt_orphans(gw: Rc<Gateway>) {
     let due = gw.jobs.borrow().orphans_due.clone();
     let mut unreported = Unreported::new();
@@ -61,14 +64,15 @@
             (false, false) => SCAN_INTERVAL_LONG,
         };
         if timeout(pause, due.notified()).await.is_ok() {
-            // Its peers may be silent for a moment longer than its entry.
+            // The scan is delayed: the peers of a lost daemon may be silent for a moment
+            // longer than its entry.
             sleep(SCAN_INTERVAL_SHORT).await;
         }
     }
 }
 
-/// Goes through all open jobs; gives the number of those whose owner is not
-/// here and that are not taken over yet.
+/// Scans all open jobs. Returns the number of those whose owner is not alive and that
+/// are not taken over yet.
 async fn scan_open_jobs(gw: &Rc<Gateway>, unreported: &mut Unreported) -> Result<usize, KvError> {
     if gw.stopping.get() {
         return Ok(0);
@@ -82,7 +86,7 @@
     let before = std::mem::take(unreported);
     for id in open {
         if gw.stopping.get() {
-            // What it took now, it would have to hand over at once.
+            // A job taken over now would have to be handed over at once.
             return Ok(0);
         }
         if gw.jobs.borrow().own.contains_key(&id) || has_owner(gw, &id) {
@@ -95,7 +99,7 @@
             remaining += 1;
             continue;
         }
-        // One job that cannot be read must not hold up those behind it.
+        // A job that cannot be read must not hold up the remaining ones.
         match take_over(gw, &id, before.get(&id).copied(), unreported).await {
             Ok(settled) => remaining += usize::from(!settled),
             Err(KvError::Refused(reason)) => {
@@ -107,25 +111,25 @@
     Ok(remaining)
 }
 
-/// Whether this daemon looks more often than the others.
+/// Whether this daemon is the one that scans more often than the others.
 fn is_caretaker(gw: &Gateway) -> bool {
     gw.members.borrow().is_caretaker(gw.me(), gw.now())
 }
 
-/// Whether reports tell of all jobs that count against quotas.
+/// Whether the peers' reports cover all jobs that count against quotas.
 fn are_all_jobs_reported(gw: &Gateway) -> bool {
     gw.members.borrow().hears_all(gw.now()) && gw.jobs.borrow().open.is_empty()
 }
 
-/// Whether a peer that is heard says that it owns a job; saves reading the
-/// record.
+/// Whether a live peer reports that it owns a job. Saves reading the record.
 fn has_owner(gw: &Gateway, id: &JobId) -> bool {
     gw.members.borrow().is_owned(id, gw.now())
 }
 
-/// Takes a job over if its owner is gone and this daemon is the one to do so;
-/// whether no further look is needed soon. `notify_at` is when an owner that does
-/// not report the job is notified, if that is known from the look before.
+/// Takes a job over if its owner is gone and this daemon is responsible for it. Returns
+/// whether the job is settled, so that it needs no further scan soon. `notify_at` is
+/// when an owner that does not report the job is notified, if the previous scan has
+/// set it.
 async fn take_over(
     gw: &Rc<Gateway>,
     id: &JobId,
@@ -157,9 +161,9 @@
     }
 }
 
-/// Leaves a job to its owner, which is heard and does not report it: it may not
-/// know that the job is its own. Gives when it is to be notified, unless that is done
-/// or left to the caretaker.
+/// Leaves a job to its live owner, which does not report it and may not know that it
+/// owns the job. Returns when the owner is to be notified; `None` if it has been
+/// notified now, needs no notification, or is left to the caretaker.
 fn leave_to_owner(
     gw: &Rc<Gateway>,
     id: &JobId,
@@ -167,7 +171,7 @@
     notify_at: Option<Moment>,
 ) -> Option<Moment> {
     let now = gw.now();
-    // An owner of very many jobs reports some of them only.
+    // An owner of more than `MAX_REPORTED` jobs names only some of them.
     let reports_all = {
         let members = gw.members.borrow();
         let peer = members.alive(&owner.entry, now);
@@ -185,8 +189,8 @@
     None
 }
 
-/// Whether the owner, as far as it is known, is silent and not gone yet; saves
-/// reading the record at each look.
+/// Whether the last known owner of a job is silent but not gone yet. Saves reading the
+/// record with each scan.
 fn is_owner_silent(gw: &Gateway, id: &JobId) -> bool {
     let jobs = gw.jobs.borrow();
     let members = gw.members.borrow();
@@ -212,15 +216,16 @@
     }
 }
 
-/// Whether this daemon takes a job over first.
+/// Whether this daemon is the first to take a job over.
 fn is_successor(gw: &Gateway, id: &JobId) -> bool {
     let members = gw.members.borrow();
     members.successor(id, Some(gw.me()), gw.now()).as_ref() == Some(gw.me())
 }
 
-/// Whether this daemon is the one that looks after jobs that their successor leaves
-/// alone: the successor may believe that the owner lives, or not reach the store.
-/// The write is guarded, so two that claim a job at once do no harm.
+/// Whether this daemon is the caretaker and the successor of a job has not taken the
+/// job over within [`SUCCESSOR_TIMEOUT`]: the successor may consider the owner alive,
+/// or may not reach the store. The write is guarded, so two daemons that claim a job
+/// concurrently do no harm.
 fn has_successor_timed_out(gw: &Gateway, id: &JobId) -> bool {
     let now = gw.now();
     let mut jobs = gw.jobs.borrow_mut();
@@ -230,10 +235,10 @@
 
 /// Makes this daemon the owner of a job whose owner is gone.
 ///
-/// What is known of the owner may be old: a daemon that has just started has heard
-/// nobody, and one that is cut off hears nobody. An owner whose entry stands runs
-/// its jobs and answers readers from memory, so the write is guarded by the entry's
-/// end as well.
+/// This daemon's view of the owner may be stale: a daemon that has just started has
+/// received no reports yet, and one that is partitioned from its peers receives none.
+/// An owner whose entry is still in the store runs its jobs and answers readers from
+/// memory. So the write also requires that the owner's entry has ended.
 async fn claim(gw: &Rc<Gateway>, id: &JobId, found: FoundRecord) -> Result<bool, KvError> {
     let before = found.record.owner.clone();
     let ended = match registration::end_of(gw, &before).await? {
