--- a/crates/bluebellreel_entry/src/data/access.rs
+++ b/crates/bluebellreel_entry/src/data/access.rs
@@ -119,7 +119,7 @@
     /// two calls and some syncs.
     pub(crate) fn takes(&self, bytes: usize) -> bool {
         let settings = self.settings();
-        settings.is_some_and(|settings| bytes >= settings.kv_below)
+        settings.is_some_and(|settings| bytes >= settings.kv_threshold)
     }
 
     /// Keeps a chunk on both holders of a volume; returns only after both have
--- a/crates/bluebellreel_entry/src/jobs/sweep.rs
+++ b/crates/bluebellreel_entry/src/jobs/sweep.rs
@@ -67,7 +67,7 @@
         // think itself the first as well does no harm.
         if is_first(parts)? {
             self.sweep_uploads(parts.storage(), now)?;
-            sweep_ended(&parts.kv, parts.settings.limits.keep, now)?;
+            sweep_ended(&parts.kv, parts.settings.limits.job_retention, now)?;
         }
         if let Some(own) = parts.data.own() {
             self.sweep_disk(&parts.kv, own)?;
--- a/crates/bluebellreel_entry/src/online/reach.rs
+++ b/crates/bluebellreel_entry/src/online/reach.rs
@@ -28,7 +28,7 @@
 impl ReachPart {
     pub(crate) fn new(parts: &Parts) -> Self {
         let limits = ReachLimits {
-            whole: parts.settings.limits.workers_whole,
+            whole: parts.settings.limits.max_workers_connect_all,
             per_model: parts.settings.limits.workers_per_model,
             ..ReachLimits::default()
         };
--- a/crates/bluebellreel_entry/src/run.rs
+++ b/crates/bluebellreel_entry/src/run.rs
@@ -92,7 +92,7 @@
         self.parts.readiness.stop();
         self.http.leave();
         log::info!(target: "entry", "Stopping: not ready any more.");
-        thread::sleep(self.parts.settings.notice);
+        thread::sleep(self.parts.settings.drain_delay);
     }
 
     /// Whether the actors have nothing to do any more.
--- a/crates/bluebellreel_settings/src/data.rs
+++ b/crates/bluebellreel_settings/src/data.rs
@@ -46,9 +46,9 @@
     /// Bytes of chunks in it at the most.
     pub bytes: u64,
     /// Chunks with fewer bytes stay in the key-value service.
-    pub kv_below: usize,
+    pub kv_threshold: usize,
     /// How long a holder may be gone before its volumes are copied elsewhere.
-    pub patience: Duration,
+    pub recopy_delay: Duration,
 }
 
 pub(crate) fn check_data(check: &Check<'_>, raw: RawData) -> Result<DataSettings, SettingsError> {
@@ -60,7 +60,7 @@
         peer_token: Arc::from(raw.peer_token),
         folder: raw.folder,
         bytes: check.at_least("data.max_mb", raw.max_mb, 1)? << 20,
-        kv_below: raw.kv_below_kb << 10,
-        patience: Duration::from_secs(raw.patience_s),
+        kv_threshold: raw.kv_below_kb << 10,
+        recopy_delay: Duration::from_secs(raw.patience_s),
     })
 }
--- a/crates/bluebellreel_settings/src/entry.rs
+++ b/crates/bluebellreel_settings/src/entry.rs
@@ -137,7 +137,7 @@
     /// spreads them over all.
     pub online_per_worker: u32,
     /// Up to so many listed workers, the daemon connects to all of them.
-    pub workers_whole: usize,
+    pub max_workers_connect_all: usize,
     /// Workers connected for each model beyond that.
     pub workers_per_model: usize,
     /// Running jobs in the fleet.
@@ -145,7 +145,7 @@
     /// Running jobs of one team.
     pub team_jobs: usize,
     /// How long an ended job stays readable.
-    pub keep: Duration,
+    pub job_retention: Duration,
 }
 
 /// Checked settings of an entry daemon.
@@ -173,7 +173,7 @@
     pub lease: Duration,
     /// Time that a stopping daemon goes on serving, not ready any more, until
     /// the balancer has noticed.
-    pub notice: Duration,
+    pub drain_delay: Duration,
     /// Time for a graceful stop after that.
     pub stop: Duration,
     /// Bounds.
@@ -243,7 +243,7 @@
             first_token_target: Duration::from_millis(deadlines.first_token_ms),
             batch_deadline: Duration::from_secs(deadlines.batch_s),
             lease: Duration::from_secs(deadlines.lease_s),
-            notice: Duration::from_secs(deadlines.notice_s),
+            drain_delay: Duration::from_secs(deadlines.notice_s),
             stop: Duration::from_secs(deadlines.stop_s),
             limits,
             tokens,
@@ -286,9 +286,11 @@
         online_per_worker: raw.online_per_worker,
         jobs: check.at_least("limits.jobs", raw.jobs, 1)?,
         team_jobs: check.at_least("limits.team_jobs", raw.team_jobs, 1)?,
-        workers_whole: raw.workers_whole,
+        max_workers_connect_all: raw.workers_whole,
         workers_per_model: check.at_least("limits.workers_per_model", raw.workers_per_model, 1)?,
-        keep: Duration::from_hours(24 * check.at_least("limits.keep_days", raw.keep_days, 1)?),
+        job_retention: Duration::from_hours(
+            24 * check.at_least("limits.keep_days", raw.keep_days, 1)?,
+        ),
     })
 }
 
--- a/crates/bluebellreel_settings/src/side.rs
+++ b/crates/bluebellreel_settings/src/side.rs
@@ -93,7 +93,7 @@
     /// Time between tokens that online streams should keep.
     pub inter_token_target: Duration,
     /// Which measure goes first.
-    pub lean: SidePriority,
+    pub priority: SidePriority,
     /// Time for a graceful stop.
     pub stop: Duration,
     /// Log lines.
@@ -152,7 +152,7 @@
                 limits.inter_token_ms,
                 1,
             )?),
-            lean: raw.lean,
+            priority: raw.lean,
             stop: Duration::from_secs(check.at_least("stop_s", raw.stop_s, 1)?),
             log: raw.log,
             trace: raw.trace,
--- a/crates/bluebellreel_side/src/run.rs
+++ b/crates/bluebellreel_side/src/run.rs
@@ -134,7 +134,7 @@
         queue_count: settings.queue_count,
         queue_bytes: settings.queue_bytes,
         inter_token_target: settings.inter_token_target,
-        lean: match settings.lean {
+        lean: match settings.priority {
             SidePriority::Throughput => Lean::Throughput,
             SidePriority::Tail => Lean::Tail,
         },
