--- a/crates/bluebellreel_gateway/src/jobs/cancel.rs
+++ b/crates/bluebellreel_gateway/src/jobs/cancel.rs
@@ -104,9 +104,9 @@
 pub(crate) fn forward_cancellations(gw: &Rc<Gateway>) {
     let pending: Vec<JobId> = {
         let jobs = &mut *gw.jobs.borrow_mut();
-        let passed_on = &mut jobs.forwarded_cancellations;
+        let forwarded = &mut jobs.forwarded_cancellations;
         let left = jobs.pending_cancellations.iter();
-        left.filter(|id| passed_on.insert((*id).clone()))
+        left.filter(|id| forwarded.insert((*id).clone()))
             .cloned()
             .collect()
     };
