--- a/crates/bluebellreel_settings/src/data.rs
+++ b/crates/bluebellreel_settings/src/data.rs
@@ -1,4 +1,4 @@
-//! Settings of the disks for chunks.
+//! Settings of the disks that store chunks of large jobs.
 
 use crate::SettingsError;
 use crate::parts::Check;
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Shortest token that peers know each other by.
-const SHORTEST_TOKEN: usize = 16;
+/// Minimum length of the token by which daemons authenticate each other.
+const MIN_TOKEN_LENGTH: usize = 16;
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -35,25 +35,25 @@
     60
 }
 
-/// Where chunks of large jobs go. All daemons of a site have these settings;
-/// `folder` only those with a disk.
+/// Where chunks of large jobs are stored. All daemons of a site have these settings,
+/// but only those with a disk have a `folder`.
 #[derive(Clone, Debug)]
 pub struct DataSettings {
-    /// The token that daemons know each other by.
+    /// The token by which daemons authenticate each other.
     pub peer_token: Arc<str>,
     /// This VM's folder for chunks, if it has a disk.
     pub folder: Option<PathBuf>,
-    /// Bytes of chunks in it at the most.
+    /// Limit on the bytes of chunks in the folder.
     pub bytes: u64,
-    /// Chunks with fewer bytes stay in the key-value service.
+    /// Chunks with fewer bytes are stored in the key-value service instead.
     pub kv_threshold: usize,
-    /// How long a holder may be gone before its volumes are copied elsewhere.
+    /// How long a disk may be missing before its volumes are copied to another one.
     pub recopy_delay: Duration,
 }
 
 pub(crate) fn check_data(check: &Check<'_>, raw: RawData) -> Result<DataSettings, SettingsError> {
-    if raw.peer_token.len() < SHORTEST_TOKEN {
-        let reason = format!("must be at least {SHORTEST_TOKEN} characters");
+    if raw.peer_token.len() < MIN_TOKEN_LENGTH {
+        let reason = format!("must be at least {MIN_TOKEN_LENGTH} characters");
         return Err(check.fail("data.peer_token", reason));
     }
     Ok(DataSettings {
--- a/crates/bluebellreel_settings/src/entry.rs
+++ b/crates/bluebellreel_settings/src/entry.rs
@@ -114,35 +114,35 @@
     token_sha256: String,
 }
 
-/// Bounds of an entry daemon.
+/// Limits of an entry daemon.
 #[derive(Clone, Debug)]
 pub struct EntryLimits {
-    /// Bytes of an online request's body.
+    /// Limit on the bytes of an online request's body.
     pub body_bytes: usize,
-    /// Longest time to read an online request's body.
+    /// Limit on the time to read an online request's body.
     pub body_time: Duration,
-    /// Bytes of a job's body.
+    /// Limit on the bytes of a job's body.
     pub job_bytes: usize,
-    /// Longest time to read a job's body.
+    /// Limit on the time to read a job's body.
     pub job_time: Duration,
-    /// Items of a job.
+    /// Limit on the items of a job.
     pub job_items: usize,
-    /// HTTP requests in progress.
+    /// Limit on the HTTP requests in progress.
     pub threads: usize,
-    /// Online requests in progress.
+    /// Limit on the online requests in progress.
     pub requests: usize,
-    /// Online requests of one team in progress.
+    /// Limit on the online requests of one team in progress.
     pub team_requests: usize,
-    /// Online requests that a worker takes before the next one is used; zero
-    /// spreads them over all.
+    /// Online requests that a worker gets before the next worker is used; zero
+    /// spreads the requests over all workers.
     pub online_per_worker: u32,
-    /// Up to so many listed workers, the daemon connects to all of them.
+    /// With up to this many listed workers, the daemon connects to all of them.
     pub max_workers_connect_all: usize,
-    /// Workers connected for each model beyond that.
+    /// Workers to connect to for each model if more workers are listed.
     pub workers_per_model: usize,
-    /// Running jobs in the fleet.
+    /// Limit on the running jobs in the fleet.
     pub jobs: usize,
-    /// Running jobs of one team.
+    /// Limit on the running jobs of one team.
     pub team_jobs: usize,
     /// How long an ended job stays readable.
     pub job_retention: Duration,
@@ -153,38 +153,38 @@
 pub struct EntrySettings {
     /// The daemon's name.
     pub name: EntryName,
-    /// Where it stands.
+    /// The data centre that the daemon runs in.
     pub data_centre: DataCentre,
-    /// Where callers and operators reach it.
+    /// The address on which the daemon serves callers and operators.
     pub listen: SocketAddr,
-    /// The key-value service's URL.
+    /// URL of the key-value service.
     pub kv: String,
-    /// Calls a second to it at the most.
+    /// Limit on the calls per second to the key-value service.
     pub kv_calls_per_second: u32,
-    /// The VM list's URL.
+    /// URL of the VM list.
     pub vm_list: String,
-    /// Time for an online answer when the caller names no deadline.
+    /// Deadline of an online request if the caller sets none.
     pub online_deadline: Duration,
-    /// Time for the first token that the deployment wants to keep.
+    /// Target of the deployment for the time to the first token.
     pub first_token_target: Duration,
-    /// Time for a job when the caller names no deadline.
+    /// Deadline of a job if the caller sets none.
     pub batch_deadline: Duration,
     /// Time to live of the daemon's lease.
     pub lease: Duration,
-    /// Time that a stopping daemon goes on serving, not ready any more, until
-    /// the balancer has noticed.
+    /// How long a stopping daemon keeps serving while it reports not to be ready, so
+    /// that the balancer can notice and stop sending requests.
     pub drain_delay: Duration,
-    /// Time for a graceful stop after that.
+    /// Limit on the graceful stop after `drain_delay`.
     pub stop: Duration,
-    /// Bounds.
+    /// Limits.
     pub limits: EntryLimits,
-    /// Tokens of teams and operators.
+    /// Bearer tokens of teams and operators.
     pub tokens: TokenTable,
-    /// Disks for the chunks of large jobs; off if none.
+    /// Disks for the chunks of large jobs. `None` turns them off.
     pub data: Option<DataSettings>,
-    /// Log lines.
+    /// Destination of log lines.
     pub log: LogTarget,
-    /// Spans.
+    /// Destination of spans.
     pub trace: TraceTarget,
 }
 
@@ -192,7 +192,7 @@
 ///
 /// # Errors
 ///
-/// Gives the first error with file, key and reason.
+/// Returns the first error, with file, key and reason.
 pub fn load_entry(path: &str) -> Result<EntrySettings, SettingsError> {
     let text =
         std::fs::read_to_string(path).map_err(|e| SettingsError::new(path, "", e.to_string()))?;
@@ -203,7 +203,7 @@
 ///
 /// # Errors
 ///
-/// Gives the first error with file, key and reason.
+/// Returns the first error, with file, key and reason.
 pub fn parse_entry(file: &str, text: &str) -> Result<EntrySettings, SettingsError> {
     let raw: RawEntry =
         toml::from_str(text).map_err(|e| SettingsError::new(file, "", e.message()))?;
@@ -229,7 +229,7 @@
             &mut tokens,
         )?;
         if tokens.is_empty() {
-            return Err(check.fail("teams", "no team and no operator may do anything"));
+            return Err(check.fail("teams", "at least one team or operator is needed"));
         }
         let calls = raw.platform.kv_calls_per_second;
         Ok(Self {
@@ -263,11 +263,11 @@
     check.at_least("deadlines.batch_s", raw.batch_s, 1)?;
     check.at_least("deadlines.lease_s", raw.lease_s, 2)?;
     if raw.first_token_ms > raw.online_ms {
-        let reason = "cannot be met: it lies after deadlines.online_ms";
+        let reason = "cannot be met: must not exceed deadlines.online_ms";
         return Err(check.fail("deadlines.first_token_ms", reason));
     }
     if raw.stop_s.saturating_mul(1_000) < raw.online_ms {
-        let reason = "cannot be met: online requests may take deadlines.online_ms";
+        let reason = "cannot be met: must not be shorter than deadlines.online_ms";
         return Err(check.fail("deadlines.stop_s", reason));
     }
     Ok(raw)
@@ -316,7 +316,7 @@
 mod tests {
     use super::*;
 
-    const GOOD: &str = r#"
+    const VALID: &str = r#"
         name = "sligo-1"
         data_centre = "Sligo"
         listen = "127.0.0.1:8080"
@@ -329,14 +329,14 @@
     "#;
 
     fn error_of(from: &str, to: &str) -> String {
-        let text = GOOD.replace(from, to);
-        assert_ne!(text, GOOD, "the replacement must change something");
+        let text = VALID.replace(from, to);
+        assert_ne!(text, VALID, "the replacement must change something");
         parse_entry("e.toml", &text).unwrap_err().to_string()
     }
 
     #[test]
-    fn good_settings_pass() {
-        assert!(parse_entry("e.toml", GOOD).is_ok());
+    fn valid_settings_pass() {
+        assert!(parse_entry("e.toml", VALID).is_ok());
     }
 
     #[test]
--- a/crates/bluebellreel_settings/src/error.rs
+++ b/crates/bluebellreel_settings/src/error.rs
@@ -1,15 +1,15 @@
-//! What is wrong with a settings file.
+//! Errors of settings files.
 
 use std::fmt;
 
-/// One error: file, key and reason.
+/// An error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The file.
+    /// The file's name.
     pub file: String,
-    /// The key, empty for errors of syntax.
+    /// The key with the wrong value; empty for syntax errors.
     pub key: String,
-    /// The reason.
+    /// What is wrong.
     pub reason: String,
 }
 
--- a/crates/bluebellreel_settings/src/gateway.rs
+++ b/crates/bluebellreel_settings/src/gateway.rs
@@ -1,5 +1,5 @@
-//! Settings of a gateway: an entry daemon that sends to workers directly and
-//! keeps what must last in the platform's store.
+//! Settings of a gateway: an entry daemon that sends requests directly to workers and
+//! stores its persistent state in the platform's store.
 
 use crate::SettingsError;
 use crate::vm::{self, RawPeers, RawStop, RawVm};
@@ -12,44 +12,44 @@
 /// Checked settings of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewaySettings {
-    /// Its name, unique in the fleet.
+    /// The gateway's name, unique in the fleet.
     pub name: EntryName,
-    /// Where it stands.
+    /// The data centre that the gateway runs in.
     pub data_centre: DataCentre,
-    /// Where callers connect.
+    /// The address for callers.
     pub requests: SocketAddr,
-    /// Where the balancer asks whether it takes requests.
+    /// The address at which the balancer checks whether the gateway is ready.
     pub readiness: SocketAddr,
-    /// Where its peers connect.
+    /// The address for calls of peers.
     pub peers: SocketAddr,
-    /// Where its peers send their reports, by UDP; the port is the same on
-    /// all VMs.
+    /// The UDP address for reports of peers. The port is the same on all VMs.
     pub reports: SocketAddr,
-    /// Where peers are told to reach it.
+    /// The addresses advertised to peers.
     pub advertise: Advertise,
-    /// Where metrics are served.
+    /// The address on which metrics are served.
     pub metrics: SocketAddr,
-    /// Peers to begin with; they may be stale or down.
+    /// Peers to contact at the start. The list may be stale, and the peers may be down.
     pub seeds: Vec<SocketAddr>,
-    /// The store.
+    /// The address of the store.
     pub store: SocketAddr,
-    /// Longest value that the store takes, in bytes.
+    /// Limit of the store on the size of a value, in bytes.
     pub value_bytes: usize,
-    /// Shortest lease that the store grants.
+    /// Shortest time to live of a lease that the store grants.
     pub min_lease_ttl: Duration,
     /// Time from SIGTERM until the process is killed.
     pub grace: Duration,
-    /// Longest time from a job's end until its items no longer start.
+    /// Limit on the time from a job's cancellation until none of its items starts any
+    /// more.
     pub cancel_within: Duration,
 }
 
-/// Addresses that peers are told instead of those it listens on, as behind
-/// address translation.
+/// Addresses that are advertised to peers instead of the listening ones, as needed
+/// behind address translation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct Advertise {
-    /// Instead of [`GatewaySettings::peers`].
+    /// Replaces [`GatewaySettings::peers`].
     pub peers: Option<SocketAddr>,
-    /// Instead of [`GatewaySettings::reports`].
+    /// Replaces [`GatewaySettings::reports`].
     pub reports: Option<SocketAddr>,
 }
 
@@ -70,20 +70,20 @@
 }
 
 impl GatewaySettings {
-    /// Where peers are told to send their calls.
+    /// The address to which peers send their calls.
     #[must_use]
     pub fn advertised_peers(&self) -> SocketAddr {
         self.advertise.peers.unwrap_or(self.peers)
     }
 
-    /// Where peers are told to send their reports.
+    /// The address to which peers send their reports.
     #[must_use]
     pub fn advertised_reports(&self) -> SocketAddr {
         self.advertise.reports.unwrap_or(self.reports)
     }
 
-    /// Keys in which other settings differ and that only a start brings into
-    /// force; `peers.seeds` and `stop.grace_s` are taken over at once.
+    /// Keys whose values differ in `other` and take effect only after a restart.
+    /// Changes of `peers.seeds` and `stop.grace_s` take effect at once.
     #[must_use]
     pub fn start_needed_for(&self, other: &Self) -> Vec<&'static str> {
         let store = |s: &Self| (s.store, s.value_bytes, s.min_lease_ttl);
@@ -146,20 +146,21 @@
 impl Default for RawJobs {
     fn default() -> Self {
         Self {
-            cancel_within_ms: USUAL_CANCEL_WITHIN_MS,
+            cancel_within_ms: DEFAULT_CANCEL_WITHIN_MS,
         }
     }
 }
 
-/// Time in which jobs end where the settings name none, in milliseconds.
-const USUAL_CANCEL_WITHIN_MS: f64 = 3000.0;
-/// Longest: an hour, beyond any job's patience.
-const LONGEST_CANCEL_WITHIN_MS: f64 = 3_600_000.0;
+/// Default of `cancel_within_ms`.
+const DEFAULT_CANCEL_WITHIN_MS: f64 = 3000.0;
+/// Limit on `cancel_within_ms`: an hour, longer than any sender tolerates for a
+/// cancellation.
+const MAX_CANCEL_WITHIN_MS: f64 = 3_600_000.0;
 
 impl RawJobs {
     fn checked(&self, file: &str) -> Result<Duration, SettingsError> {
         let ms = self.cancel_within_ms;
-        if !(1.0..=LONGEST_CANCEL_WITHIN_MS).contains(&ms) {
+        if !(1.0..=MAX_CANCEL_WITHIN_MS).contains(&ms) {
             let reason = "must be from 1 to 3600000";
             return Err(SettingsError::new(file, "jobs.cancel_within_ms", reason));
         }
@@ -167,14 +168,14 @@
     }
 }
 
-/// Least value size that a batch item's longest result fits into.
-const LEAST_VALUE_BYTES: usize = 64 * 1024;
+/// Minimum value size of the store, into which the longest result of a batch item fits.
+const MIN_VALUE_BYTES: usize = 64 * 1024;
 
 /// Reads and checks the settings file of a gateway.
 ///
 /// # Errors
 ///
-/// Names the file, the key and what is wrong.
+/// Returns an error that names the file, the key and what is wrong.
 pub fn load_gateway(path: &Path) -> Result<GatewaySettings, SettingsError> {
     vm::load(path, parse_gateway)
 }
@@ -183,13 +184,13 @@
 ///
 /// # Errors
 ///
-/// Names the file, the key and what is wrong.
+/// Returns an error that names the file, the key and what is wrong.
 pub fn parse_gateway(file: &str, text: &str) -> Result<GatewaySettings, SettingsError> {
     let raw: Raw = toml::from_str(text).map_err(|e| SettingsError::new(file, "", e.to_string()))?;
     let (name, data_centre) = raw.vm.checked(file)?;
     let grace = raw.stop.checked(file)?;
     let advertise = raw.advertise.checked(file)?;
-    if raw.store.value_bytes < LEAST_VALUE_BYTES {
+    if raw.store.value_bytes < MIN_VALUE_BYTES {
         let reason = "must be 65536 or more";
         return Err(SettingsError::new(file, "store.value_bytes", reason));
     }
--- a/crates/bluebellreel_settings/src/keeper.rs
+++ b/crates/bluebellreel_settings/src/keeper.rs
@@ -1,4 +1,4 @@
-//! Settings of a keeper of snapshots.
+//! Settings of a keeper, which stores snapshots for gateways.
 
 use crate::SettingsError;
 use crate::vm::{self, RawPeers, RawStop, RawVm};
@@ -11,15 +11,16 @@
 /// Checked settings of a keeper.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeeperSettings {
-    /// Its name, unique in the fleet.
+    /// The keeper's name, unique in the fleet.
     pub name: EntryName,
-    /// Where it stands.
+    /// The data centre that the keeper runs in.
     pub data_centre: DataCentre,
-    /// Where gateways call it.
+    /// The address for calls of gateways.
     pub calls: SocketAddr,
-    /// Folder that it writes to.
+    /// The folder that the keeper writes to.
     pub folder: PathBuf,
-    /// Gateways to begin with; they may be stale or down.
+    /// Gateways to contact at the start. The list may be stale, and the gateways may be
+    /// down.
     pub seeds: Vec<SocketAddr>,
     /// Time from SIGTERM until the process is killed.
     pub grace: Duration,
@@ -50,7 +51,7 @@
 ///
 /// # Errors
 ///
-/// Names the file, the key and what is wrong.
+/// Returns an error that names the file, the key and what is wrong.
 pub fn load_keeper(path: &Path) -> Result<KeeperSettings, SettingsError> {
     vm::load(path, parse_keeper)
 }
@@ -59,7 +60,7 @@
 ///
 /// # Errors
 ///
-/// Names the file, the key and what is wrong.
+/// Returns an error that names the file, the key and what is wrong.
 pub fn parse_keeper(file: &str, text: &str) -> Result<KeeperSettings, SettingsError> {
     let raw: Raw = toml::from_str(text).map_err(|e| SettingsError::new(file, "", e.to_string()))?;
     let (name, data_centre) = raw.vm.checked(file)?;
--- a/crates/bluebellreel_settings/src/lib.rs
+++ b/crates/bluebellreel_settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of both programs, read from TOML and checked.
+//! Settings of all programs, read from TOML files and validated.
 //!
-//! Raw settings mirror the file; `TryFrom` turns them into domain types. An
-//! error names the file, the key and the reason in one line.
+//! Raw settings mirror the file and are converted to domain types. An error names the
+//! file, the key and the reason in one line.
 //!
 //! ```
 //! let error = bluebellreel_settings::parse_entry("entry.toml", "nmae = 1").unwrap_err();
--- a/crates/bluebellreel_settings/src/parts.rs
+++ b/crates/bluebellreel_settings/src/parts.rs
@@ -1,4 +1,4 @@
-//! Settings that both programs share.
+//! Settings that the entry daemon and the side process share.
 
 use crate::SettingsError;
 use serde::Deserialize;
@@ -9,40 +9,40 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Only what needs a person.
+    /// Only errors that need an operator.
     Error,
-    /// What may come to need one.
+    /// Also problems that may come to need an operator.
     Warn,
-    /// Changes of state.
+    /// Also changes of state.
     #[default]
     Info,
-    /// Every decision.
+    /// Also each decision.
     Debug,
 }
 
-/// Where log lines go.
+/// Level and destination of log lines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogTarget {
-    /// The least level written.
+    /// The lowest level that is written.
     #[serde(default)]
     pub level: LogLevel,
-    /// A file, instead of standard error.
+    /// The file to write to instead of standard error.
     pub file: Option<PathBuf>,
 }
 
-/// Where spans go: a file, an OTLP collector or, when neither is given,
-/// nowhere.
+/// Destination of spans: a file or an OTLP collector. Without either, spans are
+/// dropped.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceTarget {
-    /// A file for OTLP JSON, one message a line.
+    /// A file for OTLP JSON, one message per line.
     pub file: Option<PathBuf>,
     /// A collector's URL for OTLP JSON.
     pub otlp: Option<String>,
 }
 
-/// Settings of one file while they are checked.
+/// Validates the settings of one file.
 pub(crate) struct Check<'a> {
     pub(crate) file: &'a str,
 }
@@ -88,10 +88,10 @@
         &self,
         key: &str,
         value: T,
-        least: T,
+        min: T,
     ) -> Result<T, SettingsError> {
-        if value < least {
-            return Err(self.fail(key, format!("must be at least {least}")));
+        if value < min {
+            return Err(self.fail(key, format!("must be at least {min}")));
         }
         Ok(value)
     }
--- a/crates/bluebellreel_settings/src/side.rs
+++ b/crates/bluebellreel_settings/src/side.rs
@@ -7,14 +7,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Which measure the deployment puts first.
+/// Which measure the deployment gives priority to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SidePriority {
     /// Batch throughput.
     #[default]
     Throughput,
-    /// The online tail.
+    /// Tail latency of online requests.
     Tail,
 }
 
@@ -72,33 +72,34 @@
 /// Checked settings of a side process.
 #[derive(Clone, Debug)]
 pub struct SideSettings {
-    /// The worker beside it.
+    /// The worker that the side process runs next to.
     pub worker: WorkerName,
-    /// Where it stands.
+    /// The data centre that the side process runs in.
     pub data_centre: DataCentre,
-    /// Where entries reach it.
+    /// The address on which the side process serves entry daemons.
     pub listen: SocketAddr,
-    /// Where metrics and health are read, if anywhere.
+    /// The address on which metrics and health are served, if any.
     pub metrics: Option<SocketAddr>,
-    /// The backend server's URL.
+    /// URL of the backend server.
     pub backend: String,
-    /// The plain service that the backend server is; none for a model engine.
+    /// Name of the service if the backend server is a plain HTTP service; `None` for a
+    /// model engine.
     pub service: Option<ModelName>,
-    /// Attempts at the backend server at one time.
+    /// Limit on the concurrent attempts at the backend server.
     pub window: u32,
-    /// Online attempts that wait.
+    /// Limit on the queued online attempts.
     pub queue_count: usize,
-    /// Bytes of online attempts that wait.
+    /// Limit on the bytes of the queued online attempts.
     pub queue_bytes: usize,
-    /// Time between tokens that online streams should keep.
+    /// Target for the time between two tokens of an online stream.
     pub inter_token_target: Duration,
-    /// Which measure goes first.
+    /// Which measure has priority.
     pub priority: SidePriority,
-    /// Time for a graceful stop.
+    /// Limit on the graceful stop.
     pub stop: Duration,
-    /// Log lines.
+    /// Destination of log lines.
     pub log: LogTarget,
-    /// Spans.
+    /// Destination of spans.
     pub trace: TraceTarget,
 }
 
@@ -106,7 +107,7 @@
 ///
 /// # Errors
 ///
-/// Gives the first error with file, key and reason.
+/// Returns the first error, with file, key and reason.
 pub fn load_side(path: &str) -> Result<SideSettings, SettingsError> {
     let text =
         std::fs::read_to_string(path).map_err(|e| SettingsError::new(path, "", e.to_string()))?;
@@ -117,7 +118,7 @@
 ///
 /// # Errors
 ///
-/// Gives the first error with file, key and reason.
+/// Returns the first error, with file, key and reason.
 pub fn parse_side(file: &str, text: &str) -> Result<SideSettings, SettingsError> {
     let raw: RawSide =
         toml::from_str(text).map_err(|e| SettingsError::new(file, "", e.message()))?;
--- a/crates/bluebellreel_settings/src/token.rs
+++ b/crates/bluebellreel_settings/src/token.rs
@@ -1,10 +1,10 @@
-//! Bearer tokens, kept as hashes.
+//! Bearer tokens, stored as hashes.
 
 use bluebellreel_types::TeamName;
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// Who a token stands for.
+/// Whom a token authenticates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Principal {
     /// A caller.
@@ -13,7 +13,7 @@
     Operator(TeamName),
 }
 
-/// Known tokens by hash.
+/// Table of the known tokens by their hashes.
 #[derive(Clone, Debug, Default)]
 pub struct TokenTable {
     entries: Vec<([u8; 32], Principal)>,
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     ///
-    /// Gives the reason when the text is no such hash.
+    /// Fails if `hash` is not a SHA-256 in hexadecimal.
     pub fn add(&mut self, hash: &str, principal: Principal) -> Result<(), String> {
         let bytes = hex::decode(hash).map_err(|e| e.to_string())?;
         let hash = <[u8; 32]>::try_from(bytes).map_err(|_| "not 64 hexadecimal digits")?;
@@ -44,10 +44,10 @@
         Ok(())
     }
 
-    /// Who a token stands for.
+    /// Finds whom a token authenticates.
     ///
-    /// Compares in constant time and looks at every entry, so that the time
-    /// taken tells nothing about how much of a guess was right.
+    /// Compares the hashes in constant time and checks every entry, so that the time
+    /// taken does not reveal how much of a guess was right.
     #[must_use]
     pub fn find(&self, token: &str) -> Option<&Principal> {
         let hash = hash_token(token);
@@ -60,7 +60,7 @@
         found
     }
 
-    /// Whether there is no token at all.
+    /// Whether the table has no tokens.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
--- a/crates/bluebellreel_settings/src/vm.rs
+++ b/crates/bluebellreel_settings/src/vm.rs
@@ -1,4 +1,4 @@
-//! What the settings of all programs on the users' platform share.
+//! Settings that all programs on the users' platform share.
 
 use crate::SettingsError;
 use bluebellreel_types::{DataCentre, EntryName};
@@ -15,7 +15,7 @@
     pub(crate) data_centre: String,
 }
 
-/// Gateways to begin with.
+/// Gateways to contact at the start.
 #[derive(Default, Deserialize)]
 pub(crate) struct RawPeers {
     #[serde(default)]
@@ -29,8 +29,8 @@
             return Err(SettingsError::new(file, "vm.name", "must not be empty"));
         }
         let name = EntryName::from(self.name.as_str());
-        let place = DataCentre::from(self.data_centre.as_str());
-        Ok((name, place))
+        let data_centre = DataCentre::from(self.data_centre.as_str());
+        Ok((name, data_centre))
     }
 }
 
@@ -40,18 +40,18 @@
     grace_s: f64,
 }
 
-/// Time to stop where the settings name none: half of what service managers
-/// usually give.
-const USUAL_GRACE_S: f64 = 5.0;
-/// Shortest stop in which a request can end and a disk be written once more.
-const LEAST_GRACE_S: f64 = 1.0;
-/// Longest: an hour, beyond any service manager's.
-const LONGEST_GRACE_S: f64 = 3600.0;
+/// Default of `grace_s`: half of what service managers usually allow.
+const DEFAULT_GRACE_S: f64 = 5.0;
+/// Minimum of `grace_s`, in which a request can end and the disk can be written once
+/// more.
+const MIN_GRACE_S: f64 = 1.0;
+/// Limit on `grace_s`: an hour, longer than any service manager allows.
+const MAX_GRACE_S: f64 = 3600.0;
 
 impl Default for RawStop {
     fn default() -> Self {
         Self {
-            grace_s: USUAL_GRACE_S,
+            grace_s: DEFAULT_GRACE_S,
         }
     }
 }
@@ -59,7 +59,7 @@
 impl RawStop {
     /// Time from SIGTERM until the process is killed.
     pub(crate) fn checked(&self, file: &str) -> Result<Duration, SettingsError> {
-        if !(LEAST_GRACE_S..=LONGEST_GRACE_S).contains(&self.grace_s) {
+        if !(MIN_GRACE_S..=MAX_GRACE_S).contains(&self.grace_s) {
             let reason = "must be from 1 to 3600";
             return Err(SettingsError::new(file, "stop.grace_s", reason));
         }
@@ -67,7 +67,7 @@
     }
 }
 
-/// Reads a settings file; `parse` gets its name and text.
+/// Reads a settings file and passes its name and text to `parse`.
 pub(crate) fn load<T>(
     path: &Path,
     parse: impl Fn(&str, &str) -> Result<T, SettingsError>,
--- a/crates/bluebellreel_settings/tests/gateway.rs
+++ b/crates/bluebellreel_settings/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway: what is refused, and what a change of them needs.
+//! Settings of a gateway: validation, and which changes need a restart.
 
 use bluebellreel_settings::{GatewaySettings, parse_gateway};
 use std::time::Duration;
@@ -29,30 +29,33 @@
 }
 
 #[test]
-fn a_whole_file_is_taken() {
-    let settings = parse(TEXT).expect("proper settings");
+fn valid_settings_are_parsed() {
+    let settings = parse(TEXT).expect("valid settings");
     assert_eq!(settings.reports.to_string(), "127.0.0.1:8003");
     assert_eq!(settings.grace, Duration::from_secs(8));
 }
 
-/// Peers are told the listening addresses where none are set, else those that are.
+/// Guards that peers get the listening addresses unless the settings advertise others.
 #[test]
-fn peers_are_told_the_advertised_addresses() {
-    let plain = parse(TEXT).expect("proper settings");
+fn peers_get_the_advertised_addresses() {
+    let plain = parse(TEXT).expect("valid settings");
     assert_eq!(plain.advertised_peers(), plain.peers);
     assert_eq!(plain.advertised_reports(), plain.reports);
     let section = "[advertise]\npeers = \"127.0.0.3:9002\"\nreports = \"127.0.0.3:9003\"\n[peers]";
-    let told = parse(&TEXT.replace("[peers]", section)).expect("proper settings");
-    assert_eq!(told.advertised_peers().to_string(), "127.0.0.3:9002");
-    assert_eq!(told.advertised_reports().to_string(), "127.0.0.3:9003");
-    assert_eq!(told.peers, plain.peers);
-    assert_eq!(plain.start_needed_for(&told), ["advertise"]);
+    let advertised = parse(&TEXT.replace("[peers]", section)).expect("valid settings");
+    assert_eq!(advertised.advertised_peers().to_string(), "127.0.0.3:9002");
+    assert_eq!(
+        advertised.advertised_reports().to_string(),
+        "127.0.0.3:9003"
+    );
+    assert_eq!(advertised.peers, plain.peers);
+    assert_eq!(plain.start_needed_for(&advertised), ["advertise"]);
 }
 
-/// An operator mistypes a value. The daemon must name the file and the key
-/// instead of starting with something else.
+/// An operator mistypes a value. The daemon must name the file and the key instead of
+/// starting with a different value.
 #[test]
-fn what_is_wrong_is_named() {
+fn errors_name_the_file_and_the_key() {
     for (right, wrong, key) in [
         ("name = \"entry-1\"", "name = \"\"", "vm.name"),
         ("grace_s = 8", "grace_s = 0.1", "stop.grace_s"),
@@ -79,40 +82,40 @@
     }
 }
 
-/// The file changes while the daemon runs. Seeds and the time to stop count at
-/// once; for an address the daemon would have to listen anew.
+/// The file changes while the daemon runs. Changes of the seeds and the grace period
+/// take effect at once, but a listening address changes only with a restart.
 #[test]
-fn a_change_says_whether_it_needs_a_start() {
-    let before = parse(TEXT).expect("proper settings");
+fn changes_that_need_a_restart_are_listed() {
+    let before = parse(TEXT).expect("valid settings");
     let seeds = TEXT.replace("127.0.0.2:8002", "127.0.0.3:8002");
-    let at_once = parse(&seeds.replace("grace_s = 8", "grace_s = 4")).expect("proper settings");
+    let at_once = parse(&seeds.replace("grace_s = 8", "grace_s = 4")).expect("valid settings");
     assert_ne!(before, at_once);
     assert!(before.start_needed_for(&at_once).is_empty());
     let other = TEXT.replace(":8000", ":8100").replace(":2379", ":2380");
-    let later = parse(&other).expect("proper settings");
+    let later = parse(&other).expect("valid settings");
     assert_eq!(
         before.start_needed_for(&later),
         ["listen.requests", "store"]
     );
 }
 
-/// Guards that a gateway starts with any bound that a site may have, and with none but that.
+/// Guards that `cancel_within_ms` accepts every value in its range and no other.
 #[test]
-fn the_time_to_end_a_job_is_checked() {
-    let given = parse(TEXT).expect("proper settings");
+fn cancel_within_is_validated() {
+    let given = parse(TEXT).expect("valid settings");
     assert_eq!(given.cancel_within, Duration::from_secs(3));
     let longer = format!("{TEXT}[jobs]\ncancel_within_ms = 5000\n");
-    let longer = parse(&longer).expect("proper settings");
+    let longer = parse(&longer).expect("valid settings");
     assert_eq!(longer.cancel_within, Duration::from_secs(5));
     assert_eq!(given.start_needed_for(&longer), ["jobs.cancel_within_ms"]);
     for (text, ms) in [("1000", 1000), ("3000.0", 3000), ("1", 1)] {
         let given = parse(&format!("{TEXT}[jobs]\ncancel_within_ms = {text}\n"));
-        let given = given.expect("proper settings");
+        let given = given.expect("valid settings");
         assert_eq!(given.cancel_within, Duration::from_millis(ms));
     }
     for wrong in ["0", "-3000", "nan", "3600001"] {
         let error = parse(&format!("{TEXT}[jobs]\ncancel_within_ms = {wrong}\n"));
-        let error = error.expect_err("no such bound");
+        let error = error.expect_err("out of range");
         assert!(error.contains("jobs.cancel_within_ms"), "{error}");
     }
     assert_eq!(parse(&format!("{TEXT}[jobs]\n")).expect("no key"), given);
--- a/crates/bluebellreel_settings/tests/keeper.rs
+++ b/crates/bluebellreel_settings/tests/keeper.rs
@@ -2,7 +2,7 @@
 
 use bluebellreel_settings::parse_keeper;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [vm]
 name = "store-1"
 address = "10.0.0.7"
@@ -22,36 +22,44 @@
 "#;
 
 #[test]
-fn good_settings_are_read() {
-    let read = parse_keeper("keeper.toml", GOOD).expect("they are good");
+fn valid_settings_are_parsed() {
+    let read = parse_keeper("keeper.toml", VALID).expect("valid settings");
     assert_eq!(read.name.as_str(), "store-1");
     assert_eq!(read.seeds.len(), 2);
     assert_eq!(read.calls.to_string(), "10.0.0.7:7720");
     assert_eq!(read.grace.as_secs(), 8);
-    let without_seeds = GOOD.split("[peers]").next().expect("a part");
-    let read = parse_keeper("keeper.toml", without_seeds).expect("seeds may lack");
+    let without_seeds = VALID.split("[peers]").next().expect("a part");
+    let read =
+        parse_keeper("keeper.toml", without_seeds).expect("settings without seeds are valid");
     assert!(read.seeds.is_empty());
-    assert_eq!(read.grace.as_secs(), 5, "the usual one");
+    assert_eq!(read.grace.as_secs(), 5, "the default");
 }
 
-/// A mistake names the file and the key, as only a phone is at hand.
+/// An error must name the file and the key, as the operator may have only a phone to
+/// find the mistake with.
 #[test]
-fn mistakes_are_named() {
+fn errors_name_the_file_and_the_key() {
     let wrong = [
-        (GOOD.replace("store-1", ""), "vm.name"),
-        (GOOD.replace("/data", "data"), "data.folder"),
-        (GOOD.replace("folder", "place"), "folder"),
-        (GOOD.replace("10.0.0.1:8166", "here"), "seeds"),
-        (GOOD.replace("grace_s = 8", "grace_s = 0.5"), "stop.grace_s"),
-        (GOOD.replace("grace_s = 8", "grace_s = nan"), "stop.grace_s"),
+        (VALID.replace("store-1", ""), "vm.name"),
+        (VALID.replace("/data", "data"), "data.folder"),
+        (VALID.replace("folder", "place"), "folder"),
+        (VALID.replace("10.0.0.1:8166", "here"), "seeds"),
         (
-            GOOD.replace("grace_s = 8", "grace_s = 1e30"),
+            VALID.replace("grace_s = 8", "grace_s = 0.5"),
             "stop.grace_s",
         ),
-        (GOOD.replace("grace_s = 8", "grace = 8"), "grace_s"),
+        (
+            VALID.replace("grace_s = 8", "grace_s = nan"),
+            "stop.grace_s",
+        ),
+        (
+            VALID.replace("grace_s = 8", "grace_s = 1e30"),
+            "stop.grace_s",
+        ),
+        (VALID.replace("grace_s = 8", "grace = 8"), "grace_s"),
     ];
     for (text, key) in wrong {
-        let e = parse_keeper("keeper.toml", &text).expect_err("it is wrong");
+        let e = parse_keeper("keeper.toml", &text).expect_err("invalid settings");
         let e = e.to_string();
         assert!(e.contains("keeper.toml") && e.contains(key), "{key}: {e}");
     }
