--- a/crates/bluebellreel_telemetry/src/json_log.rs
+++ b/crates/bluebellreel_telemetry/src/json_log.rs
@@ -1,9 +1,9 @@
-//! Log lines as JSON on standard output, bounded and never blocking.
+//! Non-blocking logging of JSON lines through a bounded queue.
 //!
-//! Lines pass through a queue of fixed length to a thread that writes them. A
-//! reader that stops reading fills the queue; further lines are dropped and
-//! counted, and the count is written once there is room again. Whoever ends the
-//! process has the queue written first: its last lines tell why it ended.
+//! A thread takes the lines from a queue of fixed length and writes them. If the
+//! reader of the output stops reading, the queue fills up. Further lines are dropped
+//! and counted, and the count is logged once there is room again. The code that ends
+//! the process flushes the queue first, as the last lines say why the process ended.
 
 use crossbeam_channel::{Receiver, Sender, bounded};
 use log::kv::{Error, Key, Value, VisitSource};
@@ -14,43 +14,43 @@
 use std::thread;
 use std::time::Instant;
 
-/// Lines that may wait for the reader: some seconds of a busy daemon's, half a
-/// megabyte at the most.
-const QUEUE: usize = 2048;
-/// Lines written with one call at the most.
-const AT_ONCE: usize = 64;
+/// Limit on the queued lines: some seconds of a busy daemon's log, at most half a
+/// megabyte.
+const MAX_QUEUED_LINES: usize = 2048;
+/// Limit on the lines written with one call.
+const MAX_LINES_PER_WRITE: usize = 64;
 
-/// Lines dropped so far.
+/// A shared counter of dropped lines.
 #[derive(Clone, Debug, Default)]
 pub struct DroppedLines(Arc<AtomicU64>);
 
 impl DroppedLines {
-    /// How many.
+    /// Number of lines dropped so far.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// What the writing thread is handed.
+/// A message to the thread that writes the lines.
 enum Queued {
     Line(Vec<u8>),
-    /// Answered once all before it is written.
+    /// The sender is notified once all lines before it are written.
     Flush(Sender<()>),
 }
 
-/// The log of the process.
+/// Handle to the JSON log of the process.
 #[derive(Clone, Debug)]
 pub struct JsonLog {
-    /// Lines dropped so far.
+    /// Counts the dropped lines.
     pub dropped: DroppedLines,
     queue: Sender<Queued>,
 }
 
 impl JsonLog {
-    /// Waits until all lines so far are written, but not past a deadline: a
-    /// reader that has stopped reading must not hold up the end of a process.
-    /// Whether they are written.
+    /// Waits until all lines logged so far are written, or until the deadline: a
+    /// reader that has stopped reading must not delay the exit of the process. Returns
+    /// whether all lines are written.
     #[must_use = "lines that are not written are lost with the process"]
     pub fn flush(&self, deadline: Instant) -> bool {
         let (written, wait) = bounded(1);
@@ -77,7 +77,7 @@
     }
 }
 
-/// Gathers one line and hands it to the queue.
+/// Collects the bytes of one line and puts the line into the queue.
 struct LineWriter {
     line: Vec<u8>,
     queue: Sender<Queued>,
@@ -102,18 +102,18 @@
     }
 }
 
-/// Starts logging of the whole process to `out`; the parts named are logged
-/// from `level` on, everything else from warnings on.
+/// Starts logging for the whole process to `out`. Targets in `parts` are logged at
+/// `level` and above, all other targets at warning level and above.
 ///
 /// # Errors
 ///
-/// Gives the reason when logging runs already or no thread can be had.
+/// Fails if logging is already started or the thread cannot be spawned.
 pub fn start_json_logging(
     level: log::LevelFilter,
     parts: &[&'static str],
     out: impl Write + Send + 'static,
 ) -> eyre::Result<JsonLog> {
-    let (tx, rx) = bounded(QUEUE);
+    let (tx, rx) = bounded(MAX_QUEUED_LINES);
     let dropped = DroppedLines::default();
     let counted = dropped.clone();
     thread::Builder::new()
@@ -128,7 +128,7 @@
     let mut dispatch = fern::Dispatch::new()
         .format(|out, message, record| {
             let mut fields = Fields(Map::new());
-            // A field that cannot be visited is left out of its line.
+            // A field that cannot be visited is omitted from the line.
             record.key_values().visit(&mut fields).ok();
             let at = humantime::format_rfc3339_millis(std::time::SystemTime::now());
             let mut line = Map::new();
@@ -149,29 +149,30 @@
 }
 
 fn write_lines(queue: &Receiver<Queued>, mut out: impl Write, dropped: &DroppedLines) {
-    let mut told = 0;
+    let mut reported = 0;
     while let Ok(first) = queue.recv() {
         let mut buf = Vec::new();
         let mut flushed = Vec::new();
-        for next in std::iter::once(first).chain(queue.try_iter().take(AT_ONCE)) {
+        for next in std::iter::once(first).chain(queue.try_iter().take(MAX_LINES_PER_WRITE)) {
             match next {
                 Queued::Line(line) => buf.extend_from_slice(&line),
                 Queued::Flush(written) => flushed.push(written),
             }
         }
-        let lost = dropped.count();
-        if lost > told {
+        let total = dropped.count();
+        if total > reported {
             let note = format!(
                 "{{\"level\":\"WARN\",\"part\":\"log\",\"event\":\"lines dropped\",\"count\":{}}}\n",
-                lost - told
+                total - reported
             );
             buf.extend_from_slice(note.as_bytes());
-            told = lost;
+            reported = total;
         }
-        // There is nowhere to tell that nothing can be told.
+        // An error here cannot be reported, as the log itself is the output that
+        // fails.
         let _ = out.write_all(&buf).and_then(|()| out.flush());
         for written in flushed {
-            // Whoever asked may have stopped waiting.
+            // The caller of `flush` may have reached its deadline.
             let _ = written.send(());
         }
     }
--- a/crates/bluebellreel_telemetry/src/lib.rs
+++ b/crates/bluebellreel_telemetry/src/lib.rs
@@ -1,9 +1,9 @@
 //! Logs, metrics and traces.
 //!
-//! Log lines carry a fixed prefix for each part (the target of the `log`
-//! call) and `key=value` fields. Spans, one for each hop of a request, go as
-//! OTLP JSON to a file or over HTTP; a bounded channel keeps a slow collector
-//! from holding up requests.
+//! Log lines have the target of the `log` call as a prefix, which names the part of
+//! the program, and `key=value` fields. Spans, one for each hop of a request, are
+//! exported as OTLP JSON to a file or over HTTP. A bounded channel keeps a slow
+//! collector from delaying requests.
 //!
 //! ```
 //! use bluebellreel_telemetry::Tracer;
--- a/crates/bluebellreel_telemetry/src/logging.rs
+++ b/crates/bluebellreel_telemetry/src/logging.rs
@@ -1,15 +1,15 @@
-//! Structured log lines.
+//! Logging of text lines with `key=value` fields.
 
 use log::kv::{Error, Key, Value, VisitSource};
 use std::fmt::Write;
 use std::path::PathBuf;
 
-/// Where log lines go and which.
+/// Level and destination of log lines.
 #[derive(Clone, Debug)]
 pub struct LogSettings {
-    /// The least level that is written.
+    /// The lowest level that is written.
     pub level: log::LevelFilter,
-    /// A file to append to; standard error when none is given.
+    /// The file to append to. Without one, lines go to standard error.
     pub file: Option<PathBuf>,
 }
 
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 ///
-/// Gives the reason when the file cannot be opened or logging runs already.
+/// Fails if the file cannot be opened or logging is already started.
 pub fn start_logging(settings: &LogSettings) -> eyre::Result<()> {
     let dispatch = fern::Dispatch::new()
         .format(|out, message, record| {
--- a/crates/bluebellreel_telemetry/src/metrics.rs
+++ b/crates/bluebellreel_telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in Prometheus text.
+//! Metrics in the Prometheus text format.
 
 use prometheus_client::encoding::{EncodeLabelSet, text::encode};
 use prometheus_client::metrics::counter::Counter;
@@ -7,24 +7,24 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// First bucket of latency histograms, in seconds.
+/// Upper bound of the first bucket of latency histograms, in seconds.
 const FIRST_BUCKET: f64 = 0.001;
-/// Factor between buckets.
+/// Factor between the bounds of two adjacent buckets.
 const BUCKET_FACTOR: f64 = 1.6;
-/// Number of buckets.
+/// Number of buckets of latency histograms.
 const BUCKETS: u16 = 24;
 
-/// Label of outcome counters.
+/// Label of counters by outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabel {
-    /// How requests ended.
+    /// Outcome of the counted requests or attempts.
     pub outcome: &'static str,
 }
 
 /// Label of counters by model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ModelLabel {
-    /// The model or service.
+    /// Name of the model or service.
     pub model: String,
 }
 
@@ -33,38 +33,38 @@
 pub struct EntryMetrics {
     /// Online requests by outcome.
     pub requests: Family<OutcomeLabel, Counter>,
-    /// Attempts beyond the first.
+    /// Attempts at online requests beyond the first one.
     pub retries: Counter,
-    /// From arrival to the first token, in seconds.
+    /// Time from a request's arrival to its first token, in seconds.
     pub first_token: Histogram,
-    /// Requests in progress.
+    /// Online requests in progress.
     pub in_progress: Gauge,
     /// Online requests answered within their deadline.
     pub in_time: Counter,
-    /// Online requests that missed it.
+    /// Online requests that missed their deadline.
     pub late: Counter,
-    /// Batch items recorded.
+    /// Batch items whose results are recorded.
     pub items: Counter,
     /// Batch items recorded as failed.
     pub items_failed: Counter,
-    /// Jobs owned.
+    /// Jobs owned by this daemon.
     pub jobs_owned: Gauge,
-    /// Jobs taken over from a lost owner.
+    /// Jobs taken over from an owner that was lost.
     pub takeovers: Counter,
-    /// Bytes of results not yet recorded.
+    /// Bytes of results that are not recorded yet.
     pub unrecorded_bytes: Gauge,
     /// Calls to the key-value service.
     pub kv_calls: Gauge,
-    /// Calls to it that failed.
+    /// Failed calls to the key-value service.
     pub kv_failures: Gauge,
     /// Generation of the manifest in force.
     pub generation: Gauge,
-    /// Workers connected.
+    /// Workers that this daemon is connected to.
     pub workers: Gauge,
     registry: Registry,
 }
 
-/// Registers a metric and hands it back.
+/// Registers a metric and returns it.
 fn add<M: Clone + prometheus_client::registry::Metric>(
     registry: &mut Registry,
     name: &str,
@@ -147,9 +147,9 @@
 /// Metrics of a side process.
 #[derive(Debug)]
 pub struct SideMetrics {
-    /// Attempts by end.
+    /// Attempts by outcome.
     pub attempts: Family<OutcomeLabel, Counter>,
-    /// Batch attempts that gave way.
+    /// Batch attempts that were preempted.
     pub preemptions: Counter,
     /// Online attempts running or waiting.
     pub online: Gauge,
@@ -201,7 +201,7 @@
     }
 }
 
-/// Writes a registry as Prometheus text.
+/// Encodes a registry in the Prometheus text format.
 #[must_use]
 pub fn encode_metrics(registry: &Registry) -> String {
     let mut text = String::new();
--- a/crates/bluebellreel_telemetry/src/otlp.rs
+++ b/crates/bluebellreel_telemetry/src/otlp.rs
@@ -1,4 +1,4 @@
-//! Spans as OTLP JSON, to a file or over HTTP.
+//! Export of spans as OTLP JSON, to a file or over HTTP.
 
 use crate::Span;
 use serde_json::{Value, json};
@@ -6,28 +6,28 @@
 use std::io::Write;
 use std::path::PathBuf;
 
-/// Where spans go.
+/// Destination of spans.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TraceSink {
-    /// Nowhere.
+    /// Spans are dropped.
     Off,
-    /// One OTLP JSON message a line, appended to a file.
+    /// Spans are appended to a file, one OTLP JSON message per line.
     File(PathBuf),
-    /// `POST`ed to this URL.
+    /// Spans are sent to this URL by `POST`.
     Http(String),
 }
 
-/// An OTLP message with some spans.
+/// Builds an OTLP message with these spans.
 #[must_use]
 pub fn span_json(service: &str, spans: &[Span]) -> Value {
-    let spans: Vec<Value> = spans.iter().map(one_span).collect();
+    let spans: Vec<Value> = spans.iter().map(encode_span).collect();
     json!({ "resourceSpans": [{
         "resource": { "attributes": [attribute("service.name", service)] },
         "scopeSpans": [{ "scope": { "name": "bluebellreel" }, "spans": spans }],
     }]})
 }
 
-fn one_span(span: &Span) -> Value {
+fn encode_span(span: &Span) -> Value {
     let attributes: Vec<Value> = span
         .fields
         .iter()
@@ -52,11 +52,11 @@
     json!({ "key": key, "value": { "stringValue": value } })
 }
 
-/// Sends some spans.
+/// Exports spans to a sink.
 ///
 /// # Errors
 ///
-/// Gives the reason when the sink does not take them.
+/// Fails if the file cannot be written or the collector does not accept the spans.
 pub(crate) fn export(sink: &TraceSink, service: &str, spans: &[Span]) -> eyre::Result<()> {
     let message = span_json(service, spans);
     match sink {
--- a/crates/bluebellreel_telemetry/src/tracing.rs
+++ b/crates/bluebellreel_telemetry/src/tracing.rs
@@ -1,4 +1,4 @@
-//! Spans on their way to the exporter.
+//! Spans and the queue that passes them to the exporter.
 
 use crate::otlp::{self, TraceSink};
 use bluebellreel_types::{Moment, TraceContext};
@@ -8,41 +8,41 @@
 use std::thread;
 use std::time::Duration;
 
-/// Spans that may wait for the exporter.
-const QUEUE: usize = 4_096;
-/// Spans sent together.
-const GROUP: usize = 256;
-/// Longest time a span waits for others.
-const GROUP_WAIT: Duration = Duration::from_millis(200);
+/// Limit on the spans queued for the exporter.
+const MAX_QUEUED_SPANS: usize = 4_096;
+/// Limit on the spans exported together.
+const MAX_EXPORT_SPANS: usize = 256;
+/// How long a span waits for others that are exported with it.
+const EXPORT_DELAY: Duration = Duration::from_millis(200);
 
-/// A named value of a span.
+/// A named attribute of a span.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SpanField {
-    /// Its name.
+    /// The field's name.
     pub name: &'static str,
-    /// Its value.
+    /// The field's value.
     pub value: String,
 }
 
-/// One hop of a request.
+/// A span: one hop of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// The trace and the span above this one.
+    /// The trace and the parent span.
     pub context: TraceContext,
     /// This span's id.
     pub id: u64,
-    /// The hop.
+    /// Name of the hop.
     pub name: &'static str,
-    /// When it began.
+    /// Start of the span.
     pub start: Moment,
-    /// When it ended.
+    /// End of the span.
     pub end: Moment,
-    /// What is worth knowing.
+    /// Attributes of the span.
     pub fields: Vec<SpanField>,
 }
 
 impl Span {
-    /// A span that begins now, with a fresh id.
+    /// Creates a span that begins at `start`, with a new random id.
     #[must_use]
     pub fn begin(context: TraceContext, name: &'static str, start: Moment) -> Self {
         Self {
@@ -65,14 +65,14 @@
         self
     }
 
-    /// The context for the hops below this one.
+    /// The context for child spans of this one.
     #[must_use]
     pub fn child_context(&self) -> TraceContext {
         self.context.child(self.id)
     }
 }
 
-/// Takes spans in; cheap to clone.
+/// Passes finished spans to the exporter. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Tracer {
     tx: Option<Sender<Span>>,
@@ -80,7 +80,7 @@
 }
 
 impl Tracer {
-    /// A tracer that exports nothing.
+    /// Creates a tracer that drops all spans.
     #[must_use]
     pub fn disabled() -> Self {
         Self {
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Starts exporting on a thread of its own.
+    /// Starts a thread that exports spans to `sink`.
     #[must_use]
     pub fn start(service: &str, sink: TraceSink) -> Self {
         if sink == TraceSink::Off {
             return Self::disabled();
         }
-        let (tx, rx) = bounded(QUEUE);
+        let (tx, rx) = bounded(MAX_QUEUED_SPANS);
         let service = service.to_owned();
         thread::spawn(move || export_all(&rx, &sink, &service));
         Self {
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Hands a span over; it is dropped when the exporter lags behind.
+    /// Ends a span and queues it for export. If the queue is full, the span is dropped
+    /// and counted.
     pub fn finish(&self, mut span: Span, end: Moment) {
         let Some(tx) = &self.tx else { return };
         span.end = end;
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Spans dropped so far.
+    /// Number of spans dropped so far because the queue was full.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
@@ -122,11 +123,11 @@
 
 fn export_all(rx: &Receiver<Span>, sink: &TraceSink, service: &str) {
     while let Ok(first) = rx.recv() {
-        thread::sleep(GROUP_WAIT);
+        thread::sleep(EXPORT_DELAY);
         let mut group = vec![first];
-        group.extend(rx.try_iter().take(GROUP - 1));
+        group.extend(rx.try_iter().take(MAX_EXPORT_SPANS - 1));
         if let Err(e) = otlp::export(sink, service, &group) {
-            log::warn!(target: "trace", error = e.to_string(); "Spans were lost.");
+            log::warn!(target: "trace", error = e.to_string(); "Spans not exported.");
         }
     }
 }
@@ -145,9 +146,8 @@
             "caller",
             Moment(1),
         );
-        let child_context =
-            Span::begin(root.child_context(), "entry", Moment(2)).with("worker", "w1");
-        let message = otlp::span_json("test", &[root.clone(), child_context]).to_string();
+        let child = Span::begin(root.child_context(), "entry", Moment(2)).with("worker", "w1");
+        let message = otlp::span_json("test", &[root.clone(), child]).to_string();
         assert_eq!(message.matches("parentSpanId").count(), 1);
         assert!(message.contains(&format!("{:016x}", root.id)));
         assert!(message.contains("\"w1\""));
--- a/crates/bluebellreel_telemetry/tests/json_log.rs
+++ b/crates/bluebellreel_telemetry/tests/json_log.rs
@@ -1,4 +1,4 @@
-//! Log lines when nobody reads them.
+//! JSON logging when the reader of the output stops reading.
 
 use bluebellreel_telemetry::start_json_logging;
 use log::info;
@@ -7,17 +7,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Output that blocks until it is let go.
+/// Output that blocks until it is unblocked through a channel.
 struct Blocked {
-    go: Receiver<()>,
-    open: bool,
+    unblock: Receiver<()>,
+    is_unblocked: bool,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
 impl Write for Blocked {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        if !self.open {
-            self.open = self.go.recv().is_ok();
+        if !self.is_unblocked {
+            self.is_unblocked = self.unblock.recv().is_ok();
         }
         self.written
             .lock()
@@ -31,28 +31,28 @@
     }
 }
 
-/// Whoever collects the logs stops reading. A daemon that waited for its
-/// output would stop serving; lines are dropped instead, and counted.
+/// The log collector stops reading. A daemon that waits for its output would stop
+/// serving. Instead, lines must be dropped and counted.
 #[test]
-fn a_reader_that_stops_holds_nobody_up() {
-    let (go, blocked): (Sender<()>, Receiver<()>) = channel();
+fn a_blocked_reader_does_not_block_logging() {
+    let (unblock, unblocked): (Sender<()>, Receiver<()>) = channel();
     let written = Arc::new(Mutex::new(Vec::new()));
     let out = Blocked {
-        go: blocked,
-        open: false,
+        unblock: unblocked,
+        is_unblocked: false,
         written: written.clone(),
     };
     let log = start_json_logging(log::LevelFilter::Info, &["online"], out).expect("the first");
     for n in 0..10_000 {
         info!(target: "online", request = "r1", n, late = true; "sent");
     }
-    // All of them returned while nothing could be written.
+    // All calls returned although nothing could be written.
     assert!(log.dropped.count() > 5_000, "{}", log.dropped.count());
     assert!(written.lock().expect("not poisoned").is_empty());
-    // Nor does the end of the process wait for ever.
+    // A flush at the end of the process returns at its deadline.
     assert!(!log.flush(Instant::now() + Duration::from_millis(20)));
 
-    go.send(()).expect("it is waiting");
+    unblock.send(()).expect("it is waiting");
     let until = Instant::now() + Duration::from_mins(1);
     let text = loop {
         let text = String::from_utf8(written.lock().expect("not poisoned").clone());
@@ -70,7 +70,7 @@
     assert_eq!(first["late"], true);
     assert_eq!(first["part"], "online");
 
-    // With a reader, the last lines are written before the process may end.
+    // With a reader, a flush returns once the last lines are written.
     info!(target: "online", "stopped");
     assert!(log.flush(Instant::now() + Duration::from_mins(1)));
     let bytes = written.lock().expect("not poisoned").clone();
--- a/crates/bluebellreel_telemetry/tests/otlp_http.rs
+++ b/crates/bluebellreel_telemetry/tests/otlp_http.rs
@@ -1,11 +1,11 @@
-//! Spans over HTTP, to a collector that is a plain socket.
+//! Export of spans over HTTP to a collector that is a plain socket.
 
 use bluebellreel_telemetry::{Span, TraceSink, Tracer};
 use bluebellreel_types::{Moment, TraceContext};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 
-/// Reads one request whole and answers it.
+/// Accepts a connection, reads one complete request and responds to it.
 fn collect(listener: &TcpListener) -> String {
     let (mut stream, _) = listener.accept().expect("a collector's connection");
     let mut text = String::new();
