--- a/crates/bluebellreel_gateway/src/jobs/accept.rs
+++ b/crates/bluebellreel_gateway/src/jobs/accept.rs
@@ -336,8 +336,8 @@
             let Some((revision, stored)) = stored_record(&found, record_key) else {
                 let tombstone = key(&keys::tombstone(id));
                 let is_cancelled = found.iter().any(|kv| kv.key == tombstone);
-                // An attempt whose response was lost may still be applied after the
-                // tombstone has expired.
+                // The outcome stays unknown: an attempt whose response was lost may
+                // still be applied after the tombstone has expired.
                 return is_cancelled.then_some(SubmissionOutcome::Pending);
             };
             if stored == *record {
--- a/crates/bluebellreel_gateway/src/jobs/adopt.rs
+++ b/crates/bluebellreel_gateway/src/jobs/adopt.rs
@@ -2,7 +2,7 @@
 //!
 //! It is used for accepted jobs, also those whose acceptance was confirmed late,
 //! and for jobs that were found in the store, taken over or handed over. Only a
-//! job whose record this daemon has just created starts without listed results.
+//! job whose record this daemon has just created starts without results.
 //! Every other job starts with the results recorded in the store, as readers may
 //! have seen them.
 
@@ -33,10 +33,10 @@
 /// call sent at `asked`.
 ///
 /// An acceptance whose response was lost may be confirmed many seconds later.
-/// Meanwhile another daemon may have taken the job over, listed some results that
-/// were then read, and handed the job back. Its record is then identical to the
-/// first one, but its results are not: started without them, the job would answer
-/// readers that nothing is listed.
+/// Meanwhile another daemon may have taken the job over, recorded some results that
+/// were then read, and handed the job back. The record is then identical to the first
+/// one, but without the results in the store this daemon would answer readers that
+/// there are none.
 pub(super) async fn adopt_stored(
     gw: &Rc<Gateway>,
     id: &JobId,
@@ -71,7 +71,7 @@
         // Several tasks may adopt the same job, each after waiting for the store: an
         // acceptance without a response, the scan for jobs without an owner, a
         // caller's read. The instance that already runs continues, as it may have
-        // listed results that the other one has not read.
+        // recorded results that the other one has not loaded.
         if let Some(known) = owned_job(gw, &id) {
             known.job.borrow_mut().restore(job.progress(), gw.now());
         }
--- a/crates/bluebellreel_gateway/src/jobs/confirm.rs
+++ b/crates/bluebellreel_gateway/src/jobs/confirm.rs
@@ -1,8 +1,8 @@
 //! Confirming with the store that this daemon still owns a job.
 //!
 //! Two things depend on this confirmation. Items start only while it is recent
-//! ([`bluebellreel_batch::StartLease`]). And an owner that lists results from memory
-//! may answer "nothing more is listed" only while it certainly owns the job;
+//! ([`bluebellreel_batch::StartLease`]). And an owner that answers readers from memory
+//! may say that there are no further results only while it certainly owns the job;
 //! [`bluebellreel_batch::Tenure`] shows when this is certain without a call.
 
 use super::load::owned_job;
@@ -44,9 +44,9 @@
     let id = owned.job.borrow().id.clone();
     // Concurrent readers share one call to the store.
     let _turn = owned.confirming.lock().await;
-    let is_here = owned_job(gw, &id).is_some_and(|known| Rc::ptr_eq(&known, owned));
-    if !is_here || is_certainly_owned(gw, owned) {
-        return Ok(is_here);
+    let still_owned = owned_job(gw, &id).is_some_and(|known| Rc::ptr_eq(&known, owned));
+    if !still_owned || is_certainly_owned(gw, owned) {
+        return Ok(still_owned);
     }
     let found = load::record(gw, &id).await?;
     let revision = owned.job.borrow().revision;
--- a/crates/bluebellreel_gateway/src/jobs/hand_over.rs
+++ b/crates/bluebellreel_gateway/src/jobs/hand_over.rs
@@ -172,8 +172,9 @@
     progress: &[u8],
 ) -> Response<Body> {
     let begun = read_progress(id, progress);
-    // Another peer may have notified this daemon of its ownership already. Or this
-    // daemon owned the job earlier, and the peer has listed more results since.
+    // Another peer, which does not have the items' progress, may have notified this
+    // daemon of its ownership already. Or this daemon owned the job earlier, and the
+    // peer that hands it over has recorded more results since.
     if let Some(owned) = owned_job(gw, id) {
         owned.invalidate_lease(&gw.start_terms);
         // If this call to the store fails, the read below probably fails as well.
--- a/crates/bluebellreel_gateway/src/jobs/no_route.rs
+++ b/crates/bluebellreel_gateway/src/jobs/no_route.rs
@@ -56,10 +56,10 @@
         info!(target: "jobs", job:% = id, revision:? = stored, known = revision; "items kept, a newer configuration may have their route");
         return;
     }
-    let is_here = owned_job(&gw, &id).is_some_and(|known| Rc::ptr_eq(&known, &owned));
+    let still_owned = owned_job(&gw, &id).is_some_and(|known| Rc::ptr_eq(&known, &owned));
     // The items of a job that is being handed over must not change any more: their
     // progress may have been sent to the new owner already.
-    if is_here && !gw.stopping.get() {
+    if still_owned && !gw.stopping.get() {
         give_up(&gw, &owned, revision);
     }
 }
--- a/crates/bluebellreel_gateway/src/jobs/open.rs
+++ b/crates/bluebellreel_gateway/src/jobs/open.rs
@@ -39,7 +39,7 @@
         known.filter(|o| *o.route == *route).map(|o| o.tokens).sum()
     }
 
-    /// Whether a job is among those whose tokens are counted.
+    /// Whether the tokens of a job are counted here.
     pub(super) fn counts(&self, id: &JobId) -> bool {
         self.unreported.get(id).is_some_and(Option::is_some)
     }
--- a/crates/bluebellreel_gateway/src/jobs/own.rs
+++ b/crates/bluebellreel_gateway/src/jobs/own.rs
@@ -16,7 +16,7 @@
     pub(crate) job: RefCell<Job>,
     /// Wakes the task that records its results.
     pub(crate) record_due: Notify,
-    /// Wakes readers when results are listed.
+    /// Wakes readers when results are recorded.
     pub(crate) listed: Notify,
     /// The right to start its items, based on the store's last confirmation that
     /// this daemon owns the job.
--- a/crates/bluebellreel_gateway/src/jobs/record.rs
+++ b/crates/bluebellreel_gateway/src/jobs/record.rs
@@ -18,7 +18,7 @@
 const RECORD_DELAY: Duration = Duration::from_secs(1);
 /// Interval between checks for results to record.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// How far the clocks of two daemons may differ, with a margin.
+/// Limit on the difference between the clocks of two daemons, including a margin.
 const CLOCK_SLACK: Duration = Duration::from_secs(8);
 /// How long a write is retried before the job's state is checked again.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/bluebellreel_gateway/src/jobs/takeover.rs
+++ b/crates/bluebellreel_gateway/src/jobs/takeover.rs
@@ -148,9 +148,9 @@
         sign == OwnerSign::Gone && (is_successor(gw, id) || has_successor_timed_out(gw, id));
     match custody(sign, is_successor) {
         Custody::Settled => {
-            let waits = leave_to_owner(gw, id, &record.owner, notify_at);
-            unreported.extend(waits.map(|until| (id.clone(), until)));
-            Ok(waits.is_none())
+            let notify_later = leave_to_owner(gw, id, &record.owner, notify_at);
+            unreported.extend(notify_later.map(|until| (id.clone(), until)));
+            Ok(notify_later.is_none())
         }
         Custody::LookAgain => Ok(false),
         Custody::Run => {
