--- a/crates/bluebellreel_gateway/src/jobs/runs.rs
+++ b/crates/bluebellreel_gateway/src/jobs/runs.rs
@@ -63,7 +63,7 @@
         let query = Query {
             service: &next.service,
             avoid: &avoid,
-            patience: Duration::ZERO,
+            max_wait: Duration::ZERO,
             salt: 0,
             now: gw.now(),
         };
