--- a/crates/bluebellreel_entry/src/online/reach.rs
+++ b/crates/bluebellreel_entry/src/online/reach.rs
@@ -30,7 +30,7 @@
 impl ReachPart {
     pub(crate) fn new(parts: &Parts) -> Self {
         let limits = ConnectionLimits {
-            full_mesh_limit: parts.settings.limits.workers_whole,
+            full_mesh_limit: parts.settings.limits.max_workers_connect_all,
             per_model: parts.settings.limits.workers_per_model,
             ..ConnectionLimits::default()
         };
--- a/crates/bluebellreel_gateway/src/jobs/accept.rs
+++ b/crates/bluebellreel_gateway/src/jobs/accept.rs
@@ -1,11 +1,12 @@
-//! Accepting a job once.
+//! Accepting each job exactly once.
 //!
-//! A job is kept when its record is created. The write goes on when its caller
-//! has left, until it is decided: while it is in doubt the answer promises
-//! nothing, as "not run" would be untrue if it took effect later.
+//! A job is accepted when its record is created in the store. The write is
+//! retried until its outcome is known, even after the caller has disconnected.
+//! While the outcome is unknown, the response says neither that the job is accepted
+//! nor that it will not run: the write may still take effect later.
 
 use super::adopt::{adopt_new, adopt_stored};
-use super::own::Accepted;
+use super::own::SubmissionOutcome;
 use super::quota;
 use super::stored::{key, stored_record};
 use crate::answers;
@@ -26,23 +27,26 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-/// How long a write that is in doubt is repeated after its caller has left.
-const DECIDE: Duration = Duration::from_secs(30);
-/// Longest that a caller is kept while the store turns its job away. Past it
-/// the caller does better at another daemon.
-const TRY_STORE: Duration = Duration::from_millis(1200);
-/// When a caller should return whose job was not kept.
-const RETURN_AFTER: Duration = Duration::from_millis(400);
-/// When a caller should return to another daemon.
-const ELSEWHERE: Duration = Duration::from_millis(50);
-/// When a caller should return whose job did not fit.
-const RETURN_WHEN_ROOM: Duration = Duration::from_millis(1200);
-/// Times that an acceptance near the quota is tried again after another one
-/// came first.
-const LEDGER_TRIES: usize = 5;
-/// Puts of one write: the store takes 32 entries.
-const CHUNKS_AT_ONCE: usize = 24;
-/// Share of the longest value that a chunk takes, in percent.
+/// How long a write with an unknown outcome is retried, even if its caller has
+/// disconnected.
+const COMMIT_RETRY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Limit on the time that a caller waits while the store fails. After it, the
+/// caller does better to try another daemon.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1200);
+/// Sent to a caller whose job was not stored: time to wait before it retries.
+const RETRY_AFTER: Duration = Duration::from_millis(400);
+/// Sent to a caller that should retry at another daemon, as this one stops or has
+/// not listed the open jobs yet.
+const RETRY_AFTER_STOPPING: Duration = Duration::from_millis(50);
+/// Sent to a caller whose job exceeds its route's quota.
+const RETRY_AFTER_OVER_QUOTA: Duration = Duration::from_millis(1200);
+/// Limit on the attempts to write an acceptance together with its route's ledger,
+/// which concurrent acceptances change.
+const MAX_LEDGER_TRIES: usize = 5;
+/// Limit on the puts of one transaction: the store takes 32 entries.
+const MAX_CHUNKS_PER_TXN: usize = 24;
+/// Limit on the size of a chunk, in percent of the longest value that the store
+/// takes.
 const CHUNK_PERCENT: usize = 60;
 
 /// Answers a submission.
@@ -59,26 +63,35 @@
         return answers::failure(StatusCode::BAD_REQUEST, "no id");
     }
     let is_countable =
-        quota::wait_until_countable(gw, route, deadline.min(received + TRY_STORE)).await;
+        quota::wait_until_countable(gw, route, deadline.min(received + STORE_TIMEOUT)).await;
     if gw.jobs.borrow().own.contains_key(&id) {
-        return kept(gw, &id, received, "known");
+        return accepted_response(gw, &id, received, "known");
     }
     let underway = gw.jobs.borrow().submissions.get(&id).cloned();
     if underway.is_none() && gw.stopping.get() {
-        // It would lie here until this process has ended. One that is under way
-        // may be kept: its sender must not be told otherwise.
+        // A new submission would only wait until this process exits. One that is
+        // already being written may yet be accepted, so its sender must not be told
+        // that it was refused.
         let reason = "stopping";
-        return answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, reason, ELSEWHERE);
+        return answers::retry_after(
+            StatusCode::SERVICE_UNAVAILABLE,
+            reason,
+            RETRY_AFTER_STOPPING,
+        );
     }
     let decided = if let Some(underway) = underway {
         underway
     } else if !is_countable {
-        // The write would go the way of the list that has failed, and the caller can
-        // be told now that the job is not kept.
+        // Listing the open jobs has failed, so the write would probably fail too. The
+        // caller is told at once that the job is not accepted.
         warn!(target: "jobs", job:% = id; "job refused: open jobs not listed yet");
         gw.metrics.job("refused");
         let reason = "open jobs not listed yet";
-        return answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, reason, ELSEWHERE);
+        return answers::retry_after(
+            StatusCode::SERVICE_UNAVAILABLE,
+            reason,
+            RETRY_AFTER_STOPPING,
+        );
     } else {
         let items = match wire::decode_job(body) {
             Ok(items) => items,
@@ -89,15 +102,16 @@
         };
         let tokens: u64 = items.iter().map(|i| i.tokens).sum();
         if !quota::fits(gw, route, tokens) {
-            return no_room(gw, &id, route, tokens).await;
+            return answer_over_quota(gw, &id, route, tokens).await;
         }
         begin(gw, &id, route, items, tokens)
     };
     await_decision(gw, &id, decided, received, deadline).await
 }
 
-/// A job that does not fit now may be one that was accepted before.
-async fn no_room(gw: &Gateway, id: &JobId, route: &Route, tokens: u64) -> Response<Body> {
+/// Answers a submission that exceeds the quota. Its job may have been accepted
+/// before, so the store is read first.
+async fn answer_over_quota(gw: &Gateway, id: &JobId, route: &Route, tokens: u64) -> Response<Body> {
     let known = gw.store.read(&key(&keys::record(id))).await;
     if let Ok(Some(_)) = known {
         return answers::status(StatusCode::ACCEPTED);
@@ -107,12 +121,16 @@
     gw.metrics.job("no_room");
     if known.is_err() {
         let reason = "store away";
-        return answers::retry_after(StatusCode::BAD_GATEWAY, reason, RETURN_AFTER);
+        return answers::retry_after(StatusCode::BAD_GATEWAY, reason, RETRY_AFTER);
     }
-    answers::retry_after(StatusCode::TOO_MANY_REQUESTS, "no room", RETURN_WHEN_ROOM)
+    answers::retry_after(
+        StatusCode::TOO_MANY_REQUESTS,
+        "no room",
+        RETRY_AFTER_OVER_QUOTA,
+    )
 }
 
-fn kept(gw: &Gateway, id: &JobId, received: Instant, how: &str) -> Response<Body> {
+fn accepted_response(gw: &Gateway, id: &JobId, received: Instant, how: &str) -> Response<Body> {
     let took = received.elapsed();
     gw.metrics.job("accepted");
     gw.metrics.job_accepted.observe(took.as_secs_f64());
@@ -123,28 +141,36 @@
 async fn await_decision(
     gw: &Gateway,
     id: &JobId,
-    mut decided: watch::Receiver<Accepted>,
+    mut decided: watch::Receiver<SubmissionOutcome>,
     received: Instant,
     deadline: Instant,
 ) -> Response<Body> {
-    let outcome = timeout_at(deadline, decided.wait_for(|a| *a != Accepted::Open)).await;
+    let outcome = timeout_at(
+        deadline,
+        decided.wait_for(|a| *a != SubmissionOutcome::Pending),
+    )
+    .await;
     let outcome = match outcome {
         Ok(Ok(accepted)) => *accepted,
-        _ => Accepted::Open,
+        _ => SubmissionOutcome::Pending,
     };
     match outcome {
-        Accepted::Kept => kept(gw, id, received, "stored"),
-        Accepted::NotKept => {
-            warn!(target: "jobs", job:% = id; "job refused: store away");
+        SubmissionOutcome::Stored => accepted_response(gw, id, received, "stored"),
+        SubmissionOutcome::NotStored => {
+            warn!(target: "jobs", job:% = id; "job refused: store unavailable");
             gw.metrics.job("refused");
-            answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, "store away", RETURN_AFTER)
+            answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, "store away", RETRY_AFTER)
         }
-        Accepted::NoRoom => {
+        SubmissionOutcome::OverQuota => {
             warn!(target: "jobs", job:% = id; "job does not fit");
             gw.metrics.job("no_room");
-            answers::retry_after(StatusCode::TOO_MANY_REQUESTS, "no room", RETURN_WHEN_ROOM)
+            answers::retry_after(
+                StatusCode::TOO_MANY_REQUESTS,
+                "no room",
+                RETRY_AFTER_OVER_QUOTA,
+            )
         }
-        Accepted::Open => {
+        SubmissionOutcome::Pending => {
             warn!(target: "jobs", job:% = id; "job in doubt");
             gw.metrics.job("in_doubt");
             answers::failure(StatusCode::GATEWAY_TIMEOUT, "not decided in time")
@@ -152,15 +178,16 @@
     }
 }
 
-/// Starts the write; those who submit the same job meanwhile wait for it too.
+/// Starts writing the job. Concurrent submissions of the same job wait for the
+/// same outcome.
 fn begin(
     gw: &Rc<Gateway>,
     id: &JobId,
     route: &Arc<Route>,
     items: Vec<NewItem>,
     tokens: u64,
-) -> watch::Receiver<Accepted> {
-    let (tx, rx) = watch::channel(Accepted::Open);
+) -> watch::Receiver<SubmissionOutcome> {
+    let (tx, rx) = watch::channel(SubmissionOutcome::Pending);
     let now = gw.now();
     let record = JobRecord {
         host: route.host.clone(),
@@ -196,7 +223,7 @@
     route: &Route,
     mut record: JobRecord,
     items: Vec<NewItem>,
-) -> Accepted {
+) -> SubmissionOutcome {
     let chunk_bytes = gw.settings.value_bytes / 100 * CHUNK_PERCENT;
     let chunks = split_input(&items, chunk_bytes);
     record.chunks = chunks.len();
@@ -210,17 +237,21 @@
             )
         })
         .collect();
-    // Chunks without a record are nobody's; only the record makes the job.
-    while chunk_weight(&puts) > chunk_bytes || puts.len() > CHUNKS_AT_ONCE {
+    // Chunks without a record belong to no job: only the record creates the job.
+    while total_bytes(&puts) > chunk_bytes || puts.len() > MAX_CHUNKS_PER_TXN {
         let first = Txn {
             puts: vec![puts.remove(0)],
             ..Txn::default()
         };
-        match gw.store.commit(&first, Instant::now() + TRY_STORE).await {
+        match gw
+            .store
+            .commit(&first, Instant::now() + STORE_TIMEOUT)
+            .await
+        {
             Commit::Applied { .. } => {}
             other => {
                 warn!(target: "jobs", job:% = id, outcome:? = other; "input not stored");
-                return Accepted::NotKept;
+                return SubmissionOutcome::NotStored;
             }
         }
     }
@@ -236,57 +267,62 @@
         puts,
         ..Txn::default()
     };
-    let near = quota::is_near(gw, route, record.tokens);
-    for _ in 0..LEDGER_TRIES {
-        let txn = if near {
-            match quota::guard(gw, route, id, record.tokens, &txn).await {
+    let uses_ledger = quota::needs_ledger(gw, route, record.tokens);
+    for _ in 0..MAX_LEDGER_TRIES {
+        let txn = if uses_ledger {
+            match quota::add_ledger(gw, route, id, record.tokens, &txn).await {
                 Ok(Some(txn)) => txn,
-                Ok(None) => return without_room(gw, &record_key).await,
+                Ok(None) => return outcome_over_quota(gw, &record_key).await,
                 Err(e) => {
                     warn!(target: "jobs", job:% = id, error:% = e; "quota not read");
-                    return Accepted::NotKept;
+                    return SubmissionOutcome::NotStored;
                 }
             }
         } else {
             txn.clone()
         };
-        if let Some(accepted) = decide(gw, id, &record, &items, &txn, &record_key).await {
+        if let Some(accepted) = create_record(gw, id, &record, &items, &txn, &record_key).await {
             return accepted;
         }
     }
-    Accepted::NotKept
+    SubmissionOutcome::NotStored
 }
 
-/// A job that its route's ledger has no room for may be one that was accepted before.
-async fn without_room(gw: &Gateway, record_key: &Key) -> Accepted {
+/// Outcome of a submission that its route's ledger has no room for. Its job may have
+/// been accepted before, so the store is read first.
+async fn outcome_over_quota(gw: &Gateway, record_key: &Key) -> SubmissionOutcome {
     match gw.store.read(record_key).await {
-        Ok(Some(_)) => Accepted::Kept,
-        Ok(None) => Accepted::NoRoom,
-        Err(_) => Accepted::Open,
+        Ok(Some(_)) => SubmissionOutcome::Stored,
+        Ok(None) => SubmissionOutcome::OverQuota,
+        Err(_) => SubmissionOutcome::Pending,
     }
 }
 
-fn chunk_weight(puts: &[Put]) -> usize {
+fn total_bytes(puts: &[Put]) -> usize {
     puts.iter().map(|p| p.value.len()).sum()
 }
 
-/// Creates the record. A first try is short; once an answer was lost the write
-/// is repeated until it is decided. `None` if another acceptance on the route
-/// came first.
-async fn decide(
+/// Creates the record. The first attempt has a short timeout. If its response is
+/// lost, the write is retried until its outcome is known. `None` if another
+/// acceptance has changed the route's ledger meanwhile.
+async fn create_record(
     gw: &Rc<Gateway>,
     id: &JobId,
     record: &JobRecord,
     items: &[NewItem],
     txn: &Txn,
     record_key: &Key,
-) -> Option<Accepted> {
+) -> Option<SubmissionOutcome> {
     let asked = gw.stamp();
-    let mut outcome = gw.store.commit(txn, Instant::now() + TRY_STORE).await;
+    let mut outcome = gw.store.commit(txn, Instant::now() + STORE_TIMEOUT).await;
     if let Commit::Unknown(reason) = &outcome {
         warn!(target: "jobs", job:% = id, reason = reason.as_str(); "acceptance in doubt");
-        outcome = gw.store.commit(txn, Instant::now() + DECIDE).await;
-        // A later try that was surely not done does not settle the first one.
+        outcome = gw
+            .store
+            .commit(txn, Instant::now() + COMMIT_RETRY_TIMEOUT)
+            .await;
+        // That a retry was certainly not applied says nothing about the first
+        // attempt.
         if let Commit::NotDone(reason) = outcome {
             outcome = Commit::Unknown(reason);
         }
@@ -294,23 +330,24 @@
     match outcome {
         Commit::Applied { revision } => {
             adopt_new(gw, id, record.clone(), revision, items.to_vec(), asked);
-            Some(Accepted::Kept)
+            Some(SubmissionOutcome::Stored)
         }
         Commit::Beaten(found) => {
             let Some((revision, stored)) = stored_record(&found, record_key) else {
                 let tombstone = key(&keys::tombstone(id));
-                let is_ended = found.iter().any(|kv| kv.key == tombstone);
-                // A try whose answer was lost may outlast the tombstone.
-                return is_ended.then_some(Accepted::Open);
+                let is_cancelled = found.iter().any(|kv| kv.key == tombstone);
+                // The outcome stays unknown: an attempt whose response was lost may
+                // still be applied after the tombstone has expired.
+                return is_cancelled.then_some(SubmissionOutcome::Pending);
             };
             if stored == *record {
                 adopt_stored(gw, id, stored, revision, asked).await;
             } else {
                 gw.jobs.borrow_mut().note_owner(id, &stored);
             }
-            Some(Accepted::Kept)
+            Some(SubmissionOutcome::Stored)
         }
-        Commit::NotDone(_) => Some(Accepted::NotKept),
-        Commit::Unknown(_) => Some(Accepted::Open),
+        Commit::NotDone(_) => Some(SubmissionOutcome::NotStored),
+        Commit::Unknown(_) => Some(SubmissionOutcome::Pending),
     }
 }
--- a/crates/bluebellreel_gateway/src/jobs/open.rs
+++ b/crates/bluebellreel_gateway/src/jobs/open.rs
@@ -1,9 +1,10 @@
-//! Open jobs of the store that no report tells of.
+//! Open jobs in the store that no daemon reports as its own.
 //!
-//! They are read in the background: once as soon as this daemon starts, and at each
-//! look for jobs without an owner. Acceptances count them from memory.
+//! They are read in the background: once when this daemon starts, and with each scan
+//! for jobs without an owner. When a submission is checked against its route's quota,
+//! they are counted from memory.
 
-use super::own::{Jobs, REPORTED};
+use super::own::{Jobs, MAX_REPORTED};
 use crate::gateway::Gateway;
 use bluebellreel_batch::{JobPhase, JobRecord, OpenJob, keys};
 use bluebellreel_kv::{Key, KvError};
@@ -15,33 +16,35 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Jobs remembered, some hundred bytes each. More are not counted.
-const UNREPORTED: usize = 8192;
-/// Pause after a first list that failed.
-const RETRY: Duration = Duration::from_millis(300);
+/// Limit on the jobs remembered, at about a hundred bytes each. Jobs beyond it are not
+/// counted.
+const MAX_UNREPORTED: usize = 8192;
+/// Pause after a failed attempt to read the initial list.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Open jobs that nobody reports, and what they count.
+/// Open jobs that no daemon reports, with their routes and tokens.
 #[derive(Default)]
 pub(crate) struct OpenJobs {
-    /// Without a value if the index does not tell and the record was not read.
+    /// `None` for a job whose index entry is not readable and whose record was not
+    /// read yet.
     unreported: HashMap<JobId, Option<OpenJob>>,
-    /// Whether the index was read since the start.
+    /// Whether the index was read since this daemon started.
     is_listed: watch::Sender<bool>,
 }
 
 impl OpenJobs {
-    /// Tokens of a route's jobs.
+    /// Total tokens of a route's unreported jobs.
     pub(super) fn tokens(&self, route: &str) -> u64 {
         let known = self.unreported.values().flatten();
         known.filter(|o| *o.route == *route).map(|o| o.tokens).sum()
     }
 
-    /// Whether a job is among those whose tokens are counted.
+    /// Whether the tokens of a job are counted here.
     pub(super) fn counts(&self, id: &JobId) -> bool {
         self.unreported.get(id).is_some_and(Option::is_some)
     }
 
-    /// Whether a job is listed, and its record has to be read for what it counts.
+    /// Whether a job is unreported and its record must be read to know its tokens.
     pub(super) fn needs_record(&self, id: &JobId) -> bool {
         self.unreported.get(id).is_some_and(Option::is_none)
     }
@@ -50,12 +53,12 @@
         self.unreported.is_empty()
     }
 
-    /// A job is counted elsewhere, or is over.
+    /// Removes a job that is counted elsewhere or has finished.
     pub(super) fn remove(&mut self, id: &JobId) {
         self.unreported.remove(id);
     }
 
-    /// A listed job's record was read.
+    /// Updates an unreported job from its record.
     pub(super) fn note_record(&mut self, id: &JobId, record: &JobRecord) {
         if record.phase != JobPhase::Open {
             self.remove(id);
@@ -64,10 +67,10 @@
         }
     }
 
-    /// Takes a list over. What was read of a job's record before is kept.
+    /// Replaces the list. Jobs that stay in it keep what was read from their records.
     fn replace(&mut self, listed: impl Iterator<Item = (JobId, Option<OpenJob>)>) {
         let mut before = std::mem::take(&mut self.unreported);
-        let listed = listed.take(UNREPORTED);
+        let listed = listed.take(MAX_UNREPORTED);
         self.unreported = listed
             .map(|(id, open)| {
                 let open = open.or_else(|| before.remove(&id).flatten());
@@ -78,20 +81,22 @@
     }
 }
 
-/// Reads the index until that has succeeded once. One that the store refuses to tell
-/// will not be had later either: nobody waits for it.
-pub(super) async fn list_first(gw: &Gateway) {
+/// Reads the index of open jobs, with retries until the first success. If the store
+/// refuses the read, later attempts would be refused as well, so the index counts as
+/// read and submissions do not wait for it.
+pub(super) async fn list_initially(gw: &Gateway) {
     while let Err(e) = list(gw).await {
         warn!(target: "jobs", error:% = e; "open jobs not listed");
         if let KvError::Refused(_) = e {
             gw.jobs.borrow().open.is_listed.send_replace(true);
             return;
         }
-        sleep(RETRY).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
-/// All open jobs; those that nobody reports are counted from now on.
+/// Lists all open jobs in the store. Those that no daemon reports are counted here
+/// from now on.
 pub(super) async fn list(gw: &Gateway) -> Result<Vec<JobId>, KvError> {
     let (all, _) = gw.store.list(&Key::from(keys::OPEN)).await?;
     let all: Vec<(JobId, Option<OpenJob>)> = all
@@ -105,28 +110,30 @@
     let members = gw.members.borrow();
     let mut jobs = gw.jobs.borrow_mut();
     let counted = members.counted_jobs(gw.now());
-    let full: Vec<_> = members
+    let full_reports: Vec<_> = members
         .peers()
-        .filter(|(_, p)| p.jobs.len() >= REPORTED)
+        .filter(|(_, p)| p.jobs.len() >= MAX_REPORTED)
         .collect();
     let unreported: Vec<_> = all
         .into_iter()
-        .filter(|(id, _)| !counted.contains(id) && !jobs.is_own_or_ended(id))
-        .filter(|(id, _)| !may_be_left_out(&full, &jobs, id))
+        .filter(|(id, _)| !counted.contains(id) && !jobs.is_own_or_finished(id))
+        .filter(|(id, _)| !may_be_omitted(&full_reports, &jobs, id))
         .collect();
     jobs.open.replace(unreported.into_iter());
     Ok(ids)
 }
 
-/// Whether a job may be one that its owner counts and has no room to name, given the
-/// peers whose reports are full.
-fn may_be_left_out(full: &[(&EntryName, &Peer)], jobs: &Jobs, id: &JobId) -> bool {
+/// Whether a job's tokens may be in the report of an owner that cannot name the job
+/// there, given the peers whose reports have reached the limit on named jobs.
+fn may_be_omitted(full_reports: &[(&EntryName, &Peer)], jobs: &Jobs, id: &JobId) -> bool {
     let owner = jobs.owners.get(id);
-    full.iter()
+    full_reports
+        .iter()
         .any(|(name, p)| owner.is_none_or(|o| o.entry == **name && o.run == p.run))
 }
 
-/// Waits until the index was read since the start; whether it was in time.
+/// Waits until the index was read since this daemon started. Returns whether this
+/// happened before the deadline.
 pub(super) async fn wait_until_listed(gw: &Gateway, deadline: Instant) -> bool {
     let mut listed = gw.jobs.borrow().open.is_listed.subscribe();
     let listed = timeout_at(deadline, listed.wait_for(|l| *l)).await;
--- a/crates/bluebellreel_settings/src/lib.rs
+++ b/crates/bluebellreel_settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of both programs, read from TOML and checked.
+//! Settings of all programs, read from TOML files and validated.
 //!
-//! Raw settings mirror the file; `TryFrom` turns them into domain types. An
-//! error names the file, the key and the reason in one line.
+//! Raw settings mirror the file and are converted to domain types. An error names the
+//! file, the key and the reason in one line.
 //!
 //! ```
 //! let error = bluebellreel_settings::parse_entry("entry.toml", "nmae = 1").unwrap_err();
@@ -24,5 +24,5 @@
 pub use gateway::{Advertise, GatewaySettings, load_gateway, parse_gateway};
 pub use keeper::{KeeperSettings, load_keeper, parse_keeper};
 pub use parts::{LogLevel, LogTarget, TraceTarget};
-pub use side::{SideLean, SideSettings, load_side, parse_side};
+pub use side::{SidePriority, SideSettings, load_side, parse_side};
 pub use token::{Principal, TokenTable, hash_token, is_same_token};
