--- a/crates/bluebellreel_gateway/src/jobs/confirm.rs
+++ b/crates/bluebellreel_gateway/src/jobs/confirm.rs
@@ -35,7 +35,7 @@
     let (asked, now) = (owned.lease.get().asked(), gw.stamp());
     // This daemon's entry may be deleted although its lease is still being renewed.
     // Even then, peers that receive its reports do not take its jobs over.
-    let is_covered = gw.tenure.get().covers(asked, now);
+    let is_covered = gw.registration_span.get().covers(asked, now);
     is_covered && (gw.isolated_since.get().is_none() || asked.is_fresh(now))
 }
 
--- a/crates/bluebellreel_gateway/src/jobs/takeover.rs
+++ b/crates/bluebellreel_gateway/src/jobs/takeover.rs
@@ -6,7 +6,7 @@
 use super::stored::{key, owner_txn, stored_record};
 use super::{backup, load, open, read};
 use crate::gateway::Gateway;
-use crate::registration::{self, EntryEnd};
+use crate::registration::{self, OwnerStatus};
 use bluebellreel_batch::{Custody, JobPhase, JobRecord, Owner, OwnerSign, custody, keys};
 use bluebellreel_kv::{Commit, KvError};
 use bluebellreel_members::Presence;
@@ -241,10 +241,10 @@
 /// memory. So the write also requires that the owner's entry has ended.
 async fn claim(gw: &Rc<Gateway>, id: &JobId, found: FoundRecord) -> Result<bool, KvError> {
     let before = found.record.owner.clone();
-    let ended = match registration::end_of(gw, &before).await? {
-        EntryEnd::Stands => return Ok(false),
-        EntryEnd::Own => None,
-        EntryEnd::Guard(guard) => Some(guard),
+    let ended = match registration::owner_status(gw, &before).await? {
+        OwnerStatus::Alive => return Ok(false),
+        OwnerStatus::EarlierRun => None,
+        OwnerStatus::Guard(guard) => Some(guard),
     };
     let record = JobRecord {
         owner: Owner {
