--- a/crates/bluebellreel_gateway/src/crash.rs
+++ b/crates/bluebellreel_gateway/src/crash.rs
@@ -6,7 +6,7 @@
 
 use crate::gateway::Gateway;
 use crate::millis::millis;
-use crate::quarantine;
+use crate::quarantine_store;
 use bluebellreel_dispatch::{
     CrashNotice, Fingerprint, Sender, Standing, Strike, Ticket, WorkerState, WorkerTag,
 };
@@ -99,7 +99,7 @@
         .borrow()
         .standing(cut.fingerprint, Sender::Caller, gw.now());
     if matches!(standing, Standing::Quarantined(_)) {
-        quarantine::store(gw, cut.fingerprint);
+        quarantine_store::store(gw, cut.fingerprint);
     }
     warn!(target: "online", request:% = cut.request, fingerprint:% = cut.fingerprint, worker:% = cut.ticket.worker, took_ms = lasted, crashes, reason; "worker crashed under a run");
 }
--- a/crates/bluebellreel_gateway/src/lib.rs
+++ b/crates/bluebellreel_gateway/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! The way of a request, each file importing those after it: [`run_gateway`]
 //! listens, `serve` tells calls apart, `online` answers, `relay` passes events on
-//! and goes on elsewhere, `place` chooses a worker, `upstream` sends; `jobs` holds
+//! and goes on elsewhere, `placement` chooses a worker, `upstream` sends; `jobs` holds
 //! what happens to batch jobs. Decisions are in `bluebellreel_dispatch` and
 //! `bluebellreel_batch`.
 //!
@@ -36,9 +36,9 @@
 mod online;
 mod peer_api;
 mod peer_calls;
-mod place;
+mod placement;
 mod pulse;
-mod quarantine;
+mod quarantine_store;
 mod registration;
 mod relay;
 mod reload;
--- a/crates/bluebellreel_gateway/src/online.rs
+++ b/crates/bluebellreel_gateway/src/online.rs
@@ -4,7 +4,7 @@
 use crate::crash;
 use crate::gateway::Gateway;
 use crate::millis::millis;
-use crate::place;
+use crate::placement;
 use crate::relay::Relay;
 use crate::request::Request;
 use crate::suspicion;
@@ -42,7 +42,7 @@
         if let Err(until) = req.may_run(&gw) {
             return hold_back(&gw, &req, until);
         }
-        let worker = match place::choose(&gw, &req, req.patience()) {
+        let worker = match placement::choose(&gw, &req, req.patience()) {
             Placement::Send(worker) => worker,
             Placement::Full => return give_up(&gw, &req, "all workers full"),
             Placement::NoWorker => return give_up(&gw, &req, "no worker"),
@@ -75,7 +75,7 @@
     } else {
         Reuse::Never
     };
-    let place = place::take(gw, worker);
+    let place = placement::take(gw, worker);
     let ticket = place.ticket().clone();
     let began = gw.now();
     let mut restarted = pin!(worker_restarted(gw, &ticket));
@@ -100,7 +100,7 @@
                 due = due.min(Instant::now() + AFTER_RESTART);
             }
             () = sleep_until(due) => {
-                if of_former_life || place::does_better_elsewhere(gw, req, worker) {
+                if of_former_life || placement::does_better_elsewhere(gw, req, worker) {
                     gw.board.borrow_mut().failed(&ticket, gw.now());
                     break Err(NoAnswer::Silent);
                 }
--- a/crates/bluebellreel_gateway/src/relay.rs
+++ b/crates/bluebellreel_gateway/src/relay.rs
@@ -9,7 +9,7 @@
 use crate::events::Events;
 use crate::gateway::Gateway;
 use crate::millis::millis;
-use crate::place;
+use crate::placement;
 use crate::pulse::Pulse;
 use crate::request::Request;
 use crate::suspicion;
@@ -307,7 +307,7 @@
     fn next_worker(&self, may_return: bool) -> Option<WorkerName> {
         let patience = self.req.left();
         let besides = |avoid: &[WorkerName]| {
-            let placed = place::choose_besides(&self.gw, &self.req, avoid, patience);
+            let placed = placement::choose_besides(&self.gw, &self.req, avoid, patience);
             match placed {
                 Placement::Send(worker) => Some(worker),
                 Placement::Full | Placement::NoWorker => None,
@@ -332,7 +332,7 @@
         } else {
             soon
         };
-        let place = place::take(&self.gw, worker);
+        let place = placement::take(&self.gw, worker);
         let ticket = place.ticket().clone();
         let mut restarted = pin!(worker_restarted(&self.gw, &ticket));
         let mut lost_at = None;
@@ -377,7 +377,7 @@
         if self.req.runs + 1 >= self.req.route.max_workers.max(1) {
             return true;
         }
-        let next = place::choose(&self.gw, &self.req, self.req.left());
+        let next = placement::choose(&self.gw, &self.req, self.req.left());
         !matches!(next, Placement::Send(_))
     }
 
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -6,7 +6,7 @@
 use crate::reload::Surroundings;
 use crate::workers::apply_workers;
 use crate::{
-    detour, jobs, lease, peer_api, quarantine, registration, reload, reports, serve, watching,
+    detour, jobs, lease, peer_api, quarantine_store, registration, reload, reports, serve, watching,
 };
 use bluebellreel_net::{Served, Stop, every, listen};
 use bluebellreel_settings::GatewaySettings;
@@ -134,7 +134,7 @@
     spawn_local(watching::watch_workers(gw.clone()));
     spawn_local(lease::keep_registered(gw.clone()));
     spawn_local(registration::list_members(gw.clone()));
-    spawn_local(quarantine::load(gw.clone()));
+    spawn_local(quarantine_store::load(gw.clone()));
     spawn_local(jobs::start_items(gw.clone()));
     spawn_local(jobs::keep_confirmed(gw.clone()));
     spawn_local(jobs::adopt_orphans(gw.clone()));
--- a/crates/bluebellreel_gateway/src/suspicion.rs
+++ b/crates/bluebellreel_gateway/src/suspicion.rs
@@ -8,7 +8,7 @@
 
 use crate::gateway::Gateway;
 use crate::millis::millis;
-use crate::quarantine;
+use crate::quarantine_store;
 use bluebellreel_dispatch::{Cleared, Fingerprint, Sender, Standing, may_try};
 use bluebellreel_types::Moment;
 use log::warn;
@@ -98,7 +98,7 @@
     let fingerprint = fingerprint();
     let cleared = gw.suspects.borrow_mut().completed(fingerprint, gw.now());
     if cleared == Cleared::Quarantine {
-        quarantine::remove(gw, fingerprint);
+        quarantine_store::remove(gw, fingerprint);
     }
     if cleared != Cleared::Nothing {
         gw.report_due.notify_one();
