--- a/crates/bluebellreel_gateway/src/facts.rs
+++ b/crates/bluebellreel_gateway/src/cluster_state.rs
@@ -25,7 +25,7 @@
 
 /// Facts of the store.
 #[derive(Default)]
-pub(crate) struct Facts {
+pub(crate) struct ClusterState {
     configured: Option<Configured>,
     /// Revision of the configuration that was not taken last.
     refused: i64,
@@ -39,7 +39,7 @@
     pub(crate) operator_seen: i64,
 }
 
-impl Facts {
+impl ClusterState {
     pub(crate) fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configured.as_ref().map(|c| c.checked.clone())
     }
--- a/crates/bluebellreel_gateway/src/crash.rs
+++ b/crates/bluebellreel_gateway/src/crash.rs
@@ -27,7 +27,7 @@
 const CHECK_AGAIN: Duration = Duration::from_millis(2500);
 
 /// A run that its worker broke off.
-pub(crate) struct Cut {
+pub(crate) struct InterruptedRun {
     /// Id of the attempt, or of the item's request.
     pub(crate) request: Arc<str>,
     pub(crate) fingerprint: Fingerprint,
@@ -38,7 +38,7 @@
 
 /// Looks whether a run was broken off as its worker has crashed. What is found
 /// later than a moment is noted all the same.
-pub(crate) async fn look(gw: &Rc<Gateway>, cut: Cut) {
+pub(crate) async fn check_for_crash(gw: &Rc<Gateway>, cut: InterruptedRun) {
     let Some(address) = listed_at(gw, &cut.ticket) else {
         // It leaves: what it breaks off then is no crash.
         return;
@@ -55,7 +55,7 @@
     (seat.record.state == WorkerState::Ready).then_some(seat.record.address)
 }
 
-async fn find_out(gw: Rc<Gateway>, cut: Cut, address: SocketAddr, at: Moment) {
+async fn find_out(gw: Rc<Gateway>, cut: InterruptedRun, address: SocketAddr, at: Moment) {
     if has_started_again(&gw, &cut.ticket) {
         return note(&gw, &cut, at, "started again");
     }
@@ -79,7 +79,7 @@
     gone || board.is_of_former_life(ticket)
 }
 
-fn note(gw: &Rc<Gateway>, cut: &Cut, at: Moment, reason: &str) {
+fn note(gw: &Rc<Gateway>, cut: &InterruptedRun, at: Moment, reason: &str) {
     let lasted = millis(at.since(cut.began));
     gw.metrics.crashes.inc();
     let strike = Strike {
--- a/crates/bluebellreel_gateway/src/gateway.rs
+++ b/crates/bluebellreel_gateway/src/gateway.rs
@@ -1,6 +1,6 @@
 //! What one daemon holds; shared by all its tasks on the one thread.
 
-use crate::facts::Facts;
+use crate::cluster_state::ClusterState;
 use crate::in_progress::InProgress;
 use crate::jobs::own::Jobs;
 use crate::keeper_visits::Keepers;
@@ -48,7 +48,7 @@
     pub(crate) run: Incarnation,
     pub(crate) clock: Clock,
     pub(crate) rng: RefCell<SmallRng>,
-    pub(crate) facts: RefCell<Facts>,
+    pub(crate) cluster_state: RefCell<ClusterState>,
     pub(crate) board: RefCell<Board>,
     pub(crate) overloads: RefCell<Overloads>,
     /// Requests under which workers have crashed.
@@ -113,7 +113,7 @@
             run: Incarnation::random(),
             clock: Clock::start(),
             rng: RefCell::new(SmallRng::from_rng(&mut rand::rng())),
-            facts: RefCell::default(),
+            cluster_state: RefCell::default(),
             board: RefCell::new(board),
             overloads: RefCell::default(),
             suspects: RefCell::default(),
@@ -168,7 +168,7 @@
 
     /// The configuration in force; none before the first is known.
     pub(crate) fn configuration(&self) -> Option<Rc<Configuration>> {
-        self.facts.borrow().configuration()
+        self.cluster_state.borrow().configuration()
     }
 
     /// Notes an entry of the store that cannot be used, once for each of its
--- a/crates/bluebellreel_gateway/src/jobs/cancel.rs
+++ b/crates/bluebellreel_gateway/src/jobs/cancel.rs
@@ -125,7 +125,7 @@
     let successor = members.borrow().successor(id, None, now);
     let successor = successor.ok_or("nobody is heard")?;
     let calls = members.borrow().alive(&successor, now).map(|p| p.calls);
-    peer_calls::pass_end_on(gw, calls.ok_or("nobody is heard")?, id).await?;
+    peer_calls::forward_end(gw, calls.ok_or("nobody is heard")?, id).await?;
     info!(target: "jobs", job:% = id, peer:% = successor; "end passed on");
     Ok(())
 }
--- a/crates/bluebellreel_gateway/src/jobs/no_route.rs
+++ b/crates/bluebellreel_gateway/src/jobs/no_route.rs
@@ -25,7 +25,7 @@
 pub(super) fn note(gw: &Rc<Gateway>, owned: &Rc<OwnedJob>) {
     let now = gw.now();
     let first = RouteMissing {
-        configuration: gw.facts.borrow().revisions().configuration,
+        configuration: gw.cluster_state.borrow().revisions().configuration,
         ask_at: now + ROUTE_GONE,
     };
     let known = owned.route_missing.get();
@@ -50,8 +50,11 @@
             return;
         }
     };
-    let in_force = gw.facts.borrow().revisions().configuration;
-    if stored != Some(revision) || in_force != revision || gw.facts.borrow().is_from_snapshot() {
+    let in_force = gw.cluster_state.borrow().revisions().configuration;
+    if stored != Some(revision)
+        || in_force != revision
+        || gw.cluster_state.borrow().is_from_snapshot()
+    {
         info!(target: "jobs", job:% = id, revision:? = stored, known = revision; "items kept, their route may be newer");
         return;
     }
@@ -64,9 +67,11 @@
 
 fn give_up(gw: &Gateway, owned: &OwnedJob, revision: i64) {
     let now = gw.now();
-    let facts = gw.facts.borrow();
-    let (Some(configuration), Some(since)) = (facts.configuration(), facts.configured_since())
-    else {
+    let cluster_state = gw.cluster_state.borrow();
+    let (Some(configuration), Some(since)) = (
+        cluster_state.configuration(),
+        cluster_state.configured_since(),
+    ) else {
         return;
     };
     let in_force_ms = millis(now.since(since));
--- a/crates/bluebellreel_gateway/src/jobs/runs.rs
+++ b/crates/bluebellreel_gateway/src/jobs/runs.rs
@@ -2,13 +2,13 @@
 
 use super::own::{ItemRun, Jobs, OwnedJob};
 use super::{confirm, no_route};
-use crate::crash::{self, Cut};
+use crate::crash::{self, InterruptedRun};
 use crate::events::Events;
 use crate::gateway::Gateway;
 use crate::millis::millis;
-use crate::pulse::Pulse;
-use crate::suspicion::{self, Leave, Trial};
-use crate::ticket::{AFTER_RESTART, Place, worker_restarted};
+use crate::quarantine_gate::{self, Permit, Trial};
+use crate::stream_monitor::StreamMonitor;
+use crate::ticket::{RESTART_GRACE, RunGuard, worker_restarted};
 use crate::upstream::{NoAnswer, Send, Upstream, send};
 use bluebellreel_batch::{ItemEnd, ItemPhase, Job, next_item};
 use bluebellreel_dispatch::{
@@ -51,8 +51,8 @@
     let mut full: BTreeSet<Arc<str>> = BTreeSet::new();
     let mut unconfirmed: BTreeSet<JobId> = BTreeSet::new();
     while let Some(next) = choose_item(gw, &full, &unconfirmed) {
-        let leave = match may_run(gw, &next) {
-            Ok(leave) => leave,
+        let permit = match may_run(gw, &next) {
+            Ok(permit) => permit,
             Err(until) => {
                 let later = ItemPhase::Waiting { from: until };
                 next.owned.job.borrow_mut().items[next.item].phase = later;
@@ -72,7 +72,7 @@
             Some(_) if !confirm::allows_start(gw, &next.owned) => {
                 unconfirmed.insert(next.job);
             }
-            Some(worker) => start(gw, next, &worker, leave),
+            Some(worker) => start(gw, next, &worker, permit),
             None if !avoid.is_empty() => {
                 // Others may start where it has failed: it holds none of them up.
                 let later = ItemPhase::Waiting {
@@ -88,12 +88,12 @@
 }
 
 /// Whether an item may be sent to a worker; else when it may be tried again.
-fn may_run(gw: &Gateway, next: &Next) -> Result<Leave, Moment> {
+fn may_run(gw: &Gateway, next: &Next) -> Result<Permit, Moment> {
     let fingerprint = || {
         let out = outgoing(next);
         out.map_or(Fingerprint::of(&[]), |out| Fingerprint::of(&out.identity()))
     };
-    suspicion::may_run(gw, &next.id, Sender::Job, fingerprint)
+    quarantine_gate::may_run(gw, &next.id, Sender::Job, fingerprint)
 }
 
 /// An item to start and what it needs.
@@ -151,12 +151,12 @@
     }
 }
 
-fn start(gw: &Rc<Gateway>, next: Next, worker: &WorkerName, leave: Leave) {
-    let trial = Trial::begin(gw, &next.id, leave);
-    let place = Place::take(gw, worker, Class::Batch);
+fn start(gw: &Rc<Gateway>, next: Next, worker: &WorkerName, permit: Permit) {
+    let trial = Trial::begin(gw, &next.id, permit);
+    let run_guard = RunGuard::acquire(gw, worker, Class::Batch);
     next.owned.job.borrow_mut().items[next.item].phase = ItemPhase::Running;
     let key = (next.job.clone(), next.item);
-    let task = tokio::task::spawn_local(run(gw.clone(), next, place, trial));
+    let task = tokio::task::spawn_local(run(gw.clone(), next, run_guard, trial));
     let run = ItemRun {
         worker: worker.clone(),
         abort: task.abort_handle(),
@@ -164,8 +164,8 @@
     gw.jobs.borrow_mut().runs.insert(key, run);
 }
 
-async fn run(gw: Rc<Gateway>, next: Next, place: Place, trial: Option<Trial>) {
-    let worker = place.worker().clone();
+async fn run(gw: Rc<Gateway>, next: Next, run_guard: RunGuard, trial: Option<Trial>) {
+    let worker = run_guard.worker().clone();
     let id = next.id.clone();
     let (after, revision) = {
         let job = next.owned.job.borrow();
@@ -174,7 +174,7 @@
     let confirmed = next.owned.lease.get().age(gw.stamp());
     gw.metrics.confirmation_age.observe(confirmed.as_secs_f64());
     info!(target: "jobs", job:% = next.job, request:% = id, worker:% = worker, after:? = after, revision, confirmed_ms = millis(confirmed); "item sent");
-    let end = run_at(&gw, &next, place, after).await;
+    let end = run_at(&gw, &next, run_guard, after).await;
     drop(trial);
     let now = gw.now();
     let key = (next.job.clone(), next.item);
@@ -205,18 +205,18 @@
     Outgoing::of_item(host, &input.id, &input.path, &input.headers, body)
 }
 
-async fn run_at(gw: &Rc<Gateway>, next: &Next, place: Place, after: Option<u64>) -> ItemEnd {
+async fn run_at(gw: &Rc<Gateway>, next: &Next, run_guard: RunGuard, after: Option<u64>) -> ItemEnd {
     let out = outgoing(next);
     let Some(out) = out else {
         return ItemEnd::Impossible;
     };
-    let worker = place.worker().clone();
-    let ticket = place.ticket().clone();
+    let worker = run_guard.worker().clone();
+    let ticket = run_guard.ticket().clone();
     let began = gw.now();
     let sent = send(
         gw,
         Send {
-            place,
+            run_guard,
             out: &out,
             left: None,
             after,
@@ -229,7 +229,7 @@
         Ok(mut upstream) if upstream.head.status.is_success() => {
             match read_events(gw, next, &mut upstream).await {
                 Ok(()) => {
-                    suspicion::ended_well(gw, || Fingerprint::of(&out.identity()));
+                    quarantine_gate::run_completed(gw, || Fingerprint::of(&out.identity()));
                     ItemEnd::Completed
                 }
                 Err(reason) => interrupted(gw, next, &upstream, &out, reason).await,
@@ -241,7 +241,7 @@
                 gw.board.borrow_mut().failed(&ticket, gw.now());
             }
             if matches!(e, NoAnswer::Unknown(_)) {
-                crash::look(gw, cut_of(next, &out, ticket, began)).await;
+                crash::check_for_crash(gw, cut_of(next, &out, ticket, began)).await;
             }
             warn!(target: "jobs", job:% = next.job, request:% = next.id, worker:% = worker, outcome:? = e; "no answer to an item");
             rest(gw)
@@ -251,11 +251,11 @@
 
 fn of_status(gw: &Gateway, next: &Next, upstream: &Upstream) -> ItemEnd {
     let status = upstream.head.status;
-    warn!(target: "jobs", job:% = next.job, request:% = next.id, worker:% = upstream.place.worker(), status = status.as_u16(); "item not done");
+    warn!(target: "jobs", job:% = next.job, request:% = next.id, worker:% = upstream.run_guard.worker(), status = status.as_u16(); "item not done");
     match status {
         StatusCode::UNPROCESSABLE_ENTITY => ItemEnd::Impossible,
         StatusCode::INTERNAL_SERVER_ERROR => {
-            upstream.place.failed_item();
+            upstream.run_guard.failed_item();
             ItemEnd::Failed
         }
         _ => rest(gw),
@@ -276,12 +276,12 @@
     upstream: &mut Upstream,
 ) -> Result<(), &'static str> {
     let mut events = Events::default();
-    let mut pulse = Pulse::default();
+    let mut stream_monitor = StreamMonitor::default();
     loop {
         match timeout(SILENCE, next_piece(gw, upstream)).await {
             Ok(Ok(Some(bytes))) => {
                 events.push(&bytes);
-                take_events(gw, next, &mut events, &mut pulse, upstream)?;
+                take_events(gw, next, &mut events, &mut stream_monitor, upstream)?;
             }
             Ok(Ok(None)) if !events.has_rest() => return Ok(()),
             Ok(Ok(None) | Err(_)) => return Err(BROKEN_OFF),
@@ -293,13 +293,15 @@
 /// The next piece of an item's output. A worker that has started again brings
 /// none, and its silence is not waited out.
 async fn next_piece(gw: &Gateway, upstream: &mut Upstream) -> Result<Option<Bytes>, Broken> {
-    let Upstream { body, place, .. } = upstream;
+    let Upstream {
+        body, run_guard, ..
+    } = upstream;
     tokio::select! {
         biased;
         read = body.next() => return read,
-        () = worker_restarted(gw, place.ticket()) => {}
+        () = worker_restarted(gw, run_guard.ticket()) => {}
     }
-    let read = timeout(AFTER_RESTART, body.next()).await;
+    let read = timeout(RESTART_GRACE, body.next()).await;
     read.unwrap_or(Err(Broken))
 }
 
@@ -307,7 +309,7 @@
     gw: &Gateway,
     next: &Next,
     events: &mut Events,
-    pulse: &mut Pulse,
+    stream_monitor: &mut StreamMonitor,
     upstream: &Upstream,
 ) -> Result<(), &'static str> {
     let mut job = next.owned.job.borrow_mut();
@@ -319,7 +321,7 @@
         if progress.push(id, &event.data).is_err() {
             return Err("events do not follow");
         }
-        pulse.beat(gw, &upstream.place);
+        stream_monitor.record_event(gw, &upstream.run_guard);
     }
     Ok(())
 }
@@ -335,19 +337,19 @@
     out: &Outgoing,
     reason: &str,
 ) -> ItemEnd {
-    let worker = upstream.place.worker();
+    let worker = upstream.run_guard.worker();
     warn!(target: "jobs", job:% = next.job, request:% = next.id, worker:% = worker, reason; "item interrupted");
-    upstream.place.failed();
+    upstream.run_guard.failed();
     if reason == BROKEN_OFF {
-        let ticket = upstream.place.ticket().clone();
-        crash::look(gw, cut_of(next, out, ticket, upstream.began)).await;
+        let ticket = upstream.run_guard.ticket().clone();
+        crash::check_for_crash(gw, cut_of(next, out, ticket, upstream.began)).await;
     }
     rest(gw)
 }
 
 /// A run of an item that its worker broke off.
-fn cut_of(next: &Next, out: &Outgoing, ticket: Ticket, began: Moment) -> Cut {
-    Cut {
+fn cut_of(next: &Next, out: &Outgoing, ticket: Ticket, began: Moment) -> InterruptedRun {
+    InterruptedRun {
         request: next.id.clone(),
         fingerprint: Fingerprint::of(&out.identity()),
         ticket,
--- a/crates/bluebellreel_gateway/src/jobs/takeover.rs
+++ b/crates/bluebellreel_gateway/src/jobs/takeover.rs
@@ -6,7 +6,7 @@
 use super::stored::{key, owner_txn, stored_record};
 use super::{backup, load, open, read};
 use crate::gateway::Gateway;
-use crate::registration::{self, EntryEnd};
+use crate::registration::{self, OwnerStatus};
 use bluebellreel_batch::{Custody, JobPhase, JobRecord, Owner, OwnerSign, custody, keys};
 use bluebellreel_kv::{Commit, KvError};
 use bluebellreel_members::Presence;
@@ -236,10 +236,10 @@
 /// end as well.
 async fn claim(gw: &Rc<Gateway>, id: &JobId, found: FoundRecord) -> Result<bool, KvError> {
     let before = found.record.owner.clone();
-    let ended = match registration::end_of(gw, &before).await? {
-        EntryEnd::Stands => return Ok(false),
-        EntryEnd::Own => None,
-        EntryEnd::Guard(guard) => Some(guard),
+    let ended = match registration::owner_status(gw, &before).await? {
+        OwnerStatus::Alive => return Ok(false),
+        OwnerStatus::EarlierRun => None,
+        OwnerStatus::Guard(guard) => Some(guard),
     };
     let record = JobRecord {
         owner: Owner {
--- a/crates/bluebellreel_gateway/src/keepers.rs
+++ b/crates/bluebellreel_gateway/src/keepers.rs
@@ -17,9 +17,9 @@
 
 /// Whether the store has not answered this daemon yet.
 fn wants_facts(gw: &Gateway) -> bool {
-    let facts = gw.facts.borrow();
-    let knows_nothing = facts.configuration().is_none() && gw.store.finds_nobody();
-    knows_nothing || facts.is_from_snapshot()
+    let cluster_state = gw.cluster_state.borrow();
+    let knows_nothing = cluster_state.configuration().is_none() && gw.store.finds_nobody();
+    knows_nothing || cluster_state.is_from_snapshot()
 }
 
 /// Notes the visit of the keeper that asks.
@@ -50,12 +50,12 @@
             .map(|(name, peer)| (name.clone(), peer.calls))
             .collect()
     };
-    let facts = gw.facts.borrow();
+    let cluster_state = gw.cluster_state.borrow();
     let state = GatewayState {
         entry: gw.me().clone(),
         data_centre: gw.settings.data_centre.clone(),
-        newest: facts.revisions(),
-        from_store: facts.configuration().is_some() && !facts.is_from_snapshot(),
+        newest: cluster_state.revisions(),
+        from_store: cluster_state.configuration().is_some() && !cluster_state.is_from_snapshot(),
         reaches_store: !gw.store.is_lost(),
         wants_facts: wants_facts(gw),
         peers,
@@ -84,7 +84,10 @@
     let workers = offered.workers.len();
     let believed_ms = offered.believed_for.map_or(0, millis);
     let revision = offered.configuration.as_ref().map_or(0, |(r, _)| *r);
-    let changed = gw.facts.borrow_mut().learn(offered, "snapshot", gw.now());
+    let changed = gw
+        .cluster_state
+        .borrow_mut()
+        .learn(offered, "snapshot", gw.now());
     info!(target: "facts", revision, workers, believed_ms; "snapshot taken over");
     if changed {
         apply_workers(gw, "snapshot");
--- a/crates/bluebellreel_gateway/src/lib.rs
+++ b/crates/bluebellreel_gateway/src/lib.rs
@@ -19,11 +19,11 @@
 //! ```
 
 mod answers;
+mod cluster_state;
 mod crash;
 mod detour;
 mod doors;
 mod events;
-mod facts;
 mod gateway;
 mod in_progress;
 mod jobs;
@@ -37,7 +37,7 @@
 mod peer_api;
 mod peer_calls;
 mod placement;
-mod pulse;
+mod quarantine_gate;
 mod quarantine_store;
 mod registration;
 mod relay;
@@ -47,13 +47,13 @@
 mod run;
 mod serve;
 mod store;
+mod stream_monitor;
 mod suspension;
-mod suspicion;
 mod ticket;
 mod unreadable;
 mod upstream;
 mod watching;
 mod workers;
 
-pub use reload::Surroundings;
-pub use run::{live, run_gateway};
+pub use reload::ProcessHooks;
+pub use run::{run_gateway, run_gateway_until};
--- a/crates/bluebellreel_gateway/src/online.rs
+++ b/crates/bluebellreel_gateway/src/online.rs
@@ -5,10 +5,10 @@
 use crate::gateway::Gateway;
 use crate::millis::millis;
 use crate::placement;
+use crate::quarantine_gate;
 use crate::relay::Relay;
 use crate::request::Request;
-use crate::suspicion;
-use crate::ticket::{AFTER_RESTART, worker_restarted};
+use crate::ticket::{RESTART_GRACE, worker_restarted};
 use crate::upstream::{NoAnswer, Send, Upstream, send};
 use bluebellreel_dispatch::{Placement, RouteKind, return_after};
 use bluebellreel_net::{Body, Reuse};
@@ -75,15 +75,15 @@
     } else {
         Reuse::Never
     };
-    let place = placement::take(gw, worker);
-    let ticket = place.ticket().clone();
+    let run_guard = placement::acquire(gw, worker);
+    let ticket = run_guard.ticket().clone();
     let began = gw.now();
     let mut restarted = pin!(worker_restarted(gw, &ticket));
     let mut of_former_life = false;
     let mut answer = pin!(send(
         gw,
         Send {
-            place,
+            run_guard,
             out: &req.out,
             left: Some(req.left()),
             after: None,
@@ -97,7 +97,7 @@
             outcome = answer.as_mut() => break outcome,
             () = restarted.as_mut(), if !of_former_life => {
                 of_former_life = true;
-                due = due.min(Instant::now() + AFTER_RESTART);
+                due = due.min(Instant::now() + RESTART_GRACE);
             }
             () = sleep_until(due) => {
                 if of_former_life || placement::does_better_elsewhere(gw, req, worker) {
@@ -112,7 +112,7 @@
         warn!(target: "online", request:% = req.id, worker:% = worker, outcome:? = e, runs = req.runs; "no answer from worker");
     }
     if matches!(outcome, Err(NoAnswer::Unknown(_))) {
-        crash::look(gw, req.cut(ticket.clone(), began)).await;
+        crash::check_for_crash(gw, req.cut(ticket.clone(), began)).await;
     }
     outcome
 }
@@ -154,7 +154,7 @@
     if failed {
         // Also where the request cannot be sent on: the next one would meet the
         // same worker, which looks emptiest as it fails at once.
-        upstream.place.failed();
+        upstream.run_guard.failed();
         if req.route.repeatable() && req.may_repeat() {
             return Err(req);
         }
@@ -164,20 +164,20 @@
     }
     let body = tokio::time::timeout_at(req.deadline, upstream.body.whole(ANSWER_BYTES)).await;
     let Ok(Ok(body)) = body else {
-        upstream.place.failed();
+        upstream.run_guard.failed();
         if matches!(body, Ok(Err(_))) {
-            let ticket = upstream.place.ticket().clone();
-            crash::look(gw, req.cut(ticket, upstream.began)).await;
+            let ticket = upstream.run_guard.ticket().clone();
+            crash::check_for_crash(gw, req.cut(ticket, upstream.began)).await;
         }
         return Err(req);
     };
     if !failed {
-        upstream.place.succeeded();
+        upstream.run_guard.succeeded();
     }
-    suspicion::ended_well(gw, || req.fingerprint());
+    quarantine_gate::run_completed(gw, || req.fingerprint());
     gw.metrics
         .request(if failed { "worker_failed" } else { "served" });
-    info!(target: "online", request:% = req.id, worker:% = upstream.place.worker(), status = status.as_u16(); "answered");
+    info!(target: "online", request:% = req.id, worker:% = upstream.run_guard.worker(), status = status.as_u16(); "answered");
     Ok(whole(&upstream.head, body))
 }
 
@@ -204,9 +204,13 @@
 fn hold_back(gw: &Gateway, req: &Request, until: Moment) -> Response<Body> {
     let mut answer = if req.runs == 0 {
         let after = until.since(gw.now());
-        answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, suspicion::REASON, after)
+        answers::retry_after(
+            StatusCode::SERVICE_UNAVAILABLE,
+            quarantine_gate::REASON,
+            after,
+        )
     } else {
-        answers::failure(StatusCode::BAD_GATEWAY, suspicion::REASON)
+        answers::failure(StatusCode::BAD_GATEWAY, quarantine_gate::REASON)
     };
     gw.metrics.request("held_back");
     ingress::set_request_id(answer.headers_mut(), &req.id);
--- a/crates/bluebellreel_gateway/src/peer_api.rs
+++ b/crates/bluebellreel_gateway/src/peer_api.rs
@@ -24,7 +24,7 @@
     let path = req.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     match (req.method(), parts.as_slice()) {
-        (&Method::GET, ["facts"]) => facts(&gw, &req),
+        (&Method::GET, ["facts"]) => cluster_state(&gw, &req),
         (&Method::GET, ["state"]) => keepers::state(&gw, req.uri().query().unwrap_or("")),
         (&Method::PUT, ["facts"]) => match body_of(req).await {
             Some(body) => keepers::take_offer(&gw, &body),
@@ -79,17 +79,17 @@
     }
 }
 
-fn facts(gw: &Gateway, req: &Request<Incoming>) -> Response<Body> {
+fn cluster_state(gw: &Gateway, req: &Request<Incoming>) -> Response<Body> {
     let revision = |name| i64::try_from(number(req, name)).unwrap_or(i64::MAX);
     let seen = Revisions {
         configuration: revision("configuration"),
         workers: revision("workers"),
     };
-    let facts = gw.facts.borrow();
-    if !facts.tells_all_after(seen) {
+    let cluster_state = gw.cluster_state.borrow();
+    if !cluster_state.tells_all_after(seen) {
         return answers::failure(StatusCode::CONFLICT, "ask for all");
     }
-    match postcard::to_allocvec(&facts.share(seen, gw.now())) {
+    match postcard::to_allocvec(&cluster_state.share(seen, gw.now())) {
         Ok(bytes) => answers::bytes(bytes),
         Err(e) => answers::failure(StatusCode::INTERNAL_SERVER_ERROR, &e.to_string()),
     }
--- a/crates/bluebellreel_gateway/src/peer_calls.rs
+++ b/crates/bluebellreel_gateway/src/peer_calls.rs
@@ -28,13 +28,13 @@
 
 /// What a peer knows beyond `seen`; all that it knows of workers if it does not
 /// know who has left since.
-pub(crate) async fn facts(
+pub(crate) async fn cluster_state(
     gw: &Gateway,
     to: SocketAddr,
     seen: Revisions,
 ) -> Result<SharedFacts, PeerError> {
-    if let Some(facts) = facts_after(gw, to, seen).await? {
-        return Ok(facts);
+    if let Some(cluster_state) = facts_after(gw, to, seen).await? {
+        return Ok(cluster_state);
     }
     all_facts(gw, to, seen).await
 }
@@ -46,11 +46,11 @@
     seen: Revisions,
 ) -> Result<SharedFacts, PeerError> {
     let all = Revisions { workers: 0, ..seen };
-    let facts = facts_after(gw, to, all).await?;
-    let facts = facts.ok_or("asked for all in vain")?;
+    let cluster_state = facts_after(gw, to, all).await?;
+    let cluster_state = cluster_state.ok_or("asked for all in vain")?;
     Ok(SharedFacts {
         whole: true,
-        ..facts
+        ..cluster_state
     })
 }
 
@@ -65,8 +65,8 @@
     );
     match call(gw, to, Method::GET, &path, Bytes::new(), TIMEOUT).await? {
         (StatusCode::OK, body) => {
-            let facts = postcard::from_bytes::<SharedFacts>(&body);
-            facts.map(Some).map_err(|e| e.to_string())
+            let cluster_state = postcard::from_bytes::<SharedFacts>(&body);
+            cluster_state.map(Some).map_err(|e| e.to_string())
         }
         (StatusCode::CONFLICT, _) => Ok(None),
         (status, _) => Err(format!("status {status}")),
@@ -110,7 +110,7 @@
 }
 
 /// Has a peer go on with the end of a job.
-pub(crate) async fn pass_end_on(gw: &Gateway, to: SocketAddr, id: &JobId) -> Result<(), PeerError> {
+pub(crate) async fn forward_end(gw: &Gateway, to: SocketAddr, id: &JobId) -> Result<(), PeerError> {
     let path = format!("/jobs/{id}/end");
     let (status, _) = call(gw, to, Method::PUT, &path, Bytes::new(), TIMEOUT).await?;
     if status != StatusCode::OK {
--- a/crates/bluebellreel_gateway/src/placement.rs
+++ b/crates/bluebellreel_gateway/src/placement.rs
@@ -3,7 +3,7 @@
 use crate::gateway::Gateway;
 use crate::jobs::make_room;
 use crate::request::Request;
-use crate::ticket::Place;
+use crate::ticket::RunGuard;
 use bluebellreel_dispatch::{Class, Placement, Query, place_online, should_leave};
 use bluebellreel_types::WorkerName;
 use rand::RngExt;
@@ -47,8 +47,8 @@
 }
 
 /// Takes a place for a caller's request; batch there makes room.
-pub(crate) fn take(gw: &Rc<Gateway>, worker: &WorkerName) -> Place {
-    let place = Place::take(gw, worker, Class::Online);
+pub(crate) fn acquire(gw: &Rc<Gateway>, worker: &WorkerName) -> RunGuard {
+    let place = RunGuard::acquire(gw, worker, Class::Online);
     make_room(gw);
     place
 }
--- a/crates/bluebellreel_gateway/src/suspicion.rs
+++ b/crates/bluebellreel_gateway/src/quarantine_gate.rs
@@ -37,7 +37,7 @@
 
 /// How a request may be sent to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Leave {
+pub(crate) enum Permit {
     /// As any other.
     Plain,
     /// As a trial; see [`Trial::begin`].
@@ -46,8 +46,8 @@
 
 impl Trial {
     /// Notifies all that a request is tried out, if it is.
-    pub(crate) fn begin(gw: &Rc<Gateway>, request: &str, leave: Leave) -> Option<Self> {
-        let Leave::OnTrial(fingerprint) = leave else {
+    pub(crate) fn begin(gw: &Rc<Gateway>, request: &str, permit: Permit) -> Option<Self> {
+        let Permit::OnTrial(fingerprint) = permit else {
             return None;
         };
         gw.suspects.borrow_mut().begin_trial(fingerprint, gw.now());
@@ -64,16 +64,16 @@
     request: &str,
     sender: Sender,
     fingerprint: impl FnOnce() -> Fingerprint,
-) -> Result<Leave, Moment> {
+) -> Result<Permit, Moment> {
     if gw.suspects.borrow().is_empty() {
-        return Ok(Leave::Plain);
+        return Ok(Permit::Plain);
     }
     let (fingerprint, now) = (fingerprint(), gw.now());
     let standing = gw.suspects.borrow().standing(fingerprint, sender, now);
     let until = match standing {
-        Standing::Clear | Standing::Suspect => return Ok(Leave::Plain),
+        Standing::Clear | Standing::Suspect => return Ok(Permit::Plain),
         Standing::OnTrial(since) if may_try_here(gw, fingerprint, sender, since) => {
-            return Ok(Leave::OnTrial(fingerprint));
+            return Ok(Permit::OnTrial(fingerprint));
         }
         Standing::OnTrial(_) => now + TRIED_ELSEWHERE_BACKOFF,
         Standing::Quarantined(until) => until,
@@ -91,7 +91,7 @@
 }
 
 /// A run of a request has ended without a crash.
-pub(crate) fn ended_well(gw: &Rc<Gateway>, fingerprint: impl FnOnce() -> Fingerprint) {
+pub(crate) fn run_completed(gw: &Rc<Gateway>, fingerprint: impl FnOnce() -> Fingerprint) {
     if gw.suspects.borrow().is_empty() {
         return;
     }
--- a/crates/bluebellreel_gateway/src/registration.rs
+++ b/crates/bluebellreel_gateway/src/registration.rs
@@ -35,30 +35,30 @@
 }
 
 /// Whether a run of a daemon has ended, as the store has it.
-pub(crate) enum EntryEnd {
+pub(crate) enum OwnerStatus {
     /// Its entry stands.
-    Stands,
+    Alive,
     /// It is an earlier run of this daemon.
-    Own,
+    EarlierRun,
     /// It has ended as long as this guard holds.
     Guard(Compare),
 }
 
 /// Asks the store whether the run of a daemon that owns a job has ended.
-pub(crate) async fn end_of(gw: &Gateway, owner: &Owner) -> Result<EntryEnd, KvError> {
+pub(crate) async fn owner_status(gw: &Gateway, owner: &Owner) -> Result<OwnerStatus, KvError> {
     if owner.entry == *gw.me() {
-        return Ok(EntryEnd::Own);
+        return Ok(OwnerStatus::EarlierRun);
     }
     let key = key_of(&owner.entry);
     let Some(kv) = gw.store.read(&key).await? else {
-        return Ok(EntryEnd::Guard(Compare::Absent(key)));
+        return Ok(OwnerStatus::Guard(Compare::Absent(key)));
     };
     // An entry that cannot be read is not the one that run wrote.
     let entry = serde_json::from_slice::<MemberEntry>(&kv.value);
     if entry.is_ok_and(|entry| entry.run == owner.run) {
-        return Ok(EntryEnd::Stands);
+        return Ok(OwnerStatus::Alive);
     }
-    Ok(EntryEnd::Guard(Compare::Unchanged(key, kv.revision)))
+    Ok(OwnerStatus::Guard(Compare::Unchanged(key, kv.revision)))
 }
 
 /// Reads the entries of all daemons now and then. A new daemon reads them once
--- a/crates/bluebellreel_gateway/src/relay.rs
+++ b/crates/bluebellreel_gateway/src/relay.rs
@@ -10,10 +10,10 @@
 use crate::gateway::Gateway;
 use crate::millis::millis;
 use crate::placement;
-use crate::pulse::Pulse;
+use crate::quarantine_gate;
 use crate::request::Request;
-use crate::suspicion;
-use crate::ticket::{AFTER_RESTART, worker_restarted};
+use crate::stream_monitor::StreamMonitor;
+use crate::ticket::{RESTART_GRACE, worker_restarted};
 use crate::upstream::{NoAnswer, Send, Upstream, send};
 use bluebellreel_dispatch::Placement;
 use bluebellreel_net::{Broken, Reuse};
@@ -73,7 +73,7 @@
     req: Request,
     upstream: Upstream,
     events: Events,
-    pulse: Pulse,
+    stream_monitor: StreamMonitor,
     last_id: Option<u64>,
     passed: u64,
     quiet_until: Instant,
@@ -91,14 +91,14 @@
 
 impl Relay {
     pub(crate) fn new(gw: Rc<Gateway>, req: Request, upstream: Upstream) -> Self {
-        let quiet_until = first_event_until(&gw, upstream.place.worker());
+        let quiet_until = first_event_until(&gw, upstream.run_guard.worker());
         let last_id = bluebellreel_platform::ingress::last_event_id(&req.out.headers);
         Self {
             gw,
             req,
             upstream,
             events: Events::default(),
-            pulse: Pulse::default(),
+            stream_monitor: StreamMonitor::default(),
             last_id,
             passed: 0,
             quiet_until,
@@ -197,7 +197,8 @@
         }
         self.last_at = Instant::now();
         self.passed += 1;
-        self.pulse.beat(&self.gw, &self.upstream.place);
+        self.stream_monitor
+            .record_event(&self.gw, &self.upstream.run_guard);
         self.quiet_until = Instant::now() + self.longest_silence();
     }
 
@@ -205,7 +206,7 @@
     /// left: its next event comes sooner than another worker's first one.
     fn longest_silence(&self) -> Duration {
         let board = self.gw.board.borrow();
-        let worker = self.upstream.place.worker();
+        let worker = self.upstream.run_guard.worker();
         let pace = board.paces.interval(worker, self.gw.now());
         let slow = pace.unwrap_or_default().mul_f64(SLOW_INTERVALS);
         let late = self.req.route.pause.mul_f64(LATE_PAUSE_SHARE);
@@ -214,14 +215,16 @@
 
     async fn bring(&mut self) -> Brought {
         if !self.of_former_life {
-            let Upstream { body, place, .. } = &mut self.upstream;
+            let Upstream {
+                body, run_guard, ..
+            } = &mut self.upstream;
             let until = self.quiet_until.min(self.req.deadline);
             tokio::select! {
                 biased;
                 read = body.next() => return read.into(),
-                () = worker_restarted(&self.gw, place.ticket()) => {
+                () = worker_restarted(&self.gw, run_guard.ticket()) => {
                     self.of_former_life = true;
-                    self.quiet_until = until.min(Instant::now() + AFTER_RESTART);
+                    self.quiet_until = until.min(Instant::now() + RESTART_GRACE);
                 }
                 () = sleep_until(until) => {}
             }
@@ -241,18 +244,18 @@
 
     /// Looks whether the worker that broke off has crashed.
     async fn look_for_crash(&self) {
-        let ticket = self.upstream.place.ticket().clone();
+        let ticket = self.upstream.run_guard.ticket().clone();
         let cut = self.req.cut(ticket, self.upstream.began);
-        crash::look(&self.gw, cut).await;
+        crash::check_for_crash(&self.gw, cut).await;
     }
 
     /// Goes on at a worker, if possible at one that has not had it; whether it
     /// could. Its former one, if `open`, may still bring something.
     async fn go_on(&mut self, reason: &str, open: bool) -> bool {
-        let worker = self.upstream.place.worker().clone();
+        let worker = self.upstream.run_guard.worker().clone();
         let resumable = self.req.route.resumable && self.req.may_repeat();
         warn!(target: "online", request:% = self.req.id, worker:% = worker, events = self.passed, last_id:? = self.last_id, runs = self.req.runs, resumable, reason; "stream interrupted");
-        self.upstream.place.failed();
+        self.upstream.run_guard.failed();
         if self.of_former_life {
             // Its new life has not had the stream.
             self.req.tried.retain(|w| *w != worker);
@@ -281,7 +284,7 @@
                     self.upstream = *upstream;
                     self.of_former_life = false;
                     self.events = Events::default();
-                    self.pulse = Pulse::default();
+                    self.stream_monitor = StreamMonitor::default();
                     self.req.runs += 1;
                     self.quiet_until = Instant::now() + RESUMED_FIRST_EVENT;
                     self.gw.metrics.resumed.inc();
@@ -332,14 +335,14 @@
         } else {
             soon
         };
-        let place = placement::take(&self.gw, worker);
-        let ticket = place.ticket().clone();
+        let run_guard = placement::acquire(&self.gw, worker);
+        let ticket = run_guard.ticket().clone();
         let mut restarted = pin!(worker_restarted(&self.gw, &ticket));
         let mut lost_at = None;
         let mut sent = pin!(send(
             &self.gw,
             Send {
-                place,
+                run_guard,
                 out: &self.req.out,
                 left: Some(self.req.left()),
                 after: self.last_id,
@@ -359,7 +362,7 @@
                     Err(Broken) => open = false,
                 },
                 () = restarted.as_mut(), if lost_at.is_none() => {
-                    lost_at = Some(Instant::now() + AFTER_RESTART);
+                    lost_at = Some(Instant::now() + RESTART_GRACE);
                 }
                 () = sleep_until(lost_at.unwrap_or(until)), if lost_at.is_some() => {
                     self.req.tried.retain(|w| w != worker);
@@ -385,17 +388,17 @@
         self.over = true;
         let lasted = self.begun.elapsed();
         self.gw.board.borrow_mut().paces.note_run(lasted);
-        suspicion::ended_well(&self.gw, || self.req.fingerprint());
+        quarantine_gate::run_completed(&self.gw, || self.req.fingerprint());
         let metrics = &self.gw.metrics;
         metrics.pause.observe(self.longest_pause.as_secs_f64());
         metrics.request("served");
-        info!(target: "online", request:% = self.req.id, worker:% = self.upstream.place.worker(), events = self.passed, runs = self.req.runs, pause_ms = millis(self.longest_pause), took_ms = millis(self.req.received.elapsed()); "served");
+        info!(target: "online", request:% = self.req.id, worker:% = self.upstream.run_guard.worker(), events = self.passed, runs = self.req.runs, pause_ms = millis(self.longest_pause), took_ms = millis(self.req.received.elapsed()); "served");
     }
 
     fn break_off(&mut self, reason: &str) -> Result<Bytes, Broken> {
         self.over = true;
         self.gw.metrics.request("broken_off");
-        warn!(target: "online", request:% = self.req.id, worker:% = self.upstream.place.worker(), events = self.passed, runs = self.req.runs, took_ms = millis(self.req.received.elapsed()), reason; "broken off");
+        warn!(target: "online", request:% = self.req.id, worker:% = self.upstream.run_guard.worker(), events = self.passed, runs = self.req.runs, took_ms = millis(self.req.received.elapsed()), reason; "broken off");
         Err(Broken)
     }
 }
@@ -416,7 +419,7 @@
     fn drop(&mut self) {
         if !self.over && !self.gw.ended.get() {
             self.gw.metrics.request("caller_left");
-            info!(target: "online", request:% = self.req.id, worker:% = self.upstream.place.worker(), events = self.passed, took_ms = millis(self.req.received.elapsed()); "caller left");
+            info!(target: "online", request:% = self.req.id, worker:% = self.upstream.run_guard.worker(), events = self.passed, took_ms = millis(self.req.received.elapsed()); "caller left");
         }
     }
 }
--- a/crates/bluebellreel_gateway/src/reload.rs
+++ b/crates/bluebellreel_gateway/src/reload.rs
@@ -16,7 +16,7 @@
 const CHECK_EVERY: Duration = Duration::from_secs(3);
 
 /// What a daemon gets from the program around it.
-pub struct Surroundings {
+pub struct ProcessHooks {
     /// Number of log lines that were dropped so far.
     pub lines_dropped: Box<dyn Fn() -> u64>,
     /// Reads the settings anew.
@@ -25,7 +25,7 @@
     pub settings_changed: Rc<Notify>,
 }
 
-impl Surroundings {
+impl ProcessHooks {
     /// Surroundings in which nothing changes, for embedded daemons.
     #[must_use]
     pub fn fixed(settings: &GatewaySettings) -> Self {
@@ -39,7 +39,7 @@
 }
 
 /// Follows the settings file for ever.
-pub(crate) async fn follow_settings(gw: Rc<Gateway>, around: Rc<Surroundings>) {
+pub(crate) async fn follow_settings(gw: Rc<Gateway>, around: Rc<ProcessHooks>) {
     let mut known = gw.settings.clone();
     let mut known_error = String::new();
     loop {
--- a/crates/bluebellreel_gateway/src/reports/catch_up.rs
+++ b/crates/bluebellreel_gateway/src/reports/catch_up.rs
@@ -45,11 +45,11 @@
 }
 
 fn peers_that_know_more(gw: &Gateway) -> Vec<(EntryName, SocketAddr)> {
-    let facts = gw.facts.borrow();
+    let cluster_state = gw.cluster_state.borrow();
     let members = gw.members.borrow();
     members
         .heard(gw.now())
-        .filter(|(_, peer)| facts.lacks(peer.revisions))
+        .filter(|(_, peer)| cluster_state.lacks(peer.revisions))
         .map(|(name, peer)| (name.clone(), peer.calls))
         .collect()
 }
@@ -62,7 +62,7 @@
     loop {
         sleep(COMPARE_EVERY).await;
         let question = {
-            let (own, now) = (gw.facts.borrow().list(), gw.now());
+            let (own, now) = (gw.cluster_state.borrow().list(), gw.now());
             let members = gw.members.borrow();
             let lists = members.heard(now).map(|(_, peer)| peer.list);
             divergence.question(own, lists, now)
@@ -84,7 +84,7 @@
 }
 
 fn peers_to_ask(gw: &Gateway, question: Question) -> Vec<(EntryName, SocketAddr)> {
-    let own = gw.facts.borrow().list();
+    let own = gw.cluster_state.borrow().list();
     let members = gw.members.borrow();
     members
         .heard(gw.now())
@@ -97,9 +97,9 @@
 }
 
 async fn ask(gw: &Rc<Gateway>, (peer, calls): &(EntryName, SocketAddr), question: Question) {
-    let seen = gw.facts.borrow().seen();
+    let seen = gw.cluster_state.borrow().seen();
     let answer = match question {
-        Question::Changes => peer_calls::facts(gw, *calls, seen).await,
+        Question::Changes => peer_calls::cluster_state(gw, *calls, seen).await,
         Question::All => peer_calls::all_facts(gw, *calls, seen).await,
     };
     match answer {
@@ -109,7 +109,10 @@
 }
 
 fn learn(gw: &Gateway, shared: SharedFacts, peer: &EntryName) {
-    let changed = gw.facts.borrow_mut().learn(shared, peer.as_str(), gw.now());
+    let changed = gw
+        .cluster_state
+        .borrow_mut()
+        .learn(shared, peer.as_str(), gw.now());
     info!(target: "facts", peer:% = peer, changed; "facts taken over");
     if changed {
         apply_workers(gw, peer.as_str());
--- a/crates/bluebellreel_gateway/src/reports/mod.rs
+++ b/crates/bluebellreel_gateway/src/reports/mod.rs
@@ -190,7 +190,7 @@
     for job in &cancelled {
         gw.members.borrow_mut().claimed(job, now);
     }
-    if gw.facts.borrow().lacks(revisions) {
+    if gw.cluster_state.borrow().lacks(revisions) {
         catch_up(gw, asking);
     }
 }
--- a/crates/bluebellreel_gateway/src/reports/parts.rs
+++ b/crates/bluebellreel_gateway/src/reports/parts.rs
@@ -26,7 +26,7 @@
         Self {
             warnings: Warnings::own(gw),
             freshness: Freshness::own(gw),
-            list: gw.facts.borrow().list(),
+            list: gw.cluster_state.borrow().list(),
         }
     }
 }
--- a/crates/bluebellreel_gateway/src/reports/wire.rs
+++ b/crates/bluebellreel_gateway/src/reports/wire.rs
@@ -183,7 +183,7 @@
     let running = board
         .own()
         .map(|(worker, _, r)| (worker.clone(), r.online, r.batch));
-    let facts = gw.facts.borrow();
+    let cluster_state = gw.cluster_state.borrow();
     let report = Report {
         entry: gw.me().clone(),
         run: gw.run,
@@ -193,7 +193,7 @@
         stopping: gw.stopping.get(),
         reaches_store: !gw.store.is_lost(),
         served_s: u32::try_from(gw.store.served_for().as_secs()).unwrap_or(u32::MAX),
-        revisions: facts.revisions(),
+        revisions: cluster_state.revisions(),
         jobs: gw.jobs.borrow().owned_ids(),
         running: running.collect(),
         waiting: gw.jobs.borrow().items_waiting(),
--- a/crates/bluebellreel_gateway/src/request.rs
+++ b/crates/bluebellreel_gateway/src/request.rs
@@ -1,8 +1,8 @@
 //! A caller's request on its way.
 
-use crate::crash::Cut;
+use crate::crash::InterruptedRun;
 use crate::gateway::Gateway;
-use crate::suspicion::{self, Trial};
+use crate::quarantine_gate::{self, Trial};
 use bluebellreel_dispatch::{Fingerprint, Route, Sender, Ticket};
 use bluebellreel_platform::engine::Outgoing;
 use bluebellreel_types::{Moment, WorkerName};
@@ -50,8 +50,8 @@
     }
 
     /// A run of it that its worker broke off.
-    pub(crate) fn cut(&self, ticket: Ticket, began: Moment) -> Cut {
-        Cut {
+    pub(crate) fn cut(&self, ticket: Ticket, began: Moment) -> InterruptedRun {
+        InterruptedRun {
             request: self.id.clone(),
             fingerprint: self.fingerprint(),
             ticket,
@@ -70,8 +70,8 @@
     pub(crate) fn may_run(&mut self, gw: &Rc<Gateway>) -> Result<(), Moment> {
         // What an earlier run has shown counts by now.
         self.trial = None;
-        let leave = suspicion::may_run(gw, &self.id, Sender::Caller, || self.fingerprint())?;
-        self.trial = Trial::begin(gw, &self.id, leave);
+        let permit = quarantine_gate::may_run(gw, &self.id, Sender::Caller, || self.fingerprint())?;
+        self.trial = Trial::begin(gw, &self.id, permit);
         Ok(())
     }
 
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -3,7 +3,7 @@
 use crate::doors::Doors;
 use crate::gateway::Gateway;
 use crate::leave::leave;
-use crate::reload::Surroundings;
+use crate::reload::ProcessHooks;
 use crate::workers::apply_workers;
 use crate::{
     detour, jobs, lease, peer_api, quarantine_store, registration, reload, reports, serve, watching,
@@ -36,13 +36,13 @@
 /// # Errors
 ///
 /// Gives the reason when an address cannot be listened on.
-pub fn run_gateway(settings: GatewaySettings, around: Surroundings) -> eyre::Result<bool> {
+pub fn run_gateway(settings: GatewaySettings, around: ProcessHooks) -> eyre::Result<bool> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     LocalSet::new().block_on(&runtime, async {
         let asked = asked_to_stop(around.settings_changed.clone())?;
-        live(settings, asked, around).await
+        run_gateway_until(settings, asked, around).await
     })
 }
 
@@ -59,10 +59,10 @@
 /// # Errors
 ///
 /// Gives the reason when an address cannot be listened on.
-pub async fn live(
+pub async fn run_gateway_until(
     settings: GatewaySettings,
     stop_asked: impl Future<Output = ()>,
-    around: Surroundings,
+    around: ProcessHooks,
 ) -> eyre::Result<bool> {
     let gw = Gateway::new(settings);
     detour::install(&gw);
@@ -74,7 +74,7 @@
     Ok(clean)
 }
 
-async fn start(gw: &Rc<Gateway>, doors: &Doors, around: Rc<Surroundings>) -> eyre::Result<()> {
+async fn start(gw: &Rc<Gateway>, doors: &Doors, around: Rc<ProcessHooks>) -> eyre::Result<()> {
     let callers = listen(gw.settings.requests).wrap_err("address for requests")?;
     let balancer = listen(gw.settings.readiness).wrap_err("address for readiness")?;
     let peers = listen(gw.settings.peers).wrap_err("address for peers")?;
@@ -166,11 +166,11 @@
     gw.suspects.borrow_mut().sweep(now);
     gw.board.borrow_mut().evict_silent(now);
     gw.board.borrow_mut().paces.sweep(now);
-    let expired = gw.facts.borrow_mut().catalog.expire(now);
+    let expired = gw.cluster_state.borrow_mut().catalog.expire(now);
     if expired {
         apply_workers(gw, "time to register again is over");
     }
-    let outlived = gw.facts.borrow_mut().expire(now);
+    let outlived = gw.cluster_state.borrow_mut().expire(now);
     if outlived {
         warn!(target: "facts", entry:% = gw.me(); "snapshot no longer believed");
         apply_workers(gw, "snapshot no longer believed");
--- a/crates/bluebellreel_gateway/src/serve.rs
+++ b/crates/bluebellreel_gateway/src/serve.rs
@@ -83,7 +83,7 @@
     let Some(route) = configuration.route(ingress::host(&req), path).cloned() else {
         let id = ingress::request_id(req.headers());
         info!(target: "online", request = id, path, host = ingress::host(&req), version = configuration.version; "no route");
-        if gw.facts.borrow().is_from_snapshot() {
+        if gw.cluster_state.borrow().is_from_snapshot() {
             // It may be newer than the snapshot.
             let reason = "store away";
             return answers::retry_after(
--- a/crates/bluebellreel_gateway/src/ticket.rs
+++ b/crates/bluebellreel_gateway/src/ticket.rs
@@ -7,15 +7,15 @@
 use std::time::Duration;
 
 /// Counts one run at a worker until it is dropped.
-pub(crate) struct Place {
+pub(crate) struct RunGuard {
     gw: Rc<Gateway>,
     ticket: Ticket,
 }
 
-impl Place {
+impl RunGuard {
     /// Takes a place, and reports it to peers at once, so that none takes the same
     /// slot.
-    pub(crate) fn take(gw: &Rc<Gateway>, worker: &WorkerName, class: Class) -> Self {
+    pub(crate) fn acquire(gw: &Rc<Gateway>, worker: &WorkerName, class: Class) -> Self {
         let ticket = gw.board.borrow_mut().start(worker, class);
         gw.report_due.notify_one();
         Self {
@@ -51,7 +51,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         self.gw.board.borrow_mut().end(&self.ticket);
         self.gw.report_due.notify_one();
@@ -63,7 +63,7 @@
 /// started again. The worker may have done so before the run was sent: its entry
 /// comes some hundred milliseconds after its first answers, and events come some
 /// 30 ms apart.
-pub(crate) const AFTER_RESTART: Duration = Duration::from_millis(150);
+pub(crate) const RESTART_GRACE: Duration = Duration::from_millis(150);
 
 /// Ends once a run's worker is known to have started again under its id.
 pub(crate) async fn worker_restarted(gw: &Gateway, ticket: &Ticket) {
--- a/crates/bluebellreel_gateway/src/upstream.rs
+++ b/crates/bluebellreel_gateway/src/upstream.rs
@@ -1,7 +1,7 @@
 //! One send to one worker.
 
 use crate::gateway::Gateway;
-use crate::ticket::Place;
+use crate::ticket::RunGuard;
 use bluebellreel_net::{ReplyBody, Reuse, SendError};
 use bluebellreel_platform::engine::{AnswerHead, Outgoing, read_head};
 use bluebellreel_platform::ingress;
@@ -15,7 +15,7 @@
 pub(crate) struct Upstream {
     pub(crate) head: http::response::Parts,
     pub(crate) body: ReplyBody,
-    pub(crate) place: Place,
+    pub(crate) run_guard: RunGuard,
     /// When the request was sent.
     pub(crate) began: Moment,
 }
@@ -36,7 +36,7 @@
 /// What is sent, and how.
 pub(crate) struct Send<'a> {
     /// The run's place at its worker.
-    pub(crate) place: Place,
+    pub(crate) run_guard: RunGuard,
     pub(crate) out: &'a Outgoing,
     /// How long the caller still waits.
     pub(crate) left: Option<Duration>,
@@ -49,7 +49,7 @@
 
 /// Sends to a worker and waits for the head of its answer.
 pub(crate) async fn send(gw: &Gateway, send: Send<'_>) -> Result<Upstream, NoAnswer> {
-    let worker = send.place.worker();
+    let worker = send.run_guard.worker();
     let address = {
         let board = gw.board.borrow();
         board.seat(worker).map(|s| s.record.address)
@@ -63,7 +63,7 @@
     let reply = match timeout_at(send.until, answer).await {
         Ok(Ok(reply)) => reply,
         Ok(Err(e)) => {
-            send.place.failed();
+            send.run_guard.failed();
             return Err(match e {
                 SendError::Unsent(reason) => NoAnswer::Unsent(reason),
                 SendError::Unknown(reason) => NoAnswer::Unknown(reason),
@@ -92,7 +92,7 @@
     Ok(Upstream {
         head: reply.head,
         body: reply.body,
-        place: send.place,
+        run_guard: send.run_guard,
         began,
     })
 }
--- a/crates/bluebellreel_gateway/src/watching.rs
+++ b/crates/bluebellreel_gateway/src/watching.rs
@@ -69,7 +69,7 @@
 }
 
 const OPERATOR: Subject = Subject {
-    seen: |gw| gw.facts.borrow().operator_seen,
+    seen: |gw| gw.cluster_state.borrow().operator_seen,
     listed: |gw, all, revision| {
         for kv in all {
             operator_wrote(gw, kv);
@@ -87,26 +87,26 @@
 };
 
 const WORKERS: Subject = Subject {
-    seen: |gw| gw.facts.borrow().catalog.revision(),
+    seen: |gw| gw.cluster_state.borrow().catalog.revision(),
     listed: workers_listed,
     changed: |gw, event| worker_changed(gw, event),
     settle: |gw| {
         apply_workers(gw, "store");
         gw.report_due.notify_one();
     },
-    seen_to: |gw, revision| gw.facts.borrow_mut().catalog.seen_to(revision),
+    seen_to: |gw, revision| gw.cluster_state.borrow_mut().catalog.seen_to(revision),
 };
 
 fn operator_seen_to(gw: &Gateway, revision: i64) {
-    let mut facts = gw.facts.borrow_mut();
-    facts.confirmed_by_store();
-    facts.operator_seen = facts.operator_seen.max(revision);
+    let mut cluster_state = gw.cluster_state.borrow_mut();
+    cluster_state.confirmed_by_store();
+    cluster_state.operator_seen = cluster_state.operator_seen.max(revision);
 }
 
 fn operator_wrote(gw: &Rc<Gateway>, kv: &KeyValue) {
     if kv.key.as_str() == keys::CONFIGURATION {
-        let mut facts = gw.facts.borrow_mut();
-        facts.configure(kv.revision, &kv.value, "store", gw.now());
+        let mut cluster_state = gw.cluster_state.borrow_mut();
+        cluster_state.configure(kv.revision, &kv.value, "store", gw.now());
         gw.report_due.notify_one();
     } else if let Some(vm) = keys::vm_to_empty(kv.key.as_str()) {
         tokio::task::spawn_local(report_empty(gw.clone(), vm.to_owned()));
@@ -141,13 +141,13 @@
 }
 
 fn worker_changed(gw: &Gateway, event: WatchEvent) -> bool {
-    let mut facts = gw.facts.borrow_mut();
+    let mut cluster_state = gw.cluster_state.borrow_mut();
     match event {
         WatchEvent::Put(kv) => {
             let Some((id, record)) = read_worker(gw, &kv) else {
                 return false;
             };
-            facts.catalog.take(kv.revision, &id, record)
+            cluster_state.catalog.take(kv.revision, &id, record)
         }
         WatchEvent::Deleted { key, revision } => {
             let Some(id) = keys::worker_id(key.as_str()) else {
@@ -157,8 +157,8 @@
             info!(target: "facts", worker = id, revision, kept = keep_until.is_some(); "worker no longer listed");
             let id = WorkerName::from(id);
             match keep_until {
-                Some(until) => facts.catalog.miss(revision, &id, until),
-                None => facts.catalog.remove(revision, &id),
+                Some(until) => cluster_state.catalog.miss(revision, &id, until),
+                None => cluster_state.catalog.remove(revision, &id),
             }
         }
     }
@@ -174,8 +174,8 @@
     info!(target: "facts", workers = workers.count(), revision; "workers read");
     let keep_until = keep_missing_until(gw);
     let changed = {
-        let mut facts = gw.facts.borrow_mut();
-        facts.catalog.replace(revision, list, keep_until)
+        let mut cluster_state = gw.cluster_state.borrow_mut();
+        cluster_state.catalog.replace(revision, list, keep_until)
     };
     if changed {
         apply_workers(gw, "store");
@@ -209,9 +209,11 @@
 fn is_stale(gw: &Gateway, since: &Cell<Option<Moment>>) -> bool {
     let now = gw.now();
     let lacks = {
-        let facts = gw.facts.borrow();
+        let cluster_state = gw.cluster_state.borrow();
         let members = gw.members.borrow();
-        members.heard(now).any(|(_, p)| facts.lacks(p.revisions))
+        members
+            .heard(now)
+            .any(|(_, p)| cluster_state.lacks(p.revisions))
     };
     if !lacks {
         since.set(None);
@@ -263,7 +265,7 @@
         must_list |= relist;
         // What a snapshot says is to be confirmed by the store, by each daemon
         // itself: its peers may have nothing that it lacks, and say nothing.
-        let by_store = !gw.facts.borrow().is_from_snapshot();
+        let by_store = !gw.cluster_state.borrow().is_from_snapshot();
         let known = by_store && (subject.seen)(gw) > 0;
         let leads = is_watcher(gw);
         must_list |= succession.is_list_due(leads, gw.now());
--- a/crates/bluebellreel_gateway/src/workers.rs
+++ b/crates/bluebellreel_gateway/src/workers.rs
@@ -8,10 +8,10 @@
 
 /// Applies changed workers to the board, whichever source they came from.
 pub(crate) fn apply_workers(gw: &Gateway, source: &str) {
-    let facts = gw.facts.borrow();
-    let revision = facts.catalog.newest();
-    let changes = gw.board.borrow_mut().follow(&facts.catalog);
-    drop(facts);
+    let cluster_state = gw.cluster_state.borrow();
+    let revision = cluster_state.catalog.newest();
+    let changes = gw.board.borrow_mut().follow(&cluster_state.catalog);
+    drop(cluster_state);
     for (worker, change) in changes {
         match change {
             WorkerChange::Listed(state) => {
