--- a/crates/bluebellreel_gateway/src/events.rs
+++ b/crates/bluebellreel_gateway/src/events.rs
@@ -33,7 +33,7 @@
     }
 
     /// Whether bytes of an event are left that is not whole.
-    pub(crate) fn has_rest(&self) -> bool {
+    pub(crate) fn has_partial_event(&self) -> bool {
         !self.buf.is_empty()
     }
 }
--- a/crates/bluebellreel_gateway/src/jobs/runs.rs
+++ b/crates/bluebellreel_gateway/src/jobs/runs.rs
@@ -283,7 +283,7 @@
                 events.push(&bytes);
                 take_events(gw, next, &mut events, &mut stream_monitor, upstream)?;
             }
-            Ok(Ok(None)) if !events.has_rest() => return Ok(()),
+            Ok(Ok(None)) if !events.has_partial_event() => return Ok(()),
             Ok(Ok(None) | Err(_)) => return Err(BROKEN_OFF),
             Err(_) => return Err("silent"),
         }
--- a/crates/bluebellreel_gateway/src/relay.rs
+++ b/crates/bluebellreel_gateway/src/relay.rs
@@ -138,7 +138,7 @@
             }
             match self.bring().await {
                 Brought::Bytes(bytes) => self.events.push(&bytes),
-                Brought::End if !self.events.has_rest() => {
+                Brought::End if !self.events.has_partial_event() => {
                     self.finish();
                     return None;
                 }
