--- a/crates/bluebellreel_gateway/src/cluster_state.rs
+++ b/crates/bluebellreel_gateway/src/cluster_state.rs
@@ -20,7 +20,7 @@
     /// Since when it is in force here.
     since: Moment,
     text: Vec<u8>,
-    checked: Rc<Configuration>,
+    parsed: Rc<Configuration>,
 }
 
 /// Facts of the store.
@@ -28,12 +28,12 @@
 pub(crate) struct ClusterState {
     configured: Option<Configured>,
     /// Revision of the configuration that was not taken last.
-    refused: i64,
+    rejected_revision: i64,
     /// Until when facts are believed that a snapshot brought; no bound for what
     /// the store has said, itself or by way of peers.
-    believed_until: Option<Moment>,
+    trusted_until: Option<Moment>,
     /// Newest revision of a configuration that was ever in force in this run.
-    in_force_to: i64,
+    newest_in_force: i64,
     pub(crate) catalog: Catalog,
     /// Revision up to which all that operators wrote is known.
     pub(crate) operator_seen: i64,
@@ -41,7 +41,7 @@
 
 impl ClusterState {
     pub(crate) fn configuration(&self) -> Option<Rc<Configuration>> {
-        self.configured.as_ref().map(|c| c.checked.clone())
+        self.configured.as_ref().map(|c| c.parsed.clone())
     }
 
     /// Since when the configuration is in force here.
@@ -85,37 +85,37 @@
 
     /// Takes a configuration over unless a newer one is in force.
     pub(crate) fn configure(&mut self, revision: i64, text: &[u8], source: &str, now: Moment) {
-        if revision <= self.configuration_revision() || revision < self.in_force_to {
+        if revision <= self.configuration_revision() || revision < self.newest_in_force {
             return;
         }
         // It stands in the store until the next one, and is read at each list.
-        if revision == self.refused {
+        if revision == self.rejected_revision {
             return;
         }
-        let (checked, passed_over) = match decode_configuration(text) {
+        let (parsed, skipped) = match decode_configuration(text) {
             Ok(decoded) => decoded,
             Err(e) => {
-                self.refused = revision;
+                self.rejected_revision = revision;
                 warn!(target: "facts", revision, source, error:% = e; "configuration not taken");
                 return;
             }
         };
-        for e in passed_over {
+        for e in skipped {
             warn!(target: "facts", revision, source, error:% = e; "route not taken");
         }
-        let known = self.configured.as_ref().map_or(0, |c| c.checked.version);
-        if checked.version < known {
-            self.refused = revision;
-            warn!(target: "facts", revision, source, version = checked.version, known; "older configuration not taken");
+        let known = self.configured.as_ref().map_or(0, |c| c.parsed.version);
+        if parsed.version < known {
+            self.rejected_revision = revision;
+            warn!(target: "facts", revision, source, version = parsed.version, known; "older configuration not taken");
             return;
         }
-        info!(target: "facts", revision, source, version = checked.version, routes = checked.routes.len(); "configuration in force");
-        self.in_force_to = revision;
+        info!(target: "facts", revision, source, version = parsed.version, routes = parsed.routes.len(); "configuration in force");
+        self.newest_in_force = revision;
         self.configured = Some(Configured {
             revision,
             since: now,
             text: text.to_vec(),
-            checked: Rc::new(checked),
+            parsed: Rc::new(parsed),
         });
     }
 
@@ -132,7 +132,7 @@
             operator_seen: self.operator_seen,
             workers_seen: self.catalog.revision(),
             workers: workers.collect(),
-            believed_for: self.believed_until.map(|until| until.since(now)),
+            believed_for: self.trusted_until.map(|until| until.since(now)),
             whole: false,
         }
     }
@@ -145,14 +145,14 @@
 
     /// Notes how long facts may be believed that are about to be taken over.
     /// What the store has said is not made less sure by what a snapshot adds.
-    fn believe(&mut self, believed_for: Option<Duration>, now: Moment) {
+    fn extend_trust(&mut self, believed_for: Option<Duration>, now: Moment) {
         let knows_nothing = self.configured.is_none();
         match believed_for {
-            None => self.believed_until = None,
-            Some(left) if knows_nothing || self.believed_until.is_some() => {
+            None => self.trusted_until = None,
+            Some(left) if knows_nothing || self.trusted_until.is_some() => {
                 let until = now + left;
-                let before = self.believed_until.unwrap_or(until);
-                self.believed_until = Some(before.max(until));
+                let before = self.trusted_until.unwrap_or(until);
+                self.trusted_until = Some(before.max(until));
             }
             Some(_) => {}
         }
@@ -160,12 +160,12 @@
 
     /// All that is known of what operators wrote comes from the store.
     pub(crate) fn confirmed_by_store(&mut self) {
-        self.believed_until = None;
+        self.trusted_until = None;
     }
 
     /// Whether all that is known comes from a snapshot.
     pub(crate) fn is_from_snapshot(&self) -> bool {
-        self.believed_until.is_some()
+        self.trusted_until.is_some()
     }
 
     /// Forgets what a snapshot brought once it is no longer believed; whether
@@ -175,10 +175,10 @@
     /// force here. A configuration that was in force is not forgotten as such:
     /// no older one follows it in this run.
     pub(crate) fn expire(&mut self, now: Moment) -> bool {
-        if !self.believed_until.is_some_and(|until| until.is_past(now)) {
+        if !self.trusted_until.is_some_and(|until| until.is_past(now)) {
             return false;
         }
-        self.believed_until = None;
+        self.trusted_until = None;
         self.configured = None;
         self.catalog = Catalog::default();
         self.operator_seen = 0;
@@ -187,7 +187,7 @@
 
     /// Takes over what a peer knows better; whether workers changed.
     pub(crate) fn learn(&mut self, shared: SharedFacts, source: &str, now: Moment) -> bool {
-        self.believe(shared.believed_for, now);
+        self.extend_trust(shared.believed_for, now);
         if let Some((revision, text)) = shared.configuration {
             self.configure(revision, &text, source, now);
         }
--- a/crates/bluebellreel_gateway/src/crash.rs
+++ b/crates/bluebellreel_gateway/src/crash.rs
@@ -21,10 +21,10 @@
 
 /// How long a broken-off run waits for the probe of its worker before it goes on
 /// elsewhere. A VM answers within some milliseconds.
-const PROBE_LONGEST: Duration = Duration::from_millis(30);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(30);
 /// When a worker that listens is checked once more: one that has started again is
 /// listed by then, its former life is not.
-const CHECK_AGAIN: Duration = Duration::from_millis(2500);
+const RECHECK_DELAY: Duration = Duration::from_millis(2500);
 
 /// A run that its worker broke off.
 pub(crate) struct InterruptedRun {
@@ -38,34 +38,34 @@
 
 /// Looks whether a run was broken off as its worker has crashed. What is found
 /// later than a moment is noted all the same.
-pub(crate) async fn check_for_crash(gw: &Rc<Gateway>, cut: InterruptedRun) {
-    let Some(address) = listed_at(gw, &cut.ticket) else {
+pub(crate) async fn check_for_crash(gw: &Rc<Gateway>, run: InterruptedRun) {
+    let Some(address) = ready_address(gw, &run.ticket) else {
         // It leaves: what it breaks off then is no crash.
         return;
     };
-    let probing = tokio::task::spawn_local(find_out(gw.clone(), cut, address, gw.now()));
+    let probing = tokio::task::spawn_local(confirm_crash(gw.clone(), run, address, gw.now()));
     // It goes on by itself.
-    let _ = timeout(PROBE_LONGEST, probing).await;
+    let _ = timeout(PROBE_TIMEOUT, probing).await;
 }
 
 /// Where a run's worker listens, unless it has said that it leaves.
-fn listed_at(gw: &Gateway, ticket: &Ticket) -> Option<SocketAddr> {
+fn ready_address(gw: &Gateway, ticket: &Ticket) -> Option<SocketAddr> {
     let board = gw.board.borrow();
     let seat = board.seat(&ticket.worker)?;
     (seat.record.state == WorkerState::Ready).then_some(seat.record.address)
 }
 
-async fn find_out(gw: Rc<Gateway>, cut: InterruptedRun, address: SocketAddr, at: Moment) {
-    if has_started_again(&gw, &cut.ticket) {
-        return note(&gw, &cut, at, "started again");
+async fn confirm_crash(gw: Rc<Gateway>, run: InterruptedRun, address: SocketAddr, at: Moment) {
+    if has_restarted(&gw, &run.ticket) {
+        return record_crash(&gw, &run, at, "started again");
     }
     match gw.workers.knock(address).await {
-        Knock::Refused => note(&gw, &cut, at, "refuses connections"),
+        Knock::Refused => record_crash(&gw, &run, at, "refuses connections"),
         Knock::Unknown => {}
         Knock::Open => {
-            sleep(CHECK_AGAIN).await;
-            if has_started_again(&gw, &cut.ticket) {
-                note(&gw, &cut, at, "started again");
+            sleep(RECHECK_DELAY).await;
+            if has_restarted(&gw, &run.ticket) {
+                record_crash(&gw, &run, at, "started again");
             }
         }
     }
@@ -73,23 +73,23 @@
 
 /// Whether a run's worker lives another life, or none, though it did not say that it
 /// would leave.
-fn has_started_again(gw: &Gateway, ticket: &Ticket) -> bool {
+fn has_restarted(gw: &Gateway, ticket: &Ticket) -> bool {
     let board = gw.board.borrow();
     let gone = board.seat(&ticket.worker).is_none();
     gone || board.is_of_former_life(ticket)
 }
 
-fn note(gw: &Rc<Gateway>, cut: &InterruptedRun, at: Moment, reason: &str) {
-    let lasted = millis(at.since(cut.began));
+fn record_crash(gw: &Rc<Gateway>, run: &InterruptedRun, at: Moment, reason: &str) {
+    let lasted = millis(at.since(run.began));
     gw.metrics.crashes.inc();
     let strike = Strike {
-        began: cut.began,
+        began: run.began,
         crashed: at,
         excused: false,
     };
     let notice = CrashNotice {
-        fingerprint: cut.fingerprint,
-        worker: WorkerTag::of(&cut.ticket.worker, cut.ticket.boot),
+        fingerprint: run.fingerprint,
+        worker: WorkerTag::of(&run.ticket.worker, run.ticket.boot),
         strike,
     };
     let crashes = gw.suspects.borrow_mut().note_own_crash(notice, gw.now());
@@ -97,9 +97,9 @@
     let standing = gw
         .suspects
         .borrow()
-        .standing(cut.fingerprint, Sender::Caller, gw.now());
+        .standing(run.fingerprint, Sender::Caller, gw.now());
     if matches!(standing, Standing::Quarantined(_)) {
-        quarantine_store::store(gw, cut.fingerprint);
+        quarantine_store::store(gw, run.fingerprint);
     }
-    warn!(target: "online", request:% = cut.request, fingerprint:% = cut.fingerprint, worker:% = cut.ticket.worker, took_ms = lasted, crashes, reason; "worker crashed under a run");
+    warn!(target: "online", request:% = run.request, fingerprint:% = run.fingerprint, worker:% = run.ticket.worker, took_ms = lasted, crashes, reason; "worker crashed under a run");
 }
--- a/crates/bluebellreel_gateway/src/gateway.rs
+++ b/crates/bluebellreel_gateway/src/gateway.rs
@@ -25,17 +25,17 @@
 
 /// Longest wait for a connection to a worker: one takes some milliseconds;
 /// past this the worker is down, dark or flooded.
-const WORKER_CONNECT: Duration = Duration::from_millis(250);
+const WORKER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle time of worker connections that state none.
-const WORKER_IDLE: Duration = Duration::from_secs(4);
+const WORKER_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Idle connections kept for one worker: its slots, and as many again.
-const WORKER_IDLE_COUNT: usize = 16;
+const MAX_WORKER_IDLE: usize = 16;
 /// Longest wait for a connection to a peer.
-const PEER_CONNECT: Duration = Duration::from_millis(250);
+const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle time of peer connections.
-const PEER_IDLE: Duration = Duration::from_secs(4);
+const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Idle connections kept for one peer.
-const PEER_IDLE_COUNT: usize = 8;
+const MAX_PEER_IDLE: usize = 8;
 
 /// One daemon.
 pub(crate) struct Gateway {
@@ -69,7 +69,7 @@
     /// Since when few peers are heard; none while most are.
     pub(crate) isolated_since: Cell<Option<Moment>>,
     /// Times that this daemon was cut off from most peers and hears them again.
-    pub(crate) rejoined: Cell<u64>,
+    pub(crate) reconnections: Cell<u64>,
     /// Set from SIGTERM on.
     pub(crate) stopping: Cell<bool>,
     /// Set once a new request could not end before the process does.
@@ -88,7 +88,7 @@
     pub(crate) start_terms: StartTerms,
     /// Wakes those that watch the store: its history was dropped, and their
     /// watches may never bring what happened meanwhile.
-    pub(crate) history_gone: Notify,
+    pub(crate) history_compacted: Notify,
     /// Wakes runs whose worker may have started again.
     pub(crate) worker_restarted: Notify,
 }
@@ -96,14 +96,14 @@
 impl Gateway {
     pub(crate) fn new(settings: GatewaySettings) -> Rc<Self> {
         let workers = Pool::new(PoolLimits {
-            connect: WORKER_CONNECT,
-            idle: WORKER_IDLE,
-            idle_per_address: WORKER_IDLE_COUNT,
+            connect: WORKER_CONNECT_TIMEOUT,
+            idle: WORKER_IDLE_TIMEOUT,
+            idle_per_address: MAX_WORKER_IDLE,
         });
         let peers = Pool::new(PoolLimits {
-            connect: PEER_CONNECT,
-            idle: PEER_IDLE,
-            idle_per_address: PEER_IDLE_COUNT,
+            connect: PEER_CONNECT_TIMEOUT,
+            idle: PEER_IDLE_TIMEOUT,
+            idle_per_address: MAX_PEER_IDLE,
         });
         let metrics = Metrics::default();
         let board = Board::new(settings.data_centre.clone(), PlacementLimits::default());
@@ -128,7 +128,7 @@
             lease: Cell::new(0),
             tenure: Cell::default(),
             isolated_since: Cell::new(None),
-            rejoined: Cell::new(0),
+            reconnections: Cell::new(0),
             stopping: Cell::new(false),
             refusing: Cell::new(false),
             ended: Cell::new(false),
@@ -137,7 +137,7 @@
             batch_due: Notify::new(),
             confirmation_due: Notify::new(),
             start_terms: StartTerms::within(settings.cancel_within),
-            history_gone: Notify::new(),
+            history_compacted: Notify::new(),
             worker_restarted: Notify::new(),
             settings,
         })
--- a/crates/bluebellreel_gateway/src/in_progress.rs
+++ b/crates/bluebellreel_gateway/src/in_progress.rs
@@ -9,16 +9,16 @@
 #[derive(Debug, Default)]
 pub(crate) struct InProgress {
     open: RefCell<BTreeMap<u64, Arc<str>>>,
-    begun: Cell<u64>,
+    next_number: Cell<u64>,
 }
 
 impl InProgress {
     /// Notes a request until what is given back is dropped.
-    pub(crate) fn begin(self: &Rc<Self>, id: &str) -> Begun {
-        let number = self.begun.get();
-        self.begun.set(number + 1);
+    pub(crate) fn begin(self: &Rc<Self>, id: &str) -> InProgressGuard {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         self.open.borrow_mut().insert(number, Arc::from(id));
-        Begun {
+        InProgressGuard {
             number,
             all: self.clone(),
         }
@@ -36,12 +36,12 @@
 }
 
 /// A request in progress as long as it lives.
-pub(crate) struct Begun {
+pub(crate) struct InProgressGuard {
     number: u64,
     all: Rc<InProgress>,
 }
 
-impl Drop for Begun {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.all.open.borrow_mut().remove(&self.number);
     }
--- a/crates/bluebellreel_gateway/src/keeper_visits.rs
+++ b/crates/bluebellreel_gateway/src/keeper_visits.rs
@@ -7,7 +7,7 @@
 
 /// How long a keeper counts as present after a visit: three times as long as far
 /// ones leave between visits before few gateways.
-const PRESENT_AFTER_VISIT: Duration = Duration::from_secs(4);
+const VISIT_TTL: Duration = Duration::from_secs(4);
 
 /// Keepers that have visited this daemon, by the address that takes calls.
 #[derive(Debug, Default)]
@@ -29,10 +29,10 @@
 
 impl Keepers {
     /// One has visited, from this daemon's data centre if `is_near`.
-    pub(crate) fn visited(&mut self, at: SocketAddr, is_near: bool, now: Moment) {
+    pub(crate) fn record_visit(&mut self, at: SocketAddr, is_near: bool, now: Moment) {
         let visit = Visit {
             is_near,
-            until: now + PRESENT_AFTER_VISIT,
+            until: now + VISIT_TTL,
             is_unreachable: false,
             is_given_up: false,
         };
--- a/crates/bluebellreel_gateway/src/keepers.rs
+++ b/crates/bluebellreel_gateway/src/keepers.rs
@@ -18,7 +18,7 @@
 /// Whether the store has not answered this daemon yet.
 fn wants_facts(gw: &Gateway) -> bool {
     let cluster_state = gw.cluster_state.borrow();
-    let knows_nothing = cluster_state.configuration().is_none() && gw.store.finds_nobody();
+    let knows_nothing = cluster_state.configuration().is_none() && gw.store.has_never_answered();
     knows_nothing || cluster_state.is_from_snapshot()
 }
 
@@ -36,7 +36,7 @@
     }
     if let Some(at) = address {
         let mut keepers = gw.keepers.borrow_mut();
-        keepers.visited(at, is_near, gw.now());
+        keepers.record_visit(at, is_near, gw.now());
     }
 }
 
@@ -70,7 +70,7 @@
 ///
 /// Guard: all gateways may be killed while the store is away. Without a snapshot
 /// each caller is refused until it is back.
-pub(crate) fn take_offer(gw: &Rc<Gateway>, body: &[u8]) -> Response<Body> {
+pub(crate) fn accept_snapshot(gw: &Rc<Gateway>, body: &[u8]) -> Response<Body> {
     let offered = match postcard::from_bytes::<SharedFacts>(body) {
         Ok(offered) => offered,
         Err(e) => {
--- a/crates/bluebellreel_gateway/src/lease.rs
+++ b/crates/bluebellreel_gateway/src/lease.rs
@@ -15,14 +15,14 @@
 /// it to end; a renewal costs a tenth of a read.
 const ENTRY_TTL: Duration = Duration::from_millis(3600);
 /// Time between renewals: three within the time to live.
-const RENEW_EVERY: Duration = Duration::from_millis(1100);
+const RENEW_INTERVAL: Duration = Duration::from_millis(1100);
 /// Pause after a call that failed.
-const RETRY: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// Times that an entry that changes while it is being replaced is read again.
-const TRIES: usize = 3;
+const MAX_TRIES: usize = 3;
 
 /// The store has renewed this daemon's entry by a call that was sent at `sent`.
-fn renewed(gw: &Rc<Gateway>, sent: Stamp) {
+fn record_renewal(gw: &Rc<Gateway>, sent: Stamp) {
     let mut tenure = gw.tenure.get();
     let begins = tenure.renewed(sent, gw.stamp());
     gw.tenure.set(tenure);
@@ -38,22 +38,22 @@
             Ok(lease) => lease,
             Err(e) => {
                 warn!(target: "members", error:% = e; "not registered");
-                sleep(RETRY).await;
+                sleep(RETRY_PAUSE).await;
                 continue;
             }
         };
         gw.lease.set(lease);
         info!(target: "members", lease; "registered");
-        renew_until_it_ends(&gw, lease).await;
+        renew_until_expired(&gw, lease).await;
     }
 }
 
-async fn renew_until_it_ends(gw: &Rc<Gateway>, lease: i64) {
+async fn renew_until_expired(gw: &Rc<Gateway>, lease: i64) {
     while gw.lease.get() == lease && !gw.stopping.get() {
-        sleep(RENEW_EVERY).await;
+        sleep(RENEW_INTERVAL).await;
         let sent = gw.stamp();
         match gw.store.renew(lease).await {
-            Ok(true) => renewed(gw, sent),
+            Ok(true) => record_renewal(gw, sent),
             Ok(false) => {
                 gw.interrupt_tenure();
                 warn!(target: "members", lease; "lease has ended");
@@ -78,12 +78,12 @@
         value,
         lease: lease.id,
     };
-    for _ in 0..TRIES {
+    for _ in 0..MAX_TRIES {
         let txn = entry_txn(gw, put.clone()).await?;
         let sent = gw.stamp();
         match gw.store.commit(&txn, Instant::now() + ttl).await {
             Commit::Applied { .. } => {
-                renewed(gw, sent);
+                record_renewal(gw, sent);
                 return Ok(lease.id);
             }
             // Another write came first: it may be our own, without an answer.
--- a/crates/bluebellreel_gateway/src/online.rs
+++ b/crates/bluebellreel_gateway/src/online.rs
@@ -24,13 +24,13 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Longest answer that is gathered before it is passed on.
-const ANSWER_BYTES: usize = 8 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 /// Time between checks whether a request whose first byte is late does better
 /// elsewhere.
-const RECHECK_EVERY: Duration = Duration::from_millis(40);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// Sends that nothing came of before a request is given up. Refusals by
 /// workers cost a round trip each.
-const MOST_REFUSALS: u32 = 4;
+const MAX_REFUSALS: u32 = 4;
 
 /// Answers a caller.
 pub(crate) async fn answer(gw: Rc<Gateway>, mut req: Request) -> Response<Body> {
@@ -40,7 +40,7 @@
             return give_up(&gw, &req, "deadline passed");
         }
         if let Err(until) = req.may_run(&gw) {
-            return hold_back(&gw, &req, until);
+            return refuse_quarantined(&gw, &req, until);
         }
         let worker = match placement::choose(&gw, &req, req.patience()) {
             Placement::Send(worker) => worker,
@@ -48,14 +48,14 @@
             Placement::NoWorker => return give_up(&gw, &req, "no worker"),
         };
         match send_to(&gw, &mut req, &worker).await {
-            Ok(upstream) => match pass_on(&gw, req, upstream).await {
+            Ok(upstream) => match forward_answer(&gw, req, upstream).await {
                 Ok(answer) => return answer,
                 Err(again) => req = again,
             },
             Err(NoAnswer::NotRun(_) | NoAnswer::Unsent(_)) => refusals += 1,
             Err(NoAnswer::Unknown(_) | NoAnswer::Silent) => req.runs += 1,
         }
-        if refusals >= MOST_REFUSALS || !req.may_repeat() {
+        if refusals >= MAX_REFUSALS || !req.may_repeat() {
             return give_up(&gw, &req, "nothing came of its sends");
         }
     }
@@ -79,7 +79,7 @@
     let ticket = run_guard.ticket().clone();
     let began = gw.now();
     let mut restarted = pin!(worker_restarted(gw, &ticket));
-    let mut of_former_life = false;
+    let mut has_restarted = false;
     let mut answer = pin!(send(
         gw,
         Send {
@@ -95,16 +95,16 @@
         tokio::select! {
             biased;
             outcome = answer.as_mut() => break outcome,
-            () = restarted.as_mut(), if !of_former_life => {
-                of_former_life = true;
+            () = restarted.as_mut(), if !has_restarted => {
+                has_restarted = true;
                 due = due.min(Instant::now() + RESTART_GRACE);
             }
             () = sleep_until(due) => {
-                if of_former_life || placement::does_better_elsewhere(gw, req, worker) {
+                if has_restarted || placement::is_better_elsewhere(gw, req, worker) {
                     gw.board.borrow_mut().failed(&ticket, gw.now());
                     break Err(NoAnswer::Silent);
                 }
-                due = (Instant::now() + RECHECK_EVERY).min(req.deadline);
+                due = (Instant::now() + RECHECK_INTERVAL).min(req.deadline);
             }
         }
     };
@@ -112,7 +112,7 @@
         warn!(target: "online", request:% = req.id, worker:% = worker, outcome:? = e, runs = req.runs; "no answer from worker");
     }
     if matches!(outcome, Err(NoAnswer::Unknown(_))) {
-        crash::check_for_crash(gw, req.cut(ticket.clone(), began)).await;
+        crash::check_for_crash(gw, req.interrupted_run(ticket.clone(), began)).await;
     }
     outcome
 }
@@ -143,7 +143,7 @@
 
 /// Passes a worker's answer on, or hands the request back to be sent once
 /// more.
-async fn pass_on(
+async fn forward_answer(
     gw: &Rc<Gateway>,
     mut req: Request,
     mut upstream: Upstream,
@@ -162,12 +162,12 @@
     if req.route.kind == RouteKind::Stream && status.is_success() {
         return Ok(stream(gw, req, upstream));
     }
-    let body = tokio::time::timeout_at(req.deadline, upstream.body.whole(ANSWER_BYTES)).await;
+    let body = tokio::time::timeout_at(req.deadline, upstream.body.whole(MAX_ANSWER_BYTES)).await;
     let Ok(Ok(body)) = body else {
         upstream.run_guard.failed();
         if matches!(body, Ok(Err(_))) {
             let ticket = upstream.run_guard.ticket().clone();
-            crash::check_for_crash(gw, req.cut(ticket, upstream.began)).await;
+            crash::check_for_crash(gw, req.interrupted_run(ticket, upstream.began)).await;
         }
         return Err(req);
     };
@@ -201,16 +201,16 @@
 }
 
 /// The final answer to a request that workers crash under.
-fn hold_back(gw: &Gateway, req: &Request, until: Moment) -> Response<Body> {
+fn refuse_quarantined(gw: &Gateway, req: &Request, until: Moment) -> Response<Body> {
     let mut answer = if req.runs == 0 {
         let after = until.since(gw.now());
         answers::retry_after(
             StatusCode::SERVICE_UNAVAILABLE,
-            quarantine_gate::REASON,
+            quarantine_gate::QUARANTINE_REASON,
             after,
         )
     } else {
-        answers::failure(StatusCode::BAD_GATEWAY, quarantine_gate::REASON)
+        answers::failure(StatusCode::BAD_GATEWAY, quarantine_gate::QUARANTINE_REASON)
     };
     gw.metrics.request("held_back");
     ingress::set_request_id(answer.headers_mut(), &req.id);
--- a/crates/bluebellreel_gateway/src/peer_api.rs
+++ b/crates/bluebellreel_gateway/src/peer_api.rs
@@ -1,10 +1,10 @@
 //! What peers may call.
 
 use crate::answers;
-use crate::detour;
 use crate::gateway::Gateway;
 use crate::jobs;
 use crate::keepers;
+use crate::store_proxy;
 use bluebellreel_members::Revisions;
 use bluebellreel_net::{Body, read_body};
 use bluebellreel_types::JobId;
@@ -15,9 +15,9 @@
 use std::time::Duration;
 
 /// Longest body of a peer's call.
-const BODY_BYTES: usize = 4 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 /// Longest wait for it.
-const BODY_TIME: Duration = Duration::from_secs(2);
+const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Answers a peer.
 pub(crate) async fn answer(gw: Rc<Gateway>, req: Request<Incoming>) -> Response<Body> {
@@ -26,13 +26,13 @@
     match (req.method(), parts.as_slice()) {
         (&Method::GET, ["facts"]) => cluster_state(&gw, &req),
         (&Method::GET, ["state"]) => keepers::state(&gw, req.uri().query().unwrap_or("")),
-        (&Method::PUT, ["facts"]) => match body_of(req).await {
-            Some(body) => keepers::take_offer(&gw, &body),
-            None => no_body(),
+        (&Method::PUT, ["facts"]) => match read_call_body(req).await {
+            Some(body) => keepers::accept_snapshot(&gw, &body),
+            None => missing_body(),
         },
         (&Method::GET, ["jobs", id, "results"]) => {
-            let after = number(&req, "after");
-            let wait = Duration::from_millis(number(&req, "wait_ms"));
+            let after = query_number(&req, "after");
+            let wait = Duration::from_millis(query_number(&req, "wait_ms"));
             let after = usize::try_from(after).unwrap_or(usize::MAX);
             jobs::read_own(&gw, &JobId::from(*id), after, wait).await
         }
@@ -44,8 +44,8 @@
         (&Method::PUT, ["jobs", id, what @ ("owner" | "progress")]) => {
             let id = JobId::from(*id);
             let is_owner = *what == "owner";
-            let Some(progress) = body_of(req).await else {
-                return no_body();
+            let Some(progress) = read_call_body(req).await else {
+                return missing_body();
             };
             if is_owner {
                 return jobs::take_hand_over(&gw, &id, &progress).await;
@@ -59,28 +59,28 @@
 }
 
 /// The whole body of a peer's call.
-async fn body_of(req: Request<Incoming>) -> Option<Bytes> {
-    let body = read_body(req.into_body(), BODY_BYTES, BODY_TIME).await;
+async fn read_call_body(req: Request<Incoming>) -> Option<Bytes> {
+    let body = read_body(req.into_body(), MAX_BODY_BYTES, BODY_TIMEOUT).await;
     body.ok().flatten()
 }
 
-fn no_body() -> Response<Body> {
+fn missing_body() -> Response<Body> {
     answers::failure(StatusCode::BAD_REQUEST, "no body")
 }
 
 /// Makes a call to the store for a peer that the store turns away.
 async fn store(gw: &Gateway, req: Request<Incoming>) -> Response<Body> {
-    let Some(body) = body_of(req).await else {
-        return no_body();
+    let Some(body) = read_call_body(req).await else {
+        return missing_body();
     };
-    match detour::make_for_peer(gw, &body).await {
+    match store_proxy::call_for_peer(gw, &body).await {
         Ok(answer) => answers::bytes(answer),
         Err(e) => answers::failure(StatusCode::BAD_REQUEST, &e),
     }
 }
 
 fn cluster_state(gw: &Gateway, req: &Request<Incoming>) -> Response<Body> {
-    let revision = |name| i64::try_from(number(req, name)).unwrap_or(i64::MAX);
+    let revision = |name| i64::try_from(query_number(req, name)).unwrap_or(i64::MAX);
     let seen = Revisions {
         configuration: revision("configuration"),
         workers: revision("workers"),
@@ -95,7 +95,7 @@
     }
 }
 
-fn number(req: &Request<Incoming>, name: &str) -> u64 {
+fn query_number(req: &Request<Incoming>, name: &str) -> u64 {
     let query = req.uri().query().unwrap_or("");
     query
         .split('&')
--- a/crates/bluebellreel_gateway/src/peer_calls.rs
+++ b/crates/bluebellreel_gateway/src/peer_calls.rs
@@ -21,9 +21,9 @@
     method: Method,
     path: &str,
     body: Bytes,
-    longest: Duration,
+    max_wait: Duration,
 ) -> Result<(StatusCode, Bytes), PeerError> {
-    bluebellreel_net::call(&gw.peers, to, method, path, body, longest).await
+    bluebellreel_net::call(&gw.peers, to, method, path, body, max_wait).await
 }
 
 /// What a peer knows beyond `seen`; all that it knows of workers if it does not
@@ -33,20 +33,20 @@
     to: SocketAddr,
     seen: Revisions,
 ) -> Result<SharedFacts, PeerError> {
-    if let Some(cluster_state) = facts_after(gw, to, seen).await? {
+    if let Some(cluster_state) = cluster_state_after(gw, to, seen).await? {
         return Ok(cluster_state);
     }
-    all_facts(gw, to, seen).await
+    full_cluster_state(gw, to, seen).await
 }
 
 /// All that a peer knows of workers, and a configuration that is newer than `seen`.
-pub(crate) async fn all_facts(
+pub(crate) async fn full_cluster_state(
     gw: &Gateway,
     to: SocketAddr,
     seen: Revisions,
 ) -> Result<SharedFacts, PeerError> {
     let all = Revisions { workers: 0, ..seen };
-    let cluster_state = facts_after(gw, to, all).await?;
+    let cluster_state = cluster_state_after(gw, to, all).await?;
     let cluster_state = cluster_state.ok_or("asked for all in vain")?;
     Ok(SharedFacts {
         whole: true,
@@ -54,7 +54,7 @@
     })
 }
 
-async fn facts_after(
+async fn cluster_state_after(
     gw: &Gateway,
     to: SocketAddr,
     seen: Revisions,
@@ -124,11 +124,11 @@
     gw: &Gateway,
     to: SocketAddr,
     body: Vec<u8>,
-    longest: Duration,
+    max_wait: Duration,
 ) -> Result<Bytes, PeerError> {
     let body = Bytes::from(body);
-    let longest = longest + TIMEOUT;
-    let (status, body) = call(gw, to, Method::POST, "/store", body, longest).await?;
+    let max_wait = max_wait + TIMEOUT;
+    let (status, body) = call(gw, to, Method::POST, "/store", body, max_wait).await?;
     if status != StatusCode::OK {
         return Err(format!("status {status}"));
     }
--- a/crates/bluebellreel_gateway/src/placement.rs
+++ b/crates/bluebellreel_gateway/src/placement.rs
@@ -27,11 +27,11 @@
 
 /// Chooses a worker for a request that may wait in line for `patience`.
 pub(crate) fn choose(gw: &Gateway, req: &Request, patience: Duration) -> Placement {
-    choose_besides(gw, req, &req.tried, patience)
+    choose_excluding_listed(gw, req, &req.tried, patience)
 }
 
 /// The same among all workers but some, whether they were tried or not.
-pub(crate) fn choose_besides(
+pub(crate) fn choose_excluding_listed(
     gw: &Gateway,
     req: &Request,
     avoid: &[WorkerName],
@@ -41,7 +41,7 @@
 }
 
 /// Whether a request should leave the worker that it waits for, for another one.
-pub(crate) fn does_better_elsewhere(gw: &Gateway, req: &Request, worker: &WorkerName) -> bool {
+pub(crate) fn is_better_elsewhere(gw: &Gateway, req: &Request, worker: &WorkerName) -> bool {
     let query = query(gw, req, &req.tried, req.patience());
     should_leave(&gw.board.borrow(), &query, worker)
 }
--- a/crates/bluebellreel_gateway/src/quarantine_gate.rs
+++ b/crates/bluebellreel_gateway/src/quarantine_gate.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// The reason in the answer to a caller whose request is quarantined.
-pub(crate) const REASON: &str = "workers crash under it";
+pub(crate) const QUARANTINE_REASON: &str = "workers crash under it";
 
 /// Backoff of a request that another daemon may try out.
 const TRIED_ELSEWHERE_BACKOFF: Duration = Duration::from_secs(1);
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Permit {
     /// As any other.
-    Plain,
+    Normal,
     /// As a trial; see [`Trial::begin`].
     OnTrial(Fingerprint),
 }
@@ -66,12 +66,12 @@
     fingerprint: impl FnOnce() -> Fingerprint,
 ) -> Result<Permit, Moment> {
     if gw.suspects.borrow().is_empty() {
-        return Ok(Permit::Plain);
+        return Ok(Permit::Normal);
     }
     let (fingerprint, now) = (fingerprint(), gw.now());
     let standing = gw.suspects.borrow().standing(fingerprint, sender, now);
     let until = match standing {
-        Standing::Clear | Standing::Suspect => return Ok(Permit::Plain),
+        Standing::Clear | Standing::Suspect => return Ok(Permit::Normal),
         Standing::OnTrial(since) if may_try_here(gw, fingerprint, sender, since) => {
             return Ok(Permit::OnTrial(fingerprint));
         }
--- a/crates/bluebellreel_gateway/src/quarantine_store.rs
+++ b/crates/bluebellreel_gateway/src/quarantine_store.rs
@@ -20,9 +20,9 @@
 const ENTRY_TTL: Duration = Duration::from_mins(10);
 /// How long a write is tried again. After that others have seen the next crash, or the
 /// request has not come again.
-const WRITE_LONGEST: Duration = Duration::from_secs(20);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause after a call that failed.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 /// The value of an entry: the lives of the workers that crashed.
 #[derive(Serialize, Deserialize)]
@@ -38,13 +38,13 @@
 pub(crate) fn store(gw: &Rc<Gateway>, fingerprint: Fingerprint) {
     let gw = gw.clone();
     tokio::task::spawn_local(async move {
-        let until = Instant::now() + WRITE_LONGEST;
+        let until = Instant::now() + WRITE_TIMEOUT;
         while let Err(e) = write(&gw, fingerprint).await {
             warn!(target: "online", fingerprint:% = fingerprint, error:% = e; "held request not kept");
             if Instant::now() > until {
                 return;
             }
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
         }
     });
 }
@@ -60,7 +60,7 @@
         puts,
         ..Txn::default()
     };
-    done(gw.store.commit(&txn, Instant::now() + RETRY).await)
+    check_committed(gw.store.commit(&txn, Instant::now() + RETRY_PAUSE).await)
 }
 
 /// Removes a request that workers can run again. An entry that stays quarantines it once
@@ -72,14 +72,14 @@
             deletes: vec![key_of(fingerprint)],
             ..Txn::default()
         };
-        let until = Instant::now() + WRITE_LONGEST;
-        if let Err(e) = done(gw.store.commit(&txn, until).await) {
+        let until = Instant::now() + WRITE_TIMEOUT;
+        if let Err(e) = check_committed(gw.store.commit(&txn, until).await) {
             warn!(target: "online", fingerprint:% = fingerprint, error:% = e; "held request not forgotten");
         }
     });
 }
 
-fn done(commit: Commit) -> Result<(), KvError> {
+fn check_committed(commit: Commit) -> Result<(), KvError> {
     match commit {
         Commit::Applied { .. } => Ok(()),
         Commit::Beaten(_) => Err(KvError::NotDone("guard failed".into())),
@@ -93,7 +93,7 @@
     let all = loop {
         match gw.store.list(&Key::from(ENTRIES_PREFIX)).await {
             Ok((all, _)) => break all,
-            Err(_) => sleep(RETRY).await,
+            Err(_) => sleep(RETRY_PAUSE).await,
         }
     };
     for kv in &all {
--- a/crates/bluebellreel_gateway/src/registration.rs
+++ b/crates/bluebellreel_gateway/src/registration.rs
@@ -14,19 +14,19 @@
 use tokio::time::sleep;
 
 /// Prefix of all daemons' entries.
-const MEMBERS: &str = "member/";
+const MEMBER_PREFIX: &str = "member/";
 /// Reads that follow each other soon after the start: daemons that start
 /// together read before all of them have registered.
-const EARLY_LISTS: u32 = 2;
+const EARLY_LIST_COUNT: u32 = 2;
 /// Time between those.
-const LIST_PAUSE_EARLY: Duration = Duration::from_millis(1500);
+const EARLY_LIST_INTERVAL: Duration = Duration::from_millis(1500);
 /// Time between reads of all entries.
-const LIST_PAUSE: Duration = Duration::from_secs(15);
+const LIST_INTERVAL: Duration = Duration::from_secs(15);
 /// Pause after a call that failed.
-const RETRY: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 fn key_of(entry: &EntryName) -> Key {
-    Key::from(format!("{MEMBERS}{entry}"))
+    Key::from(format!("{MEMBER_PREFIX}{entry}"))
 }
 
 /// Where this daemon's entry stands.
@@ -64,13 +64,13 @@
 /// Reads the entries of all daemons now and then. A new daemon reads them once
 /// and reports to all, so the others hear of it without a read.
 pub(crate) async fn list_members(gw: Rc<Gateway>) {
-    let mut early = EARLY_LISTS;
+    let mut early = EARLY_LIST_COUNT;
     loop {
         let listed = read_members(&gw).await;
         let pause = match (&listed, early) {
-            (Err(_), _) => RETRY,
-            (Ok(()), 1..) => LIST_PAUSE_EARLY,
-            (Ok(()), 0) => LIST_PAUSE,
+            (Err(_), _) => RETRY_PAUSE,
+            (Ok(()), 1..) => EARLY_LIST_INTERVAL,
+            (Ok(()), 0) => LIST_INTERVAL,
         };
         early = early.saturating_sub(u32::from(listed.is_ok()));
         if let Err(e) = listed {
@@ -82,7 +82,7 @@
 
 /// Reads the entries of all daemons.
 pub(crate) async fn read_members(gw: &Rc<Gateway>) -> Result<(), KvError> {
-    let (all, revision) = gw.store.list(&Key::from(MEMBERS)).await?;
+    let (all, revision) = gw.store.list(&Key::from(MEMBER_PREFIX)).await?;
     if !all.iter().any(|kv| kv.key == own_key(gw)) && gw.lease.get() != 0 {
         warn!(target: "members", revision; "own entry has vanished, registering again");
         gw.lease.set(0);
@@ -94,7 +94,7 @@
 }
 
 fn read_member(gw: &Gateway, kv: &KeyValue) -> Option<(EntryName, MemberEntry)> {
-    let name = EntryName::from(kv.key.as_str().strip_prefix(MEMBERS)?);
+    let name = EntryName::from(kv.key.as_str().strip_prefix(MEMBER_PREFIX)?);
     if name == *gw.me() {
         return None;
     }
--- a/crates/bluebellreel_gateway/src/reload.rs
+++ b/crates/bluebellreel_gateway/src/reload.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 /// Time between reads of the file, which has some hundred bytes.
-const CHECK_EVERY: Duration = Duration::from_secs(3);
+const CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
 /// What a daemon gets from the program around it.
 pub struct ProcessHooks {
@@ -39,17 +39,17 @@
 }
 
 /// Follows the settings file for ever.
-pub(crate) async fn follow_settings(gw: Rc<Gateway>, around: Rc<ProcessHooks>) {
+pub(crate) async fn follow_settings(gw: Rc<Gateway>, hooks: Rc<ProcessHooks>) {
     let mut known = gw.settings.clone();
     let mut known_error = String::new();
     loop {
-        let changed = timeout(CHECK_EVERY, around.settings_changed.notified()).await;
+        let changed = timeout(CHECK_INTERVAL, hooks.settings_changed.notified()).await;
         let signalled = changed.is_ok();
-        match (around.read_settings)() {
+        match (hooks.read_settings)() {
             Ok(read) => {
                 known_error.clear();
                 if signalled || read != known {
-                    take_over(&gw, &read, signalled);
+                    apply(&gw, &read, signalled);
                     known = read;
                 }
             }
@@ -64,7 +64,7 @@
     }
 }
 
-fn take_over(gw: &Gateway, read: &GatewaySettings, signalled: bool) {
+fn apply(gw: &Gateway, read: &GatewaySettings, signalled: bool) {
     let start_needed_for = gw.settings.start_needed_for(read).join(" ");
     gw.seeds.replace(read.seeds.clone());
     gw.grace.set(read.grace);
--- a/crates/bluebellreel_gateway/src/reports/catch_up.rs
+++ b/crates/bluebellreel_gateway/src/reports/catch_up.rs
@@ -1,6 +1,6 @@
 //! Asking peers for what they know and this daemon does not.
 
-use super::gap::gap;
+use super::interval::min_report_interval;
 use crate::gateway::Gateway;
 use crate::peer_calls;
 use crate::workers::apply_workers;
@@ -16,31 +16,31 @@
 use tokio::time::sleep;
 
 /// Time between comparisons of lists; peers report theirs as often.
-const COMPARE_EVERY: Duration = Duration::from_millis(250);
+const COMPARE_INTERVAL: Duration = Duration::from_millis(250);
 /// Time over which daemons spread their questions after lists differed, for each of
 /// them: the first to be asked may have to send all workers to each.
-const SPREAD_EACH: Duration = Duration::from_millis(5);
+const SPREAD_PER_PEER: Duration = Duration::from_millis(5);
 
 /// Asks a peer for what it knows and we do not; one question at a time.
 ///
 /// All peers hear of news at the same moment, from the two that watch. Each
 /// waits a random time, longer the more they are, and asks any that has the
 /// news by then: else two daemons would answer hundreds at once.
-pub(super) fn catch_up(gw: &Rc<Gateway>, asking: &Rc<Cell<bool>>) {
-    if asking.replace(true) {
+pub(super) fn catch_up(gw: &Rc<Gateway>, is_asking: &Rc<Cell<bool>>) {
+    if is_asking.replace(true) {
         return;
     }
-    let (gw, asking) = (gw.clone(), asking.clone());
+    let (gw, is_asking) = (gw.clone(), is_asking.clone());
     tokio::task::spawn_local(async move {
         let peers = gw.members.borrow().peers().count();
-        let wait = gap(peers).mul_f64(gw.rng.borrow_mut().random_range(0.0..1.0));
+        let wait = min_report_interval(peers).mul_f64(gw.rng.borrow_mut().random_range(0.0..1.0));
         sleep(wait).await;
-        let knowing = peers_that_know_more(&gw);
-        if !knowing.is_empty() {
-            let at = gw.rng.borrow_mut().random_range(0..knowing.len());
-            ask(&gw, &knowing[at], Question::Changes).await;
+        let candidates = peers_that_know_more(&gw);
+        if !candidates.is_empty() {
+            let at = gw.rng.borrow_mut().random_range(0..candidates.len());
+            ask(&gw, &candidates[at], Question::Changes).await;
         }
-        asking.set(false);
+        is_asking.set(false);
     });
 }
 
@@ -60,7 +60,7 @@
 pub(crate) async fn compare_lists(gw: Rc<Gateway>) {
     let mut divergence = Divergence::default();
     loop {
-        sleep(COMPARE_EVERY).await;
+        sleep(COMPARE_INTERVAL).await;
         let question = {
             let (own, now) = (gw.cluster_state.borrow().list(), gw.now());
             let members = gw.members.borrow();
@@ -71,14 +71,14 @@
             continue;
         };
         let peers = u32::try_from(gw.members.borrow().peers().count()).unwrap_or(u32::MAX);
-        let spread = SPREAD_EACH.saturating_mul(peers);
+        let spread = SPREAD_PER_PEER.saturating_mul(peers);
         let wait = spread.mul_f64(gw.rng.borrow_mut().random_range(0.0..1.0));
         sleep(wait).await;
-        let ahead = peers_to_ask(&gw, question);
-        if !ahead.is_empty() {
-            let at = gw.rng.borrow_mut().random_range(0..ahead.len());
-            info!(target: "facts", peer:% = ahead[at].0, question:? = question; "lists differ");
-            ask(&gw, &ahead[at], question).await;
+        let candidates = peers_to_ask(&gw, question);
+        if !candidates.is_empty() {
+            let at = gw.rng.borrow_mut().random_range(0..candidates.len());
+            info!(target: "facts", peer:% = candidates[at].0, question:? = question; "lists differ");
+            ask(&gw, &candidates[at], question).await;
         }
     }
 }
@@ -100,7 +100,7 @@
     let seen = gw.cluster_state.borrow().seen();
     let answer = match question {
         Question::Changes => peer_calls::cluster_state(gw, *calls, seen).await,
-        Question::All => peer_calls::all_facts(gw, *calls, seen).await,
+        Question::All => peer_calls::full_cluster_state(gw, *calls, seen).await,
     };
     match answer {
         Ok(shared) => learn(gw, shared, peer),
--- a/crates/bluebellreel_gateway/src/reports/mod.rs
+++ b/crates/bluebellreel_gateway/src/reports/mod.rs
@@ -5,7 +5,7 @@
 //! in itself: one that is lost is made up for by the next.
 
 mod catch_up;
-mod gap;
+mod interval;
 mod parts;
 mod wire;
 
@@ -16,9 +16,9 @@
 use bluebellreel_types::{EntryName, Incarnation, Moment};
 use catch_up::catch_up;
 pub(crate) use catch_up::compare_lists;
-use gap::gap;
+use interval::min_report_interval;
 use log::{info, warn};
-use parts::{Freshness, Rest};
+use parts::{Freshness, Trailer};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -26,14 +26,14 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
-use wire::{Datagram, Report, Supplement, Urgent, load_of, seal, sender_tag};
+use wire::{Datagram, Report, Supplement, Urgent, append_checksum, load_of, sender_tag};
 
 /// Time between reports when nothing changes.
 const HEARTBEAT: Duration = Duration::from_millis(250);
 /// Longest wait for room to send one report.
-const SEND: Duration = Duration::from_millis(20);
+const SEND_TIMEOUT: Duration = Duration::from_millis(20);
 /// Longest datagram taken.
-const DATAGRAM_BYTES: usize = 60 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 60 * 1024;
 
 /// What the last full report said, and when the next one is due.
 #[derive(Default)]
@@ -61,13 +61,13 @@
                     // sent would always miss the same peers, the last ones. One
                     // that cannot be sent at all is as good as lost; the next
                     // one is complete again.
-                    let _ = timeout(SEND, socket.send_to(bytes, *to)).await;
+                    let _ = timeout(SEND_TIMEOUT, socket.send_to(bytes, *to)).await;
                 }
             }
             Err(e) => warn!(target: "members", error:% = e; "report not written"),
         }
-        let gap = gap(targets.len());
-        sleep(gap).await;
+        let min_report_interval = min_report_interval(targets.len());
+        sleep(min_report_interval).await;
     }
 }
 
@@ -85,7 +85,11 @@
     let (report, supplement) = wire::report(gw, sequence);
     let brief = report.brief(&supplement);
     let urgent = report.urgent(gw.suspects.borrow().version());
-    let full = seal(postcard::to_allocvec(&(report, supplement, Rest::own(gw)))?);
+    let full = append_checksum(postcard::to_allocvec(&(
+        report,
+        supplement,
+        Trailer::own(gw),
+    ))?);
     let now = gw.now();
     if last.urgent.as_ref() == Some(&urgent) && !last.full_due.is_past(now) {
         return Ok((full, brief.encode()?));
@@ -113,7 +117,7 @@
 
 /// Takes reports for ever.
 pub(crate) async fn take_reports(gw: Rc<Gateway>, socket: Rc<UdpSocket>) {
-    let mut buf = vec![0; DATAGRAM_BYTES];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     let asking = Rc::new(Cell::new(false));
     let mut senders = Senders::default();
     loop {
@@ -123,14 +127,14 @@
         };
         match wire::read(&buf[..length]) {
             Ok(Datagram::Full(report, ..)) if report.entry == *gw.me() => {}
-            Ok(Datagram::Full(report, supplement, rest)) => {
+            Ok(Datagram::Full(report, supplement, trailer)) => {
                 senders.note(&report.entry, report.run);
-                hear(&gw, *report, supplement, rest, &asking);
+                apply_report(&gw, *report, supplement, trailer, &asking);
             }
             Ok(Datagram::Brief(brief)) => {
                 // Of a sender that is not known yet the next full one tells all.
                 if let Some(sender) = senders.get(brief.sender) {
-                    hear_load(&gw, sender, brief.load(&gw));
+                    apply_load(&gw, sender, brief.load(&gw));
                 }
             }
             Err(e) => warn!(target: "members", from:% = from, error:% = e; "report not read"),
@@ -158,21 +162,21 @@
     }
 }
 
-fn hear(
+fn apply_report(
     gw: &Rc<Gateway>,
     report: Report,
     supplement: Supplement,
-    rest: Rest,
+    trailer: Trailer,
     asking: &Rc<Cell<bool>>,
 ) {
     let now = gw.now();
-    rest.warnings.take(&mut gw.suspects.borrow_mut(), now);
+    trailer.warnings.take(&mut gw.suspects.borrow_mut(), now);
     let reads_briefs = supplement.reads_briefs;
     if let Some(place) = supplement.place.clone() {
         gw.board.borrow_mut().note_place(&report.entry, place);
     }
     let load = load_of(&report, supplement, now);
-    hear_load(gw, &report.entry, load);
+    apply_load(gw, &report.entry, load);
     for job in &report.cancelled {
         crate::jobs::end_reported(gw, job, &report.entry);
     }
@@ -186,7 +190,14 @@
     }
     let revisions = report.revisions;
     let cancelled = report.cancelled.clone();
-    note_peer(gw, report, reads_briefs, rest.freshness, rest.list, now);
+    note_peer(
+        gw,
+        report,
+        reads_briefs,
+        trailer.freshness,
+        trailer.list,
+        now,
+    );
     for job in &cancelled {
         gw.members.borrow_mut().claimed(job, now);
     }
@@ -196,7 +207,7 @@
 }
 
 /// Takes over what a peer runs: batch here may have to make room, or finds some.
-fn hear_load(gw: &Gateway, peer: &EntryName, load: PeerLoad) {
+fn apply_load(gw: &Gateway, peer: &EntryName, load: PeerLoad) {
     gw.board.borrow_mut().hear(peer, load);
     crate::jobs::make_room(gw);
     gw.batch_due.notify_one();
--- a/crates/bluebellreel_gateway/src/reports/parts.rs
+++ b/crates/bluebellreel_gateway/src/reports/parts.rs
@@ -10,18 +10,18 @@
 
 /// How many daemons send, in each round of full reports, the notices that all have of
 /// quarantined requests: enough for one that has just started, whatever is lost.
-const FULL_NOTIFIERS: usize = 8;
+const FULL_NOTICE_SENDERS: usize = 8;
 
 /// All of them, in their order.
 #[derive(Default, Serialize)]
-pub(super) struct Rest {
+pub(super) struct Trailer {
     pub(super) warnings: Warnings,
     pub(super) freshness: Freshness,
     /// Which workers the sender lists.
     pub(super) list: WorkerList,
 }
 
-impl Rest {
+impl Trailer {
     pub(super) fn own(gw: &Gateway) -> Self {
         Self {
             warnings: Warnings::own(gw),
@@ -49,7 +49,7 @@
 
 impl Freshness {
     pub(super) fn own(gw: &Gateway) -> Self {
-        let ago = gw.store.answered_ago();
+        let ago = gw.store.since_last_answer();
         let ms = ago.map(|ago| u32::try_from(ago.as_millis()).unwrap_or(u32::MAX));
         Self {
             answered_ms_ago: ms,
@@ -81,7 +81,7 @@
         }
         let now = gw.now();
         let peers = gw.members.borrow().heard(now).count().max(1);
-        let notifies_all = gw.rng.borrow_mut().random_range(0..peers) < FULL_NOTIFIERS;
+        let notifies_all = gw.rng.borrow_mut().random_range(0..peers) < FULL_NOTICE_SENDERS;
         let mut suspects = gw.suspects.borrow_mut();
         let crashes = suspects.notices(notifies_all, now).into_iter();
         Self {
--- a/crates/bluebellreel_gateway/src/reports/wire.rs
+++ b/crates/bluebellreel_gateway/src/reports/wire.rs
@@ -7,7 +7,7 @@
 //! Each datagram ends with a checksum of what stands before. Daemons of earlier
 //! versions leave what follows a message; what they send has none.
 
-use super::parts::Rest;
+use super::parts::Trailer;
 use crate::gateway::Gateway;
 use bluebellreel_dispatch::{Boot, PeerLoad, PeerRuns, Running, WorkerTag};
 use bluebellreel_members::{Revisions, SILENT};
@@ -24,7 +24,7 @@
 
 /// Length of a checksum in bytes. One in four billion datagrams that are no
 /// reports has a right one.
-const SEAL_BYTES: usize = 4;
+const CHECKSUM_BYTES: usize = 4;
 
 /// A full report.
 #[derive(Serialize, Deserialize)]
@@ -71,26 +71,26 @@
 
 /// Why a datagram is no report.
 #[derive(Debug)]
-pub(super) enum Unread {
+pub(super) enum DecodeError {
     /// It ends early, or a value in it cannot be.
     Malformed(postcard::Error),
     /// Bytes follow that are not its checksum.
-    TurnedOrCut,
+    Corrupt,
     /// No daemon has such a name.
-    Sender,
+    InvalidSender,
 }
 
-impl fmt::Display for Unread {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Malformed(e) => e.fmt(f),
-            Self::TurnedOrCut => f.write_str("it is not as it was sent"),
-            Self::Sender => f.write_str("its sender's name cannot be"),
+            Self::Corrupt => f.write_str("it is not as it was sent"),
+            Self::InvalidSender => f.write_str("its sender's name cannot be"),
         }
     }
 }
 
-impl From<postcard::Error> for Unread {
+impl From<postcard::Error> for DecodeError {
     fn from(e: postcard::Error) -> Self {
         Self::Malformed(e)
     }
@@ -98,7 +98,7 @@
 
 /// A datagram as it was read.
 pub(super) enum Datagram {
-    Full(Box<Report>, Supplement, Rest),
+    Full(Box<Report>, Supplement, Trailer),
     Brief(Brief),
 }
 
@@ -136,10 +136,14 @@
 
     /// The same report, as far as a brief says it.
     pub(super) fn brief(&self, supplement: &Supplement) -> Brief {
-        let few = |n: u32| u8::try_from(n).unwrap_or(u8::MAX);
+        let saturated = |n: u32| u8::try_from(n).unwrap_or(u8::MAX);
         let runs = self.running.iter().zip(&supplement.boots);
         let running = runs.map(|((id, online, batch), boot)| {
-            (WorkerTag::of(id, *boot), few(*online), few(*batch))
+            (
+                WorkerTag::of(id, *boot),
+                saturated(*online),
+                saturated(*batch),
+            )
         });
         Brief {
             sender: sender_tag(&self.entry, self.run),
@@ -153,7 +157,7 @@
 impl Brief {
     /// A brief as it is sent.
     pub(super) fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
-        postcard::to_allocvec(&(BRIEF, self)).map(seal)
+        postcard::to_allocvec(&(BRIEF, self)).map(append_checksum)
     }
 
     /// The load that it reports. Workers that are not known here are left out:
@@ -210,26 +214,26 @@
 }
 
 /// Adds its checksum to a datagram.
-pub(super) fn seal(mut datagram: Vec<u8>) -> Vec<u8> {
+pub(super) fn append_checksum(mut datagram: Vec<u8>) -> Vec<u8> {
     let sum = checksum(&datagram);
     datagram.extend_from_slice(&sum);
     datagram
 }
 
-fn checksum(bytes: &[u8]) -> [u8; SEAL_BYTES] {
+fn checksum(bytes: &[u8]) -> [u8; CHECKSUM_BYTES] {
     let hash = XxHash64::oneshot(0, bytes);
     u32::try_from(hash >> 32).unwrap_or(0).to_le_bytes()
 }
 
 /// What stands before a checksum that is right.
-fn unsealed(datagram: &[u8]) -> Option<&[u8]> {
-    let (bytes, sum) = datagram.split_last_chunk::<SEAL_BYTES>()?;
+fn strip_checksum(datagram: &[u8]) -> Option<&[u8]> {
+    let (bytes, sum) = datagram.split_last_chunk::<CHECKSUM_BYTES>()?;
     (checksum(bytes) == *sum).then_some(bytes)
 }
 
 /// Reads a datagram.
-pub(super) fn read(datagram: &[u8]) -> Result<Datagram, Unread> {
-    if let Some(bytes) = unsealed(datagram) {
+pub(super) fn read(datagram: &[u8]) -> Result<Datagram, DecodeError> {
+    if let Some(bytes) = strip_checksum(datagram) {
         return Ok(parse(bytes)?.0);
     }
     let (read, rest) = parse(datagram)?;
@@ -238,12 +242,12 @@
     // earlier version's: it ends where its message does, and a daemon may have its
     // sender's name.
     if !rest.is_empty() {
-        return Err(Unread::TurnedOrCut);
+        return Err(DecodeError::Corrupt);
     }
     if let Datagram::Full(report, ..) = &read
-        && !is_name(report.entry.as_str())
+        && !is_valid_name(report.entry.as_str())
     {
-        return Err(Unread::Sender);
+        return Err(DecodeError::InvalidSender);
     }
     Ok(read)
 }
@@ -259,7 +263,7 @@
     let (warnings, rest) = optional(rest)?;
     let (freshness, rest) = optional(rest)?;
     let (list, rest) = optional(rest)?;
-    let parts = Rest {
+    let parts = Trailer {
         warnings,
         freshness,
         list,
@@ -277,7 +281,7 @@
 }
 
 /// Whether settings allow a daemon this name.
-fn is_name(name: &str) -> bool {
+fn is_valid_name(name: &str) -> bool {
     let plain = |c: char| c.is_alphanumeric() || "-_.".contains(c);
     !name.is_empty() && name.chars().all(plain)
 }
--- a/crates/bluebellreel_gateway/src/request.rs
+++ b/crates/bluebellreel_gateway/src/request.rs
@@ -14,11 +14,11 @@
 
 /// Share of a route's objective that a request may wait in line; the rest is
 /// for its way, its prompt, and what is not known of the others in line.
-const LONGEST_QUEUEING_SHARE: f64 = 0.62;
+const MAX_QUEUEING_SHARE: f64 = 0.62;
 /// How long a worker with a free slot may take to its first byte before a
 /// request that may be repeated goes elsewhere. An idle engine takes some
 /// 20 ms; a send elsewhere must still leave half of a 300 ms objective.
-const FIRST_BYTE_LONGEST: Duration = Duration::from_millis(130);
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(130);
 /// Added for each request that waits before it: about the time in which one of
 /// a worker's slots comes free.
 const FIRST_BYTE_PER_WAITING: Duration = Duration::from_millis(110);
@@ -50,7 +50,7 @@
     }
 
     /// A run of it that its worker broke off.
-    pub(crate) fn cut(&self, ticket: Ticket, began: Moment) -> InterruptedRun {
+    pub(crate) fn interrupted_run(&self, ticket: Ticket, began: Moment) -> InterruptedRun {
         InterruptedRun {
             request: self.id.clone(),
             fingerprint: self.fingerprint(),
@@ -81,7 +81,7 @@
 
     /// How long it may wait in line and still meet its objective.
     pub(crate) fn patience(&self) -> Duration {
-        self.route.objective.mul_f64(LONGEST_QUEUEING_SHARE)
+        self.route.objective.mul_f64(MAX_QUEUEING_SHARE)
     }
 
     /// When the first byte from a worker counts as late; never for a request
@@ -96,7 +96,7 @@
             .borrow()
             .seat(worker)
             .map_or(0, |s| s.running().online.saturating_sub(s.record.slots));
-        let wait = FIRST_BYTE_LONGEST + FIRST_BYTE_PER_WAITING * waiting;
+        let wait = FIRST_BYTE_TIMEOUT + FIRST_BYTE_PER_WAITING * waiting;
         (Instant::now() + wait).min(self.deadline)
     }
 }
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -1,12 +1,13 @@
 //! The life of a gateway: start, signals, end.
 
-use crate::doors::Doors;
 use crate::gateway::Gateway;
-use crate::leave::leave;
 use crate::reload::ProcessHooks;
+use crate::server_handles::ServerHandles;
+use crate::shutdown::shut_down;
 use crate::workers::apply_workers;
 use crate::{
-    detour, jobs, lease, peer_api, quarantine_store, registration, reload, reports, serve, watching,
+    jobs, lease, peer_api, quarantine_store, registration, reload, reports, serve, store_proxy,
+    watching,
 };
 use bluebellreel_net::{Served, Stop, every, listen};
 use bluebellreel_settings::GatewaySettings;
@@ -21,11 +22,11 @@
 
 /// Longest that a caller's connection may stay without a request, until the
 /// configuration says otherwise.
-const CALLER_IDLE: Duration = Duration::from_secs(15);
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// The same for connections of peers and the balancer.
-const INNER_IDLE: Duration = Duration::from_secs(30);
+const INTERNAL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time between clean-ups of what has outlived its time.
-const SWEEP_EVERY: Duration = Duration::from_millis(250);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// Time without most peers after which a daemon counts as cut off from them. One
 /// that has just started reads who they are, and hears all within half a second.
 const ISOLATED_AFTER: Duration = Duration::from_secs(1);
@@ -36,19 +37,19 @@
 /// # Errors
 ///
 /// Gives the reason when an address cannot be listened on.
-pub fn run_gateway(settings: GatewaySettings, around: ProcessHooks) -> eyre::Result<bool> {
+pub fn run_gateway(settings: GatewaySettings, hooks: ProcessHooks) -> eyre::Result<bool> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     LocalSet::new().block_on(&runtime, async {
-        let asked = asked_to_stop(around.settings_changed.clone())?;
-        run_gateway_until(settings, asked, around).await
+        let stop_requested = stop_signal(hooks.settings_changed.clone())?;
+        run_gateway_until(settings, stop_requested, hooks).await
     })
 }
 
 /// Ends when a signal asks for the end, and notifies of those that say that the
 /// settings have changed. The handlers stand once this returns.
-fn asked_to_stop(settings_changed: Rc<Notify>) -> eyre::Result<impl Future<Output = ()>> {
+fn stop_signal(settings_changed: Rc<Notify>) -> eyre::Result<impl Future<Output = ()>> {
     let hung_up = move || settings_changed.notify_one();
     Ok(bluebellreel_signals::stop_asked(hung_up)?)
 }
@@ -62,19 +63,23 @@
 pub async fn run_gateway_until(
     settings: GatewaySettings,
     stop_asked: impl Future<Output = ()>,
-    around: ProcessHooks,
+    hooks: ProcessHooks,
 ) -> eyre::Result<bool> {
     let gw = Gateway::new(settings);
-    detour::install(&gw);
-    let doors = Doors::default();
-    start(&gw, &doors, Rc::new(around)).await?;
+    store_proxy::install(&gw);
+    let handles = ServerHandles::default();
+    start(&gw, &handles, Rc::new(hooks)).await?;
     info!(target: "gateway", entry:% = gw.me(), run:% = gw.run, data_centre:% = gw.settings.data_centre, requests:% = gw.settings.requests; "started");
     stop_asked.await;
-    let clean = leave(&gw, &doors).await;
+    let clean = shut_down(&gw, &handles).await;
     Ok(clean)
 }
 
-async fn start(gw: &Rc<Gateway>, doors: &Doors, around: Rc<ProcessHooks>) -> eyre::Result<()> {
+async fn start(
+    gw: &Rc<Gateway>,
+    handles: &ServerHandles,
+    hooks: Rc<ProcessHooks>,
+) -> eyre::Result<()> {
     let callers = listen(gw.settings.requests).wrap_err("address for requests")?;
     let balancer = listen(gw.settings.readiness).wrap_err("address for readiness")?;
     let peers = listen(gw.settings.peers).wrap_err("address for peers")?;
@@ -88,8 +93,8 @@
     let of_limits = gw.clone();
     spawn_local(bluebellreel_net::serve(
         callers,
-        doors.callers.stop.clone(),
-        doors.callers.served.clone(),
+        handles.callers.stop.clone(),
+        handles.callers.connection_tracker.clone(),
         move || caller_idle(&of_limits),
         move |req| serve::answer(g.clone(), req),
     ));
@@ -99,7 +104,7 @@
         balancer,
         inner.clone(),
         Served::default(),
-        || INNER_IDLE,
+        || INTERNAL_IDLE_TIMEOUT,
         move |_| {
             let answer = serve::readiness(&g);
             async move { answer }
@@ -108,25 +113,25 @@
     let g = gw.clone();
     spawn_local(bluebellreel_net::serve(
         peers,
-        doors.peers.stop.clone(),
-        doors.peers.served.clone(),
-        || INNER_IDLE,
+        handles.peers.stop.clone(),
+        handles.peers.connection_tracker.clone(),
+        || INTERNAL_IDLE_TIMEOUT,
         move |req| peer_api::answer(g.clone(), req),
     ));
     let g = gw.clone();
-    let drops = around.clone();
+    let drops = hooks.clone();
     spawn_local(bluebellreel_net::serve(
         metrics,
         inner,
         Served::default(),
-        || INNER_IDLE,
+        || INTERNAL_IDLE_TIMEOUT,
         move |_| {
             let answer = crate::answers::bytes(metrics_text(&g, (drops.lines_dropped)()));
             async move { answer }
         },
     ));
 
-    spawn_local(reload::follow_settings(gw.clone(), around));
+    spawn_local(reload::follow_settings(gw.clone(), hooks));
     spawn_local(reports::send_reports(gw.clone(), socket.clone()));
     spawn_local(reports::take_reports(gw.clone(), socket));
     spawn_local(reports::compare_lists(gw.clone()));
@@ -140,7 +145,7 @@
     spawn_local(jobs::adopt_orphans(gw.clone()));
     spawn_local(jobs::copy_progress(gw.clone()));
     let g = gw.clone();
-    every(SWEEP_EVERY, move || sweep(&g));
+    every(SWEEP_INTERVAL, move || sweep(&g));
     Ok(())
 }
 
@@ -148,7 +153,7 @@
 /// have it.
 fn caller_idle(gw: &Gateway) -> Duration {
     let configuration = gw.configuration();
-    configuration.map_or(CALLER_IDLE, |c| c.limits.idle_time)
+    configuration.map_or(CALLER_IDLE_TIMEOUT, |c| c.limits.idle_time)
 }
 
 fn sweep(gw: &Gateway) {
@@ -156,7 +161,7 @@
     gw.workers.sweep();
     gw.peers.sweep();
     gw.members.borrow_mut().sweep(now);
-    note_isolation(gw, now);
+    update_isolation(gw, now);
     if gw.members.borrow_mut().has_lost_peer(now) {
         gw.jobs.borrow().orphans_due.notify_one();
     }
@@ -178,7 +183,7 @@
 }
 
 /// Notes whether few peers are heard, or most of them again.
-fn note_isolation(gw: &Gateway, now: Moment) {
+fn update_isolation(gw: &Gateway, now: Moment) {
     let isolated = !gw.members.borrow().hears_most(now);
     let since = gw.isolated_since.get();
     gw.isolated_since
@@ -186,7 +191,7 @@
     if !isolated && since.is_some_and(|since| (since + ISOLATED_AFTER).is_past(now)) {
         // Peers may have taken jobs over unheard, and workers have left.
         gw.interrupt_tenure();
-        gw.rejoined.set(gw.rejoined.get() + 1);
+        gw.reconnections.set(gw.reconnections.get() + 1);
     }
 }
 
--- a/crates/bluebellreel_gateway/src/serve.rs
+++ b/crates/bluebellreel_gateway/src/serve.rs
@@ -1,7 +1,7 @@
 //! Telling callers' requests apart.
 
 use crate::gateway::Gateway;
-use crate::in_progress::Begun;
+use crate::in_progress::InProgressGuard;
 use crate::online;
 use crate::request::Request;
 use crate::{answers, jobs};
@@ -29,45 +29,45 @@
 /// open its next connection elsewhere.
 pub(crate) async fn answer(gw: Rc<Gateway>, req: http::Request<Incoming>) -> Response<Body> {
     let in_progress = gw.in_progress.begin(ingress::request_id(req.headers()));
-    let mut answer = answer_open(&gw, req).await;
+    let mut answer = answer_request(&gw, req).await;
     if gw.stopping.get() {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(header::CONNECTION, close);
     }
     answer.map(|body| match body {
         Body::Full(bytes) => Body::Full(bytes),
-        Body::Stream(pieces) => {
+        Body::Stream(chunks) => {
             // The request is in progress until its last piece is out.
-            Body::stream(Held {
-                pieces,
-                _until_dropped: in_progress,
+            Body::stream(GuardedBody {
+                chunks,
+                _guard: in_progress,
             })
         }
     })
 }
 
-struct Held<S> {
-    pieces: S,
-    _until_dropped: Begun,
+struct GuardedBody<S> {
+    chunks: S,
+    _guard: InProgressGuard,
 }
 
-impl<S: futures::Stream + Unpin> futures::Stream for Held<S> {
+impl<S: futures::Stream + Unpin> futures::Stream for GuardedBody<S> {
     type Item = S::Item;
 
     fn poll_next(
         mut self: std::pin::Pin<&mut Self>,
         cx: &mut std::task::Context<'_>,
     ) -> std::task::Poll<Option<S::Item>> {
-        std::pin::Pin::new(&mut self.pieces).poll_next(cx)
+        std::pin::Pin::new(&mut self.chunks).poll_next(cx)
     }
 }
 
-async fn answer_open(gw: &Rc<Gateway>, req: http::Request<Incoming>) -> Response<Body> {
+async fn answer_request(gw: &Rc<Gateway>, req: http::Request<Incoming>) -> Response<Body> {
     if ingress::is_readiness(req.uri().path()) {
         return readiness(gw);
     }
     if gw.refusing.get() {
-        return refusal();
+        return refuse_stopping();
     }
     let Some(configuration) = gw.configuration() else {
         let reason = "no configuration yet";
@@ -95,19 +95,19 @@
         return answers::failure(StatusCode::NOT_FOUND, "no route");
     };
     let received = Instant::now();
-    let patience = ingress::patience(req.headers()).unwrap_or(route.timeout);
-    let deadline = received + patience.min(route.timeout);
+    let caller_timeout = ingress::patience(req.headers()).unwrap_or(route.timeout);
+    let deadline = received + caller_timeout.min(route.timeout);
     let (head, body) = req.into_parts();
-    let body = match body_of(&configuration, body, deadline).await {
+    let body = match read_request_body(&configuration, body, deadline).await {
         Ok(body) => body,
         Err(answer) => return answer,
     };
     if gw.refusing.get() {
         // Its body came late in a stop: passed on now, it would be cut.
-        return refusal();
+        return refuse_stopping();
     }
     if route.kind == RouteKind::Batch && head.method == Method::POST {
-        let deadline = received + patience;
+        let deadline = received + caller_timeout;
         return jobs::submit(gw, &route, &head, &body, received, deadline).await;
     }
     let request = request(&route, &head, body, received, deadline);
@@ -115,7 +115,7 @@
 }
 
 /// Tells a caller that its request has not run, as this daemon ends.
-fn refusal() -> Response<Body> {
+fn refuse_stopping() -> Response<Body> {
     answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, "stopping", RETRY_ELSEWHERE)
 }
 
@@ -126,7 +126,7 @@
     fields + req.uri().path().len() + req.uri().query().map_or(0, str::len)
 }
 
-async fn body_of(
+async fn read_request_body(
     configuration: &Configuration,
     body: Incoming,
     deadline: Instant,
--- a/crates/bluebellreel_gateway/src/doors.rs
+++ b/crates/bluebellreel_gateway/src/server_handles.rs
@@ -4,14 +4,14 @@
 
 /// A server and what it serves.
 #[derive(Default)]
-pub(crate) struct Door {
+pub(crate) struct ServerHandle {
     pub(crate) stop: Stop,
-    pub(crate) served: Served,
+    pub(crate) connection_tracker: Served,
 }
 
 /// Servers whose connections a stop waits for.
 #[derive(Default)]
-pub(crate) struct Doors {
-    pub(crate) callers: Door,
-    pub(crate) peers: Door,
+pub(crate) struct ServerHandles {
+    pub(crate) callers: ServerHandle,
+    pub(crate) peers: ServerHandle,
 }
--- a/crates/bluebellreel_gateway/src/store.rs
+++ b/crates/bluebellreel_gateway/src/store.rs
@@ -30,17 +30,17 @@
 /// Pause before a refused or lost call is repeated.
 const REPEAT_PAUSE: Duration = Duration::from_millis(150);
 /// Longest answer read.
-const ANSWER_BYTES: usize = 8 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 /// Time in which every straight call failed after which the store counts as
 /// lost. A single call may fail by a reset connection.
 const LOST_AFTER: Duration = Duration::from_millis(500);
 /// Time in which every straight call failed after which a success counts as
 /// the end of an outage. Leases lapse only in longer ones, but this daemon may
 /// have made its first call late in it.
-const OUTAGE_SHORTEST: Duration = Duration::from_millis(250);
+const MIN_OUTAGE: Duration = Duration::from_millis(250);
 /// Time after the start in which a store that is there has answered: it takes
 /// some 4 ms, and a new daemon calls it at once.
-const FIRST_ANSWER_LONGEST: Duration = Duration::from_millis(300);
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 /// How much longer than asked for a watch may take.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
 
@@ -54,11 +54,11 @@
 /// What a call brought: status and body.
 pub(crate) type StoreAnswer = Result<(StatusCode, Bytes), KvError>;
 /// Makes a call through a peer; `None` if no peer reaches the store.
-pub(crate) type Detour =
+pub(crate) type PeerProxy =
     Box<dyn Fn(Request<Bytes>, Duration) -> Option<LocalBoxFuture<'static, StoreAnswer>>>;
 
 /// Whether the store has dealt with a call.
-fn is_good(answer: &StoreAnswer) -> bool {
+fn is_answered(answer: &StoreAnswer) -> bool {
     let turned_away = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
@@ -82,7 +82,7 @@
     last_outage: Cell<Option<Outage>>,
     /// When a call succeeded last, either way.
     answered_at: Cell<Option<Instant>>,
-    detour: RefCell<Option<Detour>>,
+    proxy: RefCell<Option<PeerProxy>>,
     /// Latencies of calls that were answered, but watches, which wait.
     latency: Histogram,
 }
@@ -103,14 +103,14 @@
             started: Instant::now(),
             last_outage: Cell::new(None),
             answered_at: Cell::new(None),
-            detour: RefCell::new(None),
+            proxy: RefCell::new(None),
             latency,
         }
     }
 
     /// Sets the way through peers.
-    pub(crate) fn set_detour(&self, detour: Detour) {
-        *self.detour.borrow_mut() = Some(detour);
+    pub(crate) fn set_peer_proxy(&self, proxy: PeerProxy) {
+        *self.proxy.borrow_mut() = Some(proxy);
     }
 
     /// Calls made and calls that failed.
@@ -131,23 +131,23 @@
 
     /// Whether this daemon has looked for the store since its start, and nobody
     /// has answered.
-    pub(crate) fn finds_nobody(&self) -> bool {
-        let looked = self.failures.get() > 0 || self.started.elapsed() > FIRST_ANSWER_LONGEST;
-        looked && self.answered_at.get().is_none()
+    pub(crate) fn has_never_answered(&self) -> bool {
+        let had_time = self.failures.get() > 0 || self.started.elapsed() > FIRST_ANSWER_TIMEOUT;
+        had_time && self.answered_at.get().is_none()
     }
 
     /// How long ago a call succeeded last, either way.
-    pub(crate) fn answered_ago(&self) -> Option<Duration> {
+    pub(crate) fn since_last_answer(&self) -> Option<Duration> {
         Some(self.answered_at.get()?.elapsed())
     }
 
     /// How long ago the last outage ended.
-    pub(crate) fn regained_for(&self) -> Option<Duration> {
+    pub(crate) fn since_outage_end(&self) -> Option<Duration> {
         Some(self.last_outage.get()?.ended.elapsed())
     }
 
     /// How long ago the last outage began, as far as this daemon noticed.
-    pub(crate) fn outage_began_ago(&self) -> Option<Duration> {
+    pub(crate) fn since_outage_start(&self) -> Option<Duration> {
         Some(self.last_outage.get()?.began.elapsed())
     }
 
@@ -156,34 +156,39 @@
         if self.failing_since.get().is_some() {
             return Duration::ZERO;
         }
-        self.regained_for()
+        self.since_outage_end()
             .unwrap_or_else(|| self.started.elapsed())
     }
 
     /// Makes a call by the way that is likely to succeed.
-    async fn call(&self, req: Request<Bytes>, longest: Duration) -> StoreAnswer {
-        let by_peer = self.is_lost();
-        self.call_by(by_peer, req, longest).await
+    async fn call(&self, req: Request<Bytes>, max_time: Duration) -> StoreAnswer {
+        let via_peer = self.is_lost();
+        self.call_by(via_peer, req, max_time).await
     }
 
     /// Makes a call by way of a peer if that is asked for and one reaches the
     /// store; else straight.
-    async fn call_by(&self, by_peer: bool, req: Request<Bytes>, longest: Duration) -> StoreAnswer {
+    async fn call_by(
+        &self,
+        via_peer: bool,
+        req: Request<Bytes>,
+        max_time: Duration,
+    ) -> StoreAnswer {
         self.calls.set(self.calls.get() + 1);
         let begun = Instant::now();
-        let detour = if by_peer {
-            let detour = self.detour.borrow();
-            detour.as_ref().and_then(|d| d(req.clone(), longest))
+        let proxy = if via_peer {
+            let proxy = self.proxy.borrow();
+            proxy.as_ref().and_then(|d| d(req.clone(), max_time))
         } else {
             None
         };
-        let answer = match detour {
-            Some(detour) => detour.await,
-            None => self.straight(req, longest).await,
+        let answer = match proxy {
+            Some(proxy) => proxy.await,
+            None => self.call_directly(req, max_time).await,
         };
-        if is_good(&answer) {
+        if is_answered(&answer) {
             self.answered_at.set(Some(Instant::now()));
-            if longest <= CALL_TIMEOUT {
+            if max_time <= CALL_TIMEOUT {
                 self.latency.observe(begun.elapsed().as_secs_f64());
             }
         } else {
@@ -193,7 +198,11 @@
     }
 
     /// Makes a call from this VM.
-    pub(crate) async fn straight(&self, mut req: Request<Bytes>, longest: Duration) -> StoreAnswer {
+    pub(crate) async fn call_directly(
+        &self,
+        mut req: Request<Bytes>,
+        max_time: Duration,
+    ) -> StoreAnswer {
         if let Ok(host) = header::HeaderValue::try_from(self.address.to_string()) {
             req.headers_mut().insert(header::HOST, host);
         }
@@ -206,19 +215,19 @@
                     SendError::Unsent(reason) => KvError::NotDone(reason),
                     SendError::Unknown(reason) => KvError::Unknown(reason),
                 })?;
-            let body = reply.body.whole(ANSWER_BYTES).await;
+            let body = reply.body.whole(MAX_ANSWER_BYTES).await;
             let body = body.map_err(|e| KvError::Unknown(e.to_string()))?;
             Ok((reply.head.status, body))
         };
-        let answer = timeout(longest, sent).await;
+        let answer = timeout(max_time, sent).await;
         let answer = answer.unwrap_or_else(|_| {
             // Its kept connections may all have fallen silent.
             self.pool.drop_idle(self.address);
             Err(KvError::Unknown("no answer in time".into()))
         });
-        if is_good(&answer) {
+        if is_answered(&answer) {
             if let Some(began) = self.failing_since.take()
-                && began.elapsed() >= OUTAGE_SHORTEST
+                && began.elapsed() >= MIN_OUTAGE
             {
                 let ended = Instant::now();
                 self.last_outage.set(Some(Outage { began, ended }));
@@ -274,13 +283,13 @@
     pub(crate) async fn check(
         &self,
         guards: Vec<Compare>,
-        by_peer: bool,
+        via_peer: bool,
     ) -> Result<TxnOutcome, KvError> {
         let txn = Txn {
             compares: guards,
             ..Txn::default()
         };
-        let call = self.call_by(by_peer, store::txn_call(&txn), CALL_TIMEOUT);
+        let call = self.call_by(via_peer, store::txn_call(&txn), CALL_TIMEOUT);
         let (status, body) = call.await?;
         store::txn_answer(status, &body)
     }
@@ -298,7 +307,7 @@
         let mut answer = self
             .call_by(false, store::renew_call(lease), CALL_TIMEOUT)
             .await;
-        if !is_good(&answer) {
+        if !is_answered(&answer) {
             answer = self
                 .call_by(true, store::renew_call(lease), CALL_TIMEOUT)
                 .await;
@@ -321,9 +330,9 @@
     /// guarded keys hold, for the caller to tell its own write by its content.
     pub(crate) async fn commit(&self, txn: &Txn, until: Instant) -> Commit {
         let mut in_doubt = None;
-        let mut by_peer = self.is_lost();
+        let mut via_peer = self.is_lost();
         loop {
-            let call = self.call_by(by_peer, store::txn_call(txn), CALL_TIMEOUT);
+            let call = self.call_by(via_peer, store::txn_call(txn), CALL_TIMEOUT);
             let tried = match call.await {
                 Ok((status, body)) => store::txn_answer(status, &body),
                 Err(e) => Err(e),
@@ -346,8 +355,8 @@
                 };
             }
             // The other way may be open, and is tried at once.
-            by_peer = !by_peer;
-            if !by_peer {
+            via_peer = !via_peer;
+            if !via_peer {
                 sleep(REPEAT_PAUSE).await;
             }
         }
--- a/crates/bluebellreel_gateway/src/detour.rs
+++ b/crates/bluebellreel_gateway/src/store_proxy.rs
@@ -37,15 +37,15 @@
 }
 
 /// Longest that a peer's call may take; that of a watch.
-const CALL_LONGEST: Duration = Duration::from_secs(5);
+const MAX_CALL_TIME: Duration = Duration::from_secs(5);
 
 /// Lets a daemon's store client go by way of its peers.
 pub(crate) fn install(gw: &Rc<Gateway>) {
     let weak: Weak<Gateway> = Rc::downgrade(gw);
-    gw.store.set_detour(Box::new(move |req, longest| {
+    gw.store.set_peer_proxy(Box::new(move |req, max_time| {
         let gw = weak.upgrade()?;
         let peer = choose_peer(&gw)?;
-        Some(by_peer(gw, peer, req, longest).boxed_local())
+        Some(via_peer(gw, peer, req, max_time).boxed_local())
     }));
 }
 
@@ -57,31 +57,31 @@
         .heard_with_store(gw.now())
         .map(|(_, peer)| peer)
         .partition(|peer| peer.stopping);
-    let able = if staying.is_empty() {
+    let candidates = if staying.is_empty() {
         stopping
     } else {
         staying
     };
-    if able.is_empty() {
+    if candidates.is_empty() {
         return None;
     }
-    Some(able[gw.rng.borrow_mut().random_range(0..able.len())].calls)
+    Some(candidates[gw.rng.borrow_mut().random_range(0..candidates.len())].calls)
 }
 
-async fn by_peer(
+async fn via_peer(
     gw: Rc<Gateway>,
     peer: SocketAddr,
     req: Request<Bytes>,
-    longest: Duration,
+    max_time: Duration,
 ) -> StoreAnswer {
     let call = Call {
         method: req.method().to_string(),
         path: req.uri().to_string(),
         body: req.body().to_vec(),
-        longest_ms: millis(longest),
+        longest_ms: millis(max_time),
     };
     let call = postcard::to_allocvec(&call).map_err(|e| KvError::Refused(e.to_string()))?;
-    let answer = peer_calls::store(&gw, peer, call, longest).await;
+    let answer = peer_calls::store(&gw, peer, call, max_time).await;
     let answer = answer.map_err(KvError::Unknown)?;
     let outcome = postcard::from_bytes(&answer).map_err(|e| KvError::Unknown(e.to_string()))?;
     match outcome {
@@ -100,7 +100,7 @@
 /// # Errors
 ///
 /// Gives the reason when the call cannot be read.
-pub(crate) async fn make_for_peer(gw: &Gateway, call: &[u8]) -> Result<Vec<u8>, String> {
+pub(crate) async fn call_for_peer(gw: &Gateway, call: &[u8]) -> Result<Vec<u8>, String> {
     let call: Call = postcard::from_bytes(call).map_err(|e| e.to_string())?;
     let mut req = Request::new(Bytes::from(call.body));
     *req.method_mut() = Method::from_bytes(call.method.as_bytes()).map_err(|e| e.to_string())?;
@@ -110,8 +110,8 @@
         .map_err(|_| format!("path {}", call.path))?;
     let json = HeaderValue::from_static("application/json");
     req.headers_mut().insert(header::CONTENT_TYPE, json);
-    let longest = Duration::from_millis(call.longest_ms).min(CALL_LONGEST);
-    let outcome = match gw.store.straight(req, longest).await {
+    let max_time = Duration::from_millis(call.longest_ms).min(MAX_CALL_TIME);
+    let outcome = match gw.store.call_directly(req, max_time).await {
         Ok((status, body)) => Outcome::Answered(status.as_u16(), body.to_vec()),
         Err(KvError::NotDone(reason) | KvError::Refused(reason)) => Outcome::NotDone(reason),
         Err(KvError::Unknown(reason)) => Outcome::Unknown(reason),
--- a/crates/bluebellreel_gateway/src/suspension.rs
+++ b/crates/bluebellreel_gateway/src/suspension.rs
@@ -8,7 +8,7 @@
 use std::sync::Once;
 use std::time::Duration;
 
-static UNREAD: Once = Once::new();
+static CLOCK_WARNING: Once = Once::new();
 
 /// Time that the steady clock has missed.
 pub(crate) fn time_suspended() -> Duration {
@@ -19,7 +19,7 @@
         (Ok(steady), Ok(booted)) => booted.saturating_sub(steady),
         (Err(e), _) | (_, Err(e)) => {
             // Suspensions then show by failed renewals only, seconds late.
-            UNREAD.call_once(|| warn!(target: "gateway", error:% = e; "clock not read"));
+            CLOCK_WARNING.call_once(|| warn!(target: "gateway", error:% = e; "clock not read"));
             Duration::ZERO
         }
     }
--- a/crates/bluebellreel_gateway/src/watching.rs
+++ b/crates/bluebellreel_gateway/src/watching.rs
@@ -21,21 +21,21 @@
 /// Longest wait of one watch. A connection that has silently died brings
 /// nothing, nor does a watch that the store has lost; what was missed shows
 /// within this time. Operators expect a change in force within two seconds.
-const WATCH_WAIT: Duration = Duration::from_millis(1500);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Pause after a failed call.
-const RETRY: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// Time between checks of a daemon that does not watch whether it should.
-const CHECK_EVERY: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a worker that is missing after an outage may take to register
 /// again: the platform says about two seconds.
-const REGISTER_AGAIN_LONGEST: Duration = Duration::from_millis(2500);
+const REREGISTRATION_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Time for which the store must have served a peer to have been there all
 /// along: longer than daemons take to notice the end of an outage.
-const SERVED_ALL_ALONG: Duration = Duration::from_secs(6);
+const CONTINUOUS_SERVICE: Duration = Duration::from_secs(6);
 /// In what units peers tell how long the store has served them.
 const SERVED_UNIT: Duration = Duration::from_secs(1);
 /// How long the answer to a request to empty a VM is repeated.
-const REPORT_EMPTY_LONGEST: Duration = Duration::from_secs(30);
+const REPORT_EMPTY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Whether this daemon is one of those that watch.
 fn is_watcher(gw: &Gateway) -> bool {
@@ -54,7 +54,7 @@
 }
 
 /// What is done with a prefix.
-struct Subject {
+struct WatchHandler {
     /// Revision up to which everything is known.
     seen: fn(&Gateway) -> i64,
     /// Takes the complete list.
@@ -63,12 +63,12 @@
     changed: fn(&Rc<Gateway>, WatchEvent) -> bool,
     /// Brings what mattered into force, once for all changes of an answer:
     /// with thousands of workers, once for each would take seconds.
-    settle: fn(&Gateway),
+    apply: fn(&Gateway),
     /// Everything up to a revision was handed out.
     seen_to: fn(&Gateway, i64),
 }
 
-const OPERATOR: Subject = Subject {
+const OPERATOR: WatchHandler = WatchHandler {
     seen: |gw| gw.cluster_state.borrow().operator_seen,
     listed: |gw, all, revision| {
         for kv in all {
@@ -82,15 +82,15 @@
         }
         false
     },
-    settle: |_| {},
+    apply: |_| {},
     seen_to: operator_seen_to,
 };
 
-const WORKERS: Subject = Subject {
+const WORKERS: WatchHandler = WatchHandler {
     seen: |gw| gw.cluster_state.borrow().catalog.revision(),
     listed: workers_listed,
     changed: |gw, event| worker_changed(gw, event),
-    settle: |gw| {
+    apply: |gw| {
         apply_workers(gw, "store");
         gw.report_due.notify_one();
     },
@@ -120,7 +120,7 @@
     let txn = Txn::create(key, keys::vm_is_empty().to_vec());
     let outcome = gw
         .store
-        .commit(&txn, Instant::now() + REPORT_EMPTY_LONGEST)
+        .commit(&txn, Instant::now() + REPORT_EMPTY_TIMEOUT)
         .await;
     info!(target: "facts", vm = vm.as_str(), outcome:? = outcome; "VM reported empty");
 }
@@ -130,11 +130,11 @@
 /// A store that has served a peer all along was not away, it was cut off from
 /// this daemon: entries did not lapse, and a worker that is missing leaves.
 fn keep_missing_until(gw: &Gateway) -> Option<Moment> {
-    let left = REGISTER_AGAIN_LONGEST.checked_sub(gw.store.regained_for()?)?;
+    let left = REREGISTRATION_TIMEOUT.checked_sub(gw.store.since_outage_end()?)?;
     // An outage of the store ends for a peer after it began here. One that was served
     // before that met none, however short a time it has been there.
-    let all_along = (gw.store.outage_began_ago()? + SERVED_UNIT).min(SERVED_ALL_ALONG);
-    if gw.members.borrow().is_served_for(all_along, gw.now()) {
+    let continuously = (gw.store.since_outage_start()? + SERVED_UNIT).min(CONTINUOUS_SERVICE);
+    if gw.members.borrow().is_served_for(continuously, gw.now()) {
         return None;
     }
     Some(gw.now() + left)
@@ -202,7 +202,7 @@
 /// Time without what a peer knows after which a daemon that does not watch
 /// looks for itself. Peers answer within some milliseconds; one of another
 /// version, or behind a cut, may never do so.
-const STALE_LONGEST: Duration = Duration::from_secs(1);
+const MAX_STALENESS: Duration = Duration::from_secs(1);
 
 /// Whether a peer has known more than this daemon for too long. `since` holds
 /// since when one does.
@@ -221,12 +221,12 @@
     }
     let begun = since.get().unwrap_or(now);
     since.set(Some(begun));
-    (begun + STALE_LONGEST).is_past(now)
+    (begun + MAX_STALENESS).is_past(now)
 }
 
 /// Time after which a daemon that has become a watcher lists, once. It may know no more
 /// than its predecessor told, which keeps workers that are missing after an outage.
-const LIST_AS_SUCCESSOR: Duration = Duration::from_secs(3);
+const SUCCESSOR_LIST_DELAY: Duration = Duration::from_secs(3);
 
 /// When a daemon that watches for the others lists, though no watch failed.
 #[derive(Default)]
@@ -243,7 +243,7 @@
             return false;
         }
         let began = *self.began.get_or_insert(now);
-        !self.has_listed && (began + LIST_AS_SUCCESSOR).is_past(now)
+        !self.has_listed && (began + SUCCESSOR_LIST_DELAY).is_past(now)
     }
 }
 
@@ -252,90 +252,91 @@
 /// After a gap in the history, and after a watch that failed, it lists again at
 /// once: a watch opened while the store drops its history may bring nothing and
 /// wait its time out, and callers of a new route would get 404 for as long.
-async fn follow(gw: &Rc<Gateway>, prefix: Key, subject: &Subject) {
-    let failing = Cell::new(None::<Moment>);
-    let behind = Cell::new(None::<Moment>);
+async fn follow(gw: &Rc<Gateway>, prefix: Key, handler: &WatchHandler) {
+    let failing_since = Cell::new(None::<Moment>);
+    let stale_since = Cell::new(None::<Moment>);
     let mut must_list = true;
-    let mut rejoined = 0;
+    let mut reconnections = 0;
     let mut succession = Succession::default();
     loop {
         // Guard: workers may have left while this daemon was cut off. The peers that
         // knew may have gone as well, and those that started since do not know.
-        let relist = gw.rejoined.get() != std::mem::replace(&mut rejoined, gw.rejoined.get());
+        let relist =
+            gw.reconnections.get() != std::mem::replace(&mut reconnections, gw.reconnections.get());
         must_list |= relist;
         // What a snapshot says is to be confirmed by the store, by each daemon
         // itself: its peers may have nothing that it lacks, and say nothing.
         let by_store = !gw.cluster_state.borrow().is_from_snapshot();
-        let known = by_store && (subject.seen)(gw) > 0;
-        let leads = is_watcher(gw);
-        must_list |= succession.is_list_due(leads, gw.now());
-        if known && !relist && !leads && !is_stale(gw, &behind) {
+        let known = by_store && (handler.seen)(gw) > 0;
+        let is_elected = is_watcher(gw);
+        must_list |= succession.is_list_due(is_elected, gw.now());
+        if known && !relist && !is_elected && !is_stale(gw, &stale_since) {
             // What a peer brings meanwhile is complete up to its revision.
             must_list = false;
-            sleep(CHECK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
             continue;
         }
         if must_list || !known {
             match gw.store.list(&prefix).await {
                 Ok((all, revision)) => {
-                    works(gw, &prefix, &failing);
-                    (subject.listed)(gw, &all, revision);
+                    note_recovery(gw, &prefix, &failing_since);
+                    (handler.listed)(gw, &all, revision);
                     must_list = false;
                     succession.has_listed = true;
                 }
                 Err(e) => {
-                    failed(gw, &prefix, &failing, &e);
-                    sleep(RETRY).await;
+                    note_failure(gw, &prefix, &failing_since, &e);
+                    sleep(RETRY_PAUSE).await;
                     continue;
                 }
             }
         }
-        let after = (subject.seen)(gw);
-        let watch = gw.store.watch(&prefix, after, WATCH_WAIT);
+        let after = (handler.seen)(gw);
+        let watch = gw.store.watch(&prefix, after, WATCH_TIMEOUT);
         let watched = tokio::select! {
             watched = watch => watched,
             // The other prefix's watch has met the gap.
-            () = gw.history_gone.notified() => {
+            () = gw.history_compacted.notified() => {
                 must_list = true;
                 continue;
             }
         };
         match watched {
             Ok(Watched::Changes(changes)) => {
-                works(gw, &prefix, &failing);
+                note_recovery(gw, &prefix, &failing_since);
                 let mut matters = false;
                 for event in changes.events {
-                    matters |= (subject.changed)(gw, event);
+                    matters |= (handler.changed)(gw, event);
                 }
                 if matters {
-                    (subject.settle)(gw);
+                    (handler.apply)(gw);
                 }
-                (subject.seen_to)(gw, changes.revision);
+                (handler.seen_to)(gw, changes.revision);
             }
             Ok(Watched::HistoryGone) => {
                 info!(target: "facts", prefix:% = prefix, after; "history gone, listing again");
-                gw.history_gone.notify_waiters();
+                gw.history_compacted.notify_waiters();
                 must_list = true;
             }
             Err(e) => {
-                failed(gw, &prefix, &failing, &e);
+                note_failure(gw, &prefix, &failing_since, &e);
                 must_list = true;
-                sleep(RETRY).await;
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-fn failed(gw: &Gateway, prefix: &Key, failing: &Cell<Option<Moment>>, e: &KvError) {
-    if failing.get().is_none() {
-        failing.set(Some(gw.now()));
+fn note_failure(gw: &Gateway, prefix: &Key, failing_since: &Cell<Option<Moment>>, e: &KvError) {
+    if failing_since.get().is_none() {
+        failing_since.set(Some(gw.now()));
         warn!(target: "facts", prefix:% = prefix, error:% = e; "store lost");
     }
 }
 
 /// Notes that the store answers.
-fn works(gw: &Gateway, prefix: &Key, failing: &Cell<Option<Moment>>) {
-    let Some(since) = failing.take() else {
+fn note_recovery(gw: &Gateway, prefix: &Key, failing_since: &Cell<Option<Moment>>) {
+    let Some(since) = failing_since.take() else {
         return;
     };
     let lasted = gw.now().since(since);
--- a/crates/bluebellreel_gateway/src/workers.rs
+++ b/crates/bluebellreel_gateway/src/workers.rs
@@ -19,7 +19,7 @@
             }
             WorkerChange::StartedAgain(state) => {
                 info!(target: "facts", worker:% = worker, state:? = state, revision, source; "worker started again");
-                drop_former_life(gw, &worker);
+                drop_stale_connections(gw, &worker);
             }
             WorkerChange::Left => {
                 info!(target: "facts", worker:% = worker, revision, source; "worker gone");
@@ -32,7 +32,7 @@
 
 /// Drops the connections to a worker's former life, which lead nowhere, and wakes the
 /// runs that wait there.
-fn drop_former_life(gw: &Gateway, worker: &WorkerName) {
+fn drop_stale_connections(gw: &Gateway, worker: &WorkerName) {
     let address = gw.board.borrow().seat(worker).map(|s| s.record.address);
     if let Some(address) = address {
         gw.workers.drop_idle(address);
