--- a/crates/bluebellreel_gateway/src/answers.rs
+++ b/crates/bluebellreel_gateway/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of our own.
+//! Answers that the gateway itself produces.
 
 use bluebellreel_net::Body;
 use bytes::Bytes;
@@ -32,8 +32,8 @@
     answer
 }
 
-/// A failure that says when to try again. With 429 and 503 it promises that
-/// the request has not run and never will.
+/// A failure with `Retry-After`. With status 429 or 503 it guarantees that the request
+/// has not run and never will.
 pub(crate) fn retry_after(code: StatusCode, reason: &str, after: Duration) -> Response<Body> {
     let mut answer = failure(code, reason);
     let seconds = format!("{:.3}", after.as_secs_f64());
--- a/crates/bluebellreel_gateway/src/cluster_state.rs
+++ b/crates/bluebellreel_gateway/src/cluster_state.rs
@@ -1,8 +1,8 @@
-//! What the store says of configuration and workers, as this daemon believes
-//! it, and what it hands on to peers.
+//! The configuration and the workers as known to this daemon, and what it shares of
+//! them with peers.
 //!
-//! Every fact carries the store's revision. Nothing known is ever replaced by
-//! an older fact, whichever way it came.
+//! Every part carries the store's revision. A known part is never replaced by an older
+//! one, no matter where that came from.
 
 use bluebellreel_dispatch::{Catalog, Configuration};
 use bluebellreel_members::{Revisions, WorkerList};
@@ -13,29 +13,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The configuration with its origin.
+/// A configuration in force.
 #[derive(Clone)]
 struct Configured {
     revision: i64,
-    /// Since when it is in force here.
+    /// When it came into force in this daemon.
     since: Moment,
     text: Vec<u8>,
     parsed: Rc<Configuration>,
 }
 
-/// Facts of the store.
+/// The configuration and the workers, from the store, from peers or from a snapshot.
 #[derive(Default)]
 pub(crate) struct ClusterState {
     configured: Option<Configured>,
-    /// Revision of the configuration that was not taken last.
+    /// Revision of the configuration that was rejected last.
     rejected_revision: i64,
-    /// Until when facts are believed that a snapshot brought; no bound for what
-    /// the store has said, itself or by way of peers.
+    /// When the state expires, if it comes from a snapshot. State from the store,
+    /// received directly or through peers, does not expire.
     trusted_until: Option<Moment>,
-    /// Newest revision of a configuration that was ever in force in this run.
+    /// Newest revision of a configuration that was ever in force in this process.
     newest_in_force: i64,
     pub(crate) catalog: Catalog,
-    /// Revision up to which all that operators wrote is known.
+    /// Revision up to which all writes of operators are known.
     pub(crate) operator_seen: i64,
 }
 
@@ -44,7 +44,7 @@
         self.configured.as_ref().map(|c| c.parsed.clone())
     }
 
-    /// Since when the configuration is in force here.
+    /// When the configuration came into force in this daemon.
     pub(crate) fn configured_since(&self) -> Option<Moment> {
         self.configured.as_ref().map(|c| c.since)
     }
@@ -53,7 +53,7 @@
         self.configured.as_ref().map_or(0, |c| c.revision)
     }
 
-    /// What is reported to peers of the facts known here.
+    /// The newest known revisions, as reported to peers.
     pub(crate) fn revisions(&self) -> Revisions {
         Revisions {
             configuration: self.configuration_revision(),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Up to where everything is known here.
+    /// The revisions up to which the state is complete.
     pub(crate) fn seen(&self) -> Revisions {
         Revisions {
             configuration: self.configuration_revision(),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Which workers are listed here.
+    /// A digest of the list of workers.
     pub(crate) fn list(&self) -> WorkerList {
         WorkerList {
             complete_to: self.catalog.revision(),
@@ -77,18 +77,20 @@
         }
     }
 
-    /// Whether a peer knows something that is not known here.
+    /// Whether a peer with the revisions `theirs` knows changes that this daemon lacks.
     pub(crate) fn lacks(&self, theirs: Revisions) -> bool {
         let own = self.seen();
         theirs.configuration > own.configuration || theirs.workers > own.workers
     }
 
-    /// Takes a configuration over unless a newer one is in force.
+    /// Puts a configuration into force unless a newer one is or was in force, or it is
+    /// invalid.
     pub(crate) fn configure(&mut self, revision: i64, text: &[u8], source: &str, now: Moment) {
         if revision <= self.configuration_revision() || revision < self.newest_in_force {
             return;
         }
-        // It stands in the store until the next one, and is read at each list.
+        // A rejected configuration remains in the store until the next one, and is
+        // read again at each list.
         if revision == self.rejected_revision {
             return;
         }
@@ -96,17 +98,17 @@
             Ok(decoded) => decoded,
             Err(e) => {
                 self.rejected_revision = revision;
-                warn!(target: "facts", revision, source, error:% = e; "configuration not taken");
+                warn!(target: "facts", revision, source, error:% = e; "configuration rejected");
                 return;
             }
         };
         for e in skipped {
-            warn!(target: "facts", revision, source, error:% = e; "route not taken");
+            warn!(target: "facts", revision, source, error:% = e; "route rejected");
         }
         let known = self.configured.as_ref().map_or(0, |c| c.parsed.version);
         if parsed.version < known {
             self.rejected_revision = revision;
-            warn!(target: "facts", revision, source, version = parsed.version, known; "older configuration not taken");
+            warn!(target: "facts", revision, source, version = parsed.version, known; "older configuration ignored");
             return;
         }
         info!(target: "facts", revision, source, version = parsed.version, routes = parsed.routes.len(); "configuration in force");
@@ -119,7 +121,7 @@
         });
     }
 
-    /// What a peer lacks that knows everything up to `seen`.
+    /// The changes that a peer lacks whose state is complete up to `seen`.
     pub(crate) fn share(&self, seen: Revisions, now: Moment) -> SharedFacts {
         let newer = self.configured.as_ref();
         let newer = newer.filter(|c| c.revision > seen.configuration);
@@ -137,14 +139,15 @@
         }
     }
 
-    /// Whether what is shared with a peer that knows all up to `seen` is all that
-    /// it lacks.
+    /// Whether [`Self::share`] contains every change that a peer lacks whose state is
+    /// complete up to `seen`.
     pub(crate) fn tells_all_after(&self, seen: Revisions) -> bool {
         self.catalog.tells_all_after(seen.workers)
     }
 
-    /// Notes how long facts may be believed that are about to be taken over.
-    /// What the store has said is not made less sure by what a snapshot adds.
+    /// Updates when the state expires, before parts from another source are merged in.
+    /// State that came from the store does not begin to expire because a snapshot adds
+    /// to it.
     fn extend_trust(&mut self, believed_for: Option<Duration>, now: Moment) {
         let knows_nothing = self.configured.is_none();
         match believed_for {
@@ -158,22 +161,23 @@
         }
     }
 
-    /// All that is known of what operators wrote comes from the store.
+    /// Records that the store has confirmed all known writes of operators, so that the
+    /// state no longer expires.
     pub(crate) fn confirmed_by_store(&mut self) {
         self.trusted_until = None;
     }
 
-    /// Whether all that is known comes from a snapshot.
+    /// Whether the whole state comes from a snapshot.
     pub(crate) fn is_from_snapshot(&self) -> bool {
         self.trusted_until.is_some()
     }
 
-    /// Forgets what a snapshot brought once it is no longer believed; whether
-    /// there was any.
+    /// Discards state from a snapshot once it has expired. Returns whether there was
+    /// any.
     ///
-    /// An operator's change that was acknowledged meanwhile would never come into
-    /// force here. A configuration that was in force is not forgotten as such:
-    /// no older one follows it in this run.
+    /// Without expiry, an operator's change that was acknowledged meanwhile would never
+    /// come into force here. The revision of a discarded configuration is still
+    /// remembered, so that no older one comes into force in this process.
     pub(crate) fn expire(&mut self, now: Moment) -> bool {
         if !self.trusted_until.is_some_and(|until| until.is_past(now)) {
             return false;
@@ -185,7 +189,7 @@
         true
     }
 
-    /// Takes over what a peer knows better; whether workers changed.
+    /// Merges newer state from a peer or a snapshot. Returns whether workers changed.
     pub(crate) fn learn(&mut self, shared: SharedFacts, source: &str, now: Moment) -> bool {
         self.extend_trust(shared.believed_for, now);
         if let Some((revision, text)) = shared.configuration {
--- a/crates/bluebellreel_gateway/src/crash.rs
+++ b/crates/bluebellreel_gateway/src/crash.rs
@@ -1,8 +1,8 @@
-//! Whether a worker has crashed under a run.
+//! Detects whether a worker has crashed during a run.
 //!
-//! A run that is broken off may have lost its connection only. A worker has crashed
-//! if its VM refuses connections right after, or if it is no longer there a moment
-//! later though it did not say that it leaves.
+//! A run that is broken off may have lost only its connection. The worker has crashed if
+//! its VM refuses connections right afterwards, or if the worker has restarted or is no
+//! longer listed a moment later without having announced that it leaves.
 
 use crate::gateway::Gateway;
 use crate::millis::millis;
@@ -19,36 +19,36 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How long a broken-off run waits for the probe of its worker before it goes on
-/// elsewhere. A VM answers within some milliseconds.
+/// How long a broken-off run waits for the probe of its worker before it is resumed
+/// elsewhere. A VM answers within a few milliseconds.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(30);
-/// When a worker that listens is checked once more: one that has started again is
-/// listed by then, its former life is not.
+/// Delay after which a worker that accepts connections is checked again: if it has
+/// restarted, its new incarnation is listed by then instead of the previous one.
 const RECHECK_DELAY: Duration = Duration::from_millis(2500);
 
 /// A run that its worker broke off.
 pub(crate) struct InterruptedRun {
-    /// Id of the attempt, or of the item's request.
+    /// Id of the caller's request or of the batch item.
     pub(crate) request: Arc<str>,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) ticket: Ticket,
-    /// When it was sent.
+    /// When the request was sent.
     pub(crate) began: Moment,
 }
 
-/// Looks whether a run was broken off as its worker has crashed. What is found
-/// later than a moment is noted all the same.
+/// Checks whether a run was broken off because its worker has crashed. Returns after
+/// [`PROBE_TIMEOUT`] at the latest; a crash that is detected later is recorded as well.
 pub(crate) async fn check_for_crash(gw: &Rc<Gateway>, run: InterruptedRun) {
     let Some(address) = ready_address(gw, &run.ticket) else {
-        // It leaves: what it breaks off then is no crash.
+        // The worker is leaving, so a run that it breaks off is no sign of a crash.
         return;
     };
     let probing = tokio::task::spawn_local(confirm_crash(gw.clone(), run, address, gw.now()));
-    // It goes on by itself.
+    // After the timeout the spawned task continues by itself.
     let _ = timeout(PROBE_TIMEOUT, probing).await;
 }
 
-/// Where a run's worker listens, unless it has said that it leaves.
+/// The address of a run's worker, unless the worker has announced that it leaves.
 fn ready_address(gw: &Gateway, ticket: &Ticket) -> Option<SocketAddr> {
     let board = gw.board.borrow();
     let seat = board.seat(&ticket.worker)?;
@@ -71,8 +71,7 @@
     }
 }
 
-/// Whether a run's worker lives another life, or none, though it did not say that it
-/// would leave.
+/// Whether a run's worker has restarted or is no longer listed.
 fn has_restarted(gw: &Gateway, ticket: &Ticket) -> bool {
     let board = gw.board.borrow();
     let gone = board.seat(&ticket.worker).is_none();
--- a/crates/bluebellreel_gateway/src/events.rs
+++ b/crates/bluebellreel_gateway/src/events.rs
@@ -1,38 +1,38 @@
-//! Cutting a byte stream into whole server-sent events.
+//! Splits a byte stream into complete server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// One whole event.
+/// One complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Event {
-    /// Its id, if it has one.
+    /// The event's id, if it has one.
     pub(crate) id: Option<u64>,
-    /// Its data, lines joined by line feeds.
+    /// The event's data; several data lines are joined by line feeds.
     pub(crate) data: String,
-    /// Its bytes as they came, blank line included.
+    /// The event's bytes as received, including the blank line at the end.
     pub(crate) bytes: Bytes,
 }
 
-/// Gathers bytes until events are whole.
+/// Buffers bytes until events are complete.
 #[derive(Debug, Default)]
 pub(crate) struct Events {
     buf: BytesMut,
 }
 
 impl Events {
-    /// Takes bytes over.
+    /// Appends received bytes to the buffer.
     pub(crate) fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub(crate) fn next(&mut self) -> Option<Event> {
         let end = end_of_event(&self.buf)?;
         let bytes = self.buf.split_to(end).freeze();
         Some(read_event(bytes))
     }
 
-    /// Whether bytes of an event are left that is not whole.
+    /// Whether the buffer holds bytes of an incomplete event.
     pub(crate) fn has_partial_event(&self) -> bool {
         !self.buf.is_empty()
     }
--- a/crates/bluebellreel_gateway/src/gateway.rs
+++ b/crates/bluebellreel_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What one daemon holds; shared by all its tasks on the one thread.
+//! The state of one daemon, shared by all its tasks on one thread.
 
 use crate::cluster_state::ClusterState;
 use crate::in_progress::InProgress;
@@ -23,27 +23,27 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Longest wait for a connection to a worker: one takes some milliseconds;
-/// past this the worker is down, dark or flooded.
+/// Timeout of connecting to a worker. A connect takes a few milliseconds; after this
+/// time the worker is down, unreachable or overloaded.
 const WORKER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle time of worker connections that state none.
+/// Idle timeout of connections to workers that announce none.
 const WORKER_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Idle connections kept for one worker: its slots, and as many again.
+/// Maximum number of idle connections per worker: twice the number of its slots.
 const MAX_WORKER_IDLE: usize = 16;
-/// Longest wait for a connection to a peer.
+/// Timeout of connecting to a peer.
 const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle time of peer connections.
+/// Idle timeout of connections to peers.
 const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Idle connections kept for one peer.
+/// Maximum number of idle connections per peer.
 const MAX_PEER_IDLE: usize = 8;
 
-/// One daemon.
+/// The state of one daemon.
 pub(crate) struct Gateway {
-    /// Settings as of the start.
+    /// Settings read at the start.
     pub(crate) settings: GatewaySettings,
-    /// Peers to begin with, as of now.
+    /// Seed peers, as last reloaded.
     pub(crate) seeds: RefCell<Vec<SocketAddr>>,
-    /// Time from SIGTERM to the kill, as of now.
+    /// Time between SIGTERM and SIGKILL, as last reloaded.
     pub(crate) grace: Cell<Duration>,
     pub(crate) run: Incarnation,
     pub(crate) clock: Clock,
@@ -51,7 +51,7 @@
     pub(crate) cluster_state: RefCell<ClusterState>,
     pub(crate) board: RefCell<Board>,
     pub(crate) overloads: RefCell<Overloads>,
-    /// Requests under which workers have crashed.
+    /// Requests whose runs have crashed workers.
     pub(crate) suspects: RefCell<Suspects>,
     pub(crate) members: RefCell<Members>,
     pub(crate) jobs: RefCell<Jobs>,
@@ -61,35 +61,38 @@
     pub(crate) metrics: Metrics,
     pub(crate) keepers: RefCell<Keepers>,
     pub(crate) unreadable: RefCell<Unreadable>,
-    /// Lease of this daemon's entry in the store; zero for none.
+    /// Id of the lease of this daemon's entry in the store; zero if there is none.
     pub(crate) lease: Cell<i64>,
-    /// How long this daemon's entry has stood; readers may be answered from memory
-    /// meanwhile.
+    /// How long this daemon's entry has existed without interruption. Meanwhile reads
+    /// of jobs may be answered from memory.
     pub(crate) tenure: Cell<Tenure>,
-    /// Since when few peers are heard; none while most are.
+    /// When reports from most peers ceased to arrive; none while they arrive.
     pub(crate) isolated_since: Cell<Option<Moment>>,
-    /// Times that this daemon was cut off from most peers and hears them again.
+    /// How many times this daemon was isolated from most peers and received their
+    /// reports again.
     pub(crate) reconnections: Cell<u64>,
-    /// Set from SIGTERM on.
+    /// Whether SIGTERM was received.
     pub(crate) stopping: Cell<bool>,
-    /// Set once a new request could not end before the process does.
+    /// Whether new requests are refused because they could not complete before the
+    /// process ends.
     pub(crate) refusing: Cell<bool>,
-    /// Set at the very end: what is dropped then is cut by the stop.
+    /// Set just before the process ends: requests dropped after this are cut off by
+    /// the stop and do not count as abandoned by their callers.
     pub(crate) ended: Cell<bool>,
-    /// Requests of callers that are being answered.
+    /// Callers' requests that are being answered.
     pub(crate) in_progress: Rc<InProgress>,
-    /// Wakes the sender of reports to peers.
+    /// Wakes the task that sends reports to peers.
     pub(crate) report_due: Notify,
     /// Wakes the task that starts batch items.
     pub(crate) batch_due: Notify,
-    /// Wakes the task that has the store confirm own jobs.
+    /// Wakes the task that asks the store to confirm the ownership of this daemon's jobs.
     pub(crate) confirmation_due: Notify,
-    /// For how long a confirmation allows items to start.
+    /// How long items may be started after a confirmation.
     pub(crate) start_terms: StartTerms,
-    /// Wakes those that watch the store: its history was dropped, and their
-    /// watches may never bring what happened meanwhile.
+    /// Wakes the tasks that watch the store after the store has dropped its history:
+    /// their watches may never deliver the changes made meanwhile.
     pub(crate) history_compacted: Notify,
-    /// Wakes runs whose worker may have started again.
+    /// Wakes runs whose worker may have restarted.
     pub(crate) worker_restarted: Notify,
 }
 
@@ -151,7 +154,7 @@
         self.clock.now()
     }
 
-    /// The present moment, with the time suspended so far.
+    /// The current moment and the total time suspended so far.
     pub(crate) fn stamp(&self) -> Stamp {
         Stamp {
             at: self.now(),
@@ -159,20 +162,20 @@
         }
     }
 
-    /// This daemon's entry has gone, or its lease is not known to run on.
+    /// Interrupts the tenure: this daemon's entry is gone, or its lease may have expired.
     pub(crate) fn interrupt_tenure(&self) {
         let mut tenure = self.tenure.get();
         tenure.interrupt();
         self.tenure.set(tenure);
     }
 
-    /// The configuration in force; none before the first is known.
+    /// The configuration in force, if one is known.
     pub(crate) fn configuration(&self) -> Option<Rc<Configuration>> {
         self.cluster_state.borrow().configuration()
     }
 
-    /// Notes an entry of the store that cannot be used, once for each of its
-    /// revisions; whether this one is new.
+    /// Counts an entry of the store that cannot be used, once per revision. Returns
+    /// whether this revision is new.
     pub(crate) fn note_unreadable(&self, kv: &KeyValue) -> bool {
         let is_new = self.unreadable.borrow_mut().note(kv);
         if is_new {
@@ -181,8 +184,8 @@
         is_new
     }
 
-    /// Whether the balancer should send requests here: routes are known, and a
-    /// worker of some service that they name.
+    /// Whether the balancer should send requests to this daemon: it is not stopping, it
+    /// knows routes, and it knows a worker of at least one service that they name.
     pub(crate) fn is_ready(&self) -> bool {
         let Some(configuration) = self.configuration() else {
             return false;
--- a/crates/bluebellreel_gateway/src/in_progress.rs
+++ b/crates/bluebellreel_gateway/src/in_progress.rs
@@ -1,11 +1,11 @@
-//! Requests of callers that are being answered.
+//! Callers' requests that are being answered.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The requests in progress, by the order in which they came.
+/// The requests in progress, in order of arrival.
 #[derive(Debug, Default)]
 pub(crate) struct InProgress {
     open: RefCell<BTreeMap<u64, Arc<str>>>,
@@ -13,7 +13,7 @@
 }
 
 impl InProgress {
-    /// Notes a request until what is given back is dropped.
+    /// Registers a request until the returned guard is dropped.
     pub(crate) fn begin(self: &Rc<Self>, id: &str) -> InProgressGuard {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -24,18 +24,18 @@
         }
     }
 
-    /// How many there are.
+    /// Number of requests in progress.
     pub(crate) fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Their ids.
+    /// Ids of the requests in progress.
     pub(crate) fn ids(&self) -> Vec<Arc<str>> {
         self.open.borrow().values().cloned().collect()
     }
 }
 
-/// A request in progress as long as it lives.
+/// Keeps a request registered as in progress until it is dropped.
 pub(crate) struct InProgressGuard {
     number: u64,
     all: Rc<InProgress>,
--- a/crates/bluebellreel_gateway/src/keeper_visits.rs
+++ b/crates/bluebellreel_gateway/src/keeper_visits.rs
@@ -1,34 +1,35 @@
-//! Which keepers of snapshots have visited this daemon lately.
+//! Which keepers of snapshots have recently called this daemon.
 
 use bluebellreel_types::Moment;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a keeper counts as present after a visit: three times as long as far
-/// ones leave between visits before few gateways.
+/// How long a keeper counts as present after a visit: three times the interval between
+/// visits of keepers in other data centres when there are few gateways.
 const VISIT_TTL: Duration = Duration::from_secs(4);
 
-/// Keepers that have visited this daemon, by the address that takes calls.
+/// Keepers that have visited this daemon, by the address at which they accept calls.
 #[derive(Debug, Default)]
 pub(crate) struct Keepers {
     visits: BTreeMap<SocketAddr, Visit>,
 }
 
-/// A keeper's last visit, and what calls to it have shown since.
+/// A keeper's last visit, and the outcome of calls to it since.
 #[derive(Debug)]
 struct Visit {
     is_near: bool,
-    /// Until when it counts as present.
+    /// Until when the keeper counts as present.
     until: Moment,
-    /// Whether a call to it has failed: it may be starting again.
+    /// Whether a call to the keeper has failed: it may be restarting.
     is_unreachable: bool,
-    /// Whether it was waited for in vain.
+    /// Whether retries of calls to the keeper have failed until their time limit.
     is_given_up: bool,
 }
 
 impl Keepers {
-    /// One has visited, from this daemon's data centre if `is_near`.
+    /// Records a visit of the keeper at `at`, which is in this daemon's data centre if
+    /// `is_near`.
     pub(crate) fn record_visit(&mut self, at: SocketAddr, is_near: bool, now: Moment) {
         let visit = Visit {
             is_near,
@@ -39,33 +40,34 @@
         self.visits.insert(at, visit);
     }
 
-    /// One in this daemon's data centre that takes calls.
+    /// A reachable keeper in this daemon's data centre.
     pub(crate) fn near(&self, now: Moment) -> Option<SocketAddr> {
         let present = self.present(now);
         let mut near = present.filter(|(_, visit)| visit.is_near && !visit.is_unreachable);
         near.next().map(|(at, _)| at)
     }
 
-    /// A call to it has failed: it counts as unreachable until its next visit.
+    /// Marks a keeper as unreachable until its next visit, after a failed call.
     pub(crate) fn mark_unreachable(&mut self, at: SocketAddr) {
         if let Some(visit) = self.visits.get_mut(&at) {
             visit.is_unreachable = true;
         }
     }
 
-    /// It was waited for in vain: nobody waits again before its next visit.
+    /// Records that retries have failed: calls to the keeper are not retried before its
+    /// next visit.
     pub(crate) fn give_up(&mut self, at: SocketAddr) {
         if let Some(visit) = self.visits.get_mut(&at) {
             visit.is_given_up = true;
         }
     }
 
-    /// Whether calls to it may be tried again.
+    /// Whether failed calls to the keeper may be retried.
     pub(crate) fn may_retry(&self, at: SocketAddr) -> bool {
         self.visits.get(&at).is_some_and(|visit| !visit.is_given_up)
     }
 
-    /// All that have visited lately, also those that are unreachable.
+    /// All keepers that count as present, including those that are unreachable.
     pub(crate) fn all(&self, now: Moment) -> Vec<SocketAddr> {
         self.present(now).map(|(at, _)| at).collect()
     }
@@ -75,7 +77,7 @@
         all.filter(move |(_, visit)| !visit.until.is_past(now))
     }
 
-    /// Evicts those that are gone.
+    /// Evicts keepers that no longer count as present.
     pub(crate) fn sweep(&mut self, now: Moment) {
         self.visits.retain(|_, visit| !visit.until.is_past(now));
     }
--- a/crates/bluebellreel_gateway/src/keepers.rs
+++ b/crates/bluebellreel_gateway/src/keepers.rs
@@ -1,7 +1,8 @@
-//! What keepers of snapshots ask and bring.
+//! Calls of keepers of snapshots.
 //!
-//! They come by themselves. A gateway gives them what it knows, and while the
-//! store has not answered it since its start it takes what they have.
+//! Keepers visit the gateways on their own schedule. A gateway sends them its cluster
+//! state, and accepts their snapshots as long as the store has not answered since the
+//! gateway's start.
 
 use crate::answers;
 use crate::gateway::Gateway;
@@ -15,14 +16,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Whether the store has not answered this daemon yet.
+/// Whether the store has not answered this daemon yet, so that it accepts a snapshot.
 fn wants_facts(gw: &Gateway) -> bool {
     let cluster_state = gw.cluster_state.borrow();
     let knows_nothing = cluster_state.configuration().is_none() && gw.store.has_never_answered();
     knows_nothing || cluster_state.is_from_snapshot()
 }
 
-/// Notes the visit of the keeper that asks.
+/// Records the visit of the keeper that makes the call.
 fn note_visit(gw: &Gateway, query: &str) {
     let pairs = form_urlencoded::parse(query.as_bytes());
     let mut address = None;
@@ -40,7 +41,7 @@
     }
 }
 
-/// Answers a keeper with what is known here. `query` says who asks.
+/// Answers a keeper with this gateway's state. `query` identifies the keeper.
 pub(crate) fn state(gw: &Gateway, query: &str) -> Response<Body> {
     note_visit(gw, query);
     let peers: Vec<(EntryName, SocketAddr)> = {
@@ -66,10 +67,10 @@
     }
 }
 
-/// Takes a snapshot, if the store does not answer.
+/// Accepts a snapshot, if the store has not answered yet.
 ///
-/// Guard: all gateways may be killed while the store is away. Without a snapshot
-/// each caller is refused until it is back.
+/// All gateways may be killed while the store is unavailable. Without a snapshot every
+/// caller would be refused until the store is available again.
 pub(crate) fn accept_snapshot(gw: &Rc<Gateway>, body: &[u8]) -> Response<Body> {
     let offered = match postcard::from_bytes::<SharedFacts>(body) {
         Ok(offered) => offered,
--- a/crates/bluebellreel_gateway/src/lease.rs
+++ b/crates/bluebellreel_gateway/src/lease.rs
@@ -1,4 +1,4 @@
-//! This daemon's entry in the store, and the lease under which it stands.
+//! This daemon's entry in the store, and the lease that holds it.
 
 use crate::gateway::Gateway;
 use crate::jobs;
@@ -11,17 +11,19 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Time to live of a daemon's entry. Short, as a dead daemon's jobs wait for
-/// it to end; a renewal costs a tenth of a read.
+/// Time to live of a daemon's entry. It is short because a dead daemon's jobs are taken
+/// over only after it expires; a renewal costs a tenth of a read.
 const ENTRY_TTL: Duration = Duration::from_millis(3600);
-/// Time between renewals: three within the time to live.
+/// Interval between renewals: three within the time to live.
 const RENEW_INTERVAL: Duration = Duration::from_millis(1100);
-/// Pause after a call that failed.
+/// Pause before a failed registration is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Times that an entry that changes while it is being replaced is read again.
+/// Maximum number of attempts to replace an entry that changes between its read and its
+/// write.
 const MAX_TRIES: usize = 3;
 
-/// The store has renewed this daemon's entry by a call that was sent at `sent`.
+/// Records that the store has renewed this daemon's entry, by a call sent at `sent`. If a
+/// new tenure begins, all jobs are confirmed.
 fn record_renewal(gw: &Rc<Gateway>, sent: Stamp) {
     let mut tenure = gw.tenure.get();
     let begins = tenure.renewed(sent, gw.stamp());
@@ -31,7 +33,7 @@
     }
 }
 
-/// Keeps this daemon's entry in the store until it stops.
+/// Keeps this daemon's entry in the store until the daemon stops.
 pub(crate) async fn keep_registered(gw: Rc<Gateway>) {
     while !gw.stopping.get() {
         let lease = match register(&gw).await {
@@ -86,19 +88,21 @@
                 record_renewal(gw, sent);
                 return Ok(lease.id);
             }
-            // Another write came first: it may be our own, without an answer.
+            // Another write came first: possibly this daemon's own, whose answer was lost.
             Commit::Beaten(_) => {}
             Commit::NotDone(reason) => return Err(KvError::NotDone(reason)),
             Commit::Unknown(reason) => return Err(KvError::Unknown(reason)),
         }
     }
-    Err(KvError::NotDone("entry changes each time".into()))
+    Err(KvError::NotDone(
+        "entry changed during each attempt to replace it".into(),
+    ))
 }
 
-/// A write of this daemon's entry in place of what stands there now: the newest
-/// run of a name is the one that lives. Unguarded, a write of an earlier run that
-/// takes effect late would replace the entry, and it would end with that run's
-/// lease.
+/// A write that replaces the current entry under this daemon's name, guarded by the
+/// revision of that entry: the newest incarnation of a name is the valid one. Without the
+/// guard, a delayed write of an earlier incarnation would replace the entry, which would
+/// then expire with that incarnation's lease.
 async fn entry_txn(gw: &Gateway, put: Put) -> Result<Txn, KvError> {
     let key = put.key.clone();
     let guard = match gw.store.read(&key).await? {
@@ -112,7 +116,7 @@
     })
 }
 
-/// Gives the lease back, so that the others learn of the stop at once.
+/// Releases the lease, so that the other daemons learn of the shutdown at once.
 pub(crate) async fn unregister(gw: &Gateway) {
     let lease = gw.lease.take();
     if lease == 0 {
@@ -120,6 +124,6 @@
     }
     gw.interrupt_tenure();
     if let Err(e) = gw.store.release(lease).await {
-        warn!(target: "members", lease, error:% = e; "lease not given back");
+        warn!(target: "members", lease, error:% = e; "lease not released");
     }
 }
--- a/crates/bluebellreel_gateway/src/lib.rs
+++ b/crates/bluebellreel_gateway/src/lib.rs
@@ -1,20 +1,20 @@
-//! The gateway: an entry daemon that sends to workers directly.
+//! The gateway: an entry daemon that sends requests directly to workers.
 //!
-//! One process on each entry VM, one thread, one event loop. Callers' requests
-//! go straight to workers; batch jobs are kept in the platform's store and run
-//! by the daemon that owns them. Daemons report to each other what they run, so
-//! that none piles work on a worker that another has filled.
+//! One process runs on each entry VM, with one thread and one event loop. It sends
+//! callers' requests directly to workers. Batch jobs are stored in the platform's
+//! store and run by the daemon that owns them. Daemons report their running work to
+//! each other, so that none overloads a worker that another has already filled.
 //!
-//! The way of a request, each file importing those after it: [`run_gateway`]
-//! listens, `serve` tells calls apart, `online` answers, `relay` passes events on
-//! and goes on elsewhere, `placement` chooses a worker, `upstream` sends; `jobs` holds
-//! what happens to batch jobs. Decisions are in `bluebellreel_dispatch` and
-//! `bluebellreel_batch`.
+//! The modules on the path of a request, each importing those after it:
+//! [`run_gateway`] listens, `serve` distinguishes the kinds of calls, `online` answers
+//! a request, `relay` forwards a stream's events and resumes it at another worker,
+//! `placement` chooses a worker, `upstream` sends; `jobs` handles batch jobs. The
+//! decisions are made by `bluebellreel_dispatch` and `bluebellreel_batch`.
 //!
 //! ```no_run
 //! let settings = bluebellreel_settings::load_gateway("gateway.toml".as_ref()).unwrap();
-//! let around = bluebellreel_gateway::Surroundings::fixed(&settings);
-//! let clean = bluebellreel_gateway::run_gateway(settings, around).unwrap();
+//! let hooks = bluebellreel_gateway::ProcessHooks::fixed(&settings);
+//! let clean = bluebellreel_gateway::run_gateway(settings, hooks).unwrap();
 //! assert!(clean);
 //! ```
 
--- a/crates/bluebellreel_gateway/src/metrics.rs
+++ b/crates/bluebellreel_gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies of a gateway.
+//! Metrics of a gateway.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -8,14 +8,14 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Metric, Registry};
 
-/// First bucket of latencies, in seconds.
+/// Upper bound of the first latency bucket, in seconds.
 const FIRST_BUCKET: f64 = 0.002;
-/// Factor between buckets.
+/// Ratio of the upper bounds of adjacent buckets.
 const BUCKET_FACTOR: f64 = 1.8;
-/// Number of buckets: the last one ends above 10 s.
+/// Number of buckets: the upper bound of the last one is above 10 s.
 const BUCKETS: u16 = 16;
 
-/// How something ended.
+/// Label of counters by outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct Outcome {
     pub(crate) outcome: &'static str,
@@ -31,19 +31,19 @@
     pub(crate) jobs: Family<Outcome, Counter>,
     pub(crate) job_accepted: Histogram,
     pub(crate) items: Family<Outcome, Counter>,
-    /// Ends of jobs by how this gateway learned of them or notified the owner.
+    /// Cancellations of jobs, by how this gateway learned of them or notified the owner.
     pub(crate) job_ends: Family<Outcome, Counter>,
-    /// Age of the store's last confirmation of a job when an item was sent.
+    /// Age of the store's last confirmation of an item's job when the item was sent.
     pub(crate) confirmation_age: Histogram,
     pub(crate) yields: Counter,
     pub(crate) store_call: Histogram,
-    /// Age of the oldest peer's report that a choice of a worker counted on.
+    /// Age of the oldest peer's report that a choice of a worker was based on.
     pub(crate) report_age: Histogram,
-    /// Entries of the store that could not be used, each revision once.
+    /// Entries of the store that could not be used, counted once per revision.
     pub(crate) unreadable: Counter,
-    /// Runs of ours under which a worker crashed.
+    /// Runs of this gateway during which their worker crashed.
     pub(crate) crashes: Counter,
-    /// Requests remembered, under which workers crashed.
+    /// Requests that have crashed workers and are remembered.
     pub(crate) suspects: Gauge,
     pub(crate) in_progress: Gauge,
     pub(crate) store_calls: Gauge,
@@ -57,7 +57,7 @@
     registry: Registry,
 }
 
-/// Registers a metric and hands it back.
+/// Registers a metric and returns it.
 fn add<M: Metric + Clone>(registry: &mut Registry, name: &str, help: &str, metric: M) -> M {
     registry.register(name, help, metric.clone());
     metric
@@ -125,7 +125,7 @@
         self.items.get_or_create(&Outcome { outcome }).inc();
     }
 
-    /// Counts how the end of a job was learned, or its owner notified.
+    /// Counts how the cancellation of a job was learned, or its owner notified.
     pub(crate) fn job_end(&self, outcome: &'static str) {
         self.job_ends.get_or_create(&Outcome { outcome }).inc();
     }
--- a/crates/bluebellreel_gateway/src/millis.rs
+++ b/crates/bluebellreel_gateway/src/millis.rs
@@ -1,8 +1,8 @@
-//! Spans of time in log lines.
+//! Durations in log lines.
 
 use std::time::Duration;
 
-/// Whole milliseconds.
+/// A duration in whole milliseconds.
 pub(crate) fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/bluebellreel_gateway/src/online.rs
+++ b/crates/bluebellreel_gateway/src/online.rs
@@ -1,4 +1,4 @@
-//! One caller's request: chosen a worker, sent, answered.
+//! Answers one caller's request: chooses a worker, sends the request, forwards the answer.
 
 use crate::answers;
 use crate::crash;
@@ -23,13 +23,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Longest answer that is gathered before it is passed on.
+/// Maximum size of an answer that is buffered before it is forwarded.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
-/// Time between checks whether a request whose first byte is late does better
+/// Interval between checks whether a request whose first byte is late should be sent
 /// elsewhere.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(40);
-/// Sends that nothing came of before a request is given up. Refusals by
-/// workers cost a round trip each.
+/// Maximum number of sends that no worker ran before a request fails. Each refusal by a
+/// worker costs a round trip.
 const MAX_REFUSALS: u32 = 4;
 
 /// Answers a caller.
@@ -61,7 +61,7 @@
     }
 }
 
-/// Sends to a worker, and logs what decided it and what came of it.
+/// Sends the request to a worker, and logs the state behind the choice and a failure.
 async fn send_to(
     gw: &Rc<Gateway>,
     req: &mut Request,
@@ -141,8 +141,11 @@
     );
 }
 
-/// Passes a worker's answer on, or hands the request back to be sent once
-/// more.
+/// Forwards a worker's answer.
+///
+/// # Errors
+///
+/// Returns the request if it should be sent once more.
 async fn forward_answer(
     gw: &Rc<Gateway>,
     mut req: Request,
@@ -152,8 +155,9 @@
     let failed = status.is_server_error();
     req.runs += 1;
     if failed {
-        // Also where the request cannot be sent on: the next one would meet the
-        // same worker, which looks emptiest as it fails at once.
+        // The failure is recorded even if the request cannot be sent elsewhere. A worker
+        // that fails at once seems to have the least load, and would otherwise be chosen
+        // for the next request too.
         upstream.run_guard.failed();
         if req.route.repeatable() && req.may_repeat() {
             return Err(req);
@@ -200,7 +204,7 @@
     answer
 }
 
-/// The final answer to a request that workers crash under.
+/// The final answer to a request that is held back because it crashes workers.
 fn refuse_quarantined(gw: &Gateway, req: &Request, until: Moment) -> Response<Body> {
     let mut answer = if req.runs == 0 {
         let after = until.since(gw.now());
@@ -217,7 +221,7 @@
     answer
 }
 
-/// The final answer to a request that nothing more is tried for.
+/// The final answer to a request that is not sent again.
 fn give_up(gw: &Gateway, req: &Request, reason: &str) -> Response<Body> {
     let held = millis(req.received.elapsed());
     let mut answer = if req.runs == 0 {
--- a/crates/bluebellreel_gateway/src/peer_api.rs
+++ b/crates/bluebellreel_gateway/src/peer_api.rs
@@ -1,4 +1,4 @@
-//! What peers may call.
+//! The interface for calls of peers and keepers.
 
 use crate::answers;
 use crate::gateway::Gateway;
@@ -14,12 +14,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest body of a peer's call.
+/// Maximum size of the body of a peer's call.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Longest wait for it.
+/// Timeout of reading the body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers a peer.
+/// Answers a call of a peer or keeper.
 pub(crate) async fn answer(gw: Rc<Gateway>, req: Request<Incoming>) -> Response<Body> {
     let path = req.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -58,7 +58,7 @@
     }
 }
 
-/// The whole body of a peer's call.
+/// Reads the whole body of a peer's call; none if it is too long or incomplete.
 async fn read_call_body(req: Request<Incoming>) -> Option<Bytes> {
     let body = read_body(req.into_body(), MAX_BODY_BYTES, BODY_TIMEOUT).await;
     body.ok().flatten()
@@ -68,7 +68,7 @@
     answers::failure(StatusCode::BAD_REQUEST, "no body")
 }
 
-/// Makes a call to the store for a peer that the store turns away.
+/// Makes a call to the store on behalf of a peer that the store rejects.
 async fn store(gw: &Gateway, req: Request<Incoming>) -> Response<Body> {
     let Some(body) = read_call_body(req).await else {
         return missing_body();
--- a/crates/bluebellreel_gateway/src/peer_calls.rs
+++ b/crates/bluebellreel_gateway/src/peer_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to peers.
+//! Calls to peers and keepers.
 
 use crate::gateway::Gateway;
 use bluebellreel_members::Revisions;
@@ -10,9 +10,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for a peer that should answer at once.
+/// Timeout of calls that a peer should answer at once.
 const TIMEOUT: Duration = Duration::from_millis(600);
-/// Why a peer gave no answer.
+/// Why a call to a peer failed.
 pub(crate) type PeerError = CallError;
 
 async fn call(
@@ -26,8 +26,8 @@
     bluebellreel_net::call(&gw.peers, to, method, path, body, max_wait).await
 }
 
-/// What a peer knows beyond `seen`; all that it knows of workers if it does not
-/// know who has left since.
+/// Fetches the part of a peer's cluster state that is newer than `seen`. If the peer no
+/// longer knows which workers have left since then, fetches all its workers.
 pub(crate) async fn cluster_state(
     gw: &Gateway,
     to: SocketAddr,
@@ -39,7 +39,8 @@
     full_cluster_state(gw, to, seen).await
 }
 
-/// All that a peer knows of workers, and a configuration that is newer than `seen`.
+/// Fetches all workers that a peer knows, and its configuration if that is newer than
+/// `seen`.
 pub(crate) async fn full_cluster_state(
     gw: &Gateway,
     to: SocketAddr,
@@ -47,7 +48,7 @@
 ) -> Result<SharedFacts, PeerError> {
     let all = Revisions { workers: 0, ..seen };
     let cluster_state = cluster_state_after(gw, to, all).await?;
-    let cluster_state = cluster_state.ok_or("asked for all in vain")?;
+    let cluster_state = cluster_state.ok_or("peer refuses to send its full state")?;
     Ok(SharedFacts {
         whole: true,
         ..cluster_state
@@ -73,7 +74,7 @@
     }
 }
 
-/// Results of a job that the peer owns, in the form that callers get.
+/// Fetches results of a job that the peer owns, in the form that callers receive.
 pub(crate) async fn results(
     gw: &Gateway,
     to: SocketAddr,
@@ -88,7 +89,7 @@
     call(gw, to, Method::GET, &path, Bytes::new(), TIMEOUT + wait).await
 }
 
-/// Body of an item of a job that the peer owns.
+/// Fetches the body of an item of a job that the peer owns.
 pub(crate) async fn item_body(
     gw: &Gateway,
     to: SocketAddr,
@@ -99,7 +100,7 @@
     call(gw, to, Method::GET, &path, Bytes::new(), TIMEOUT).await
 }
 
-/// Ends a job that the peer owns.
+/// Cancels a job that the peer owns.
 pub(crate) async fn cancel(
     gw: &Gateway,
     to: SocketAddr,
@@ -109,7 +110,7 @@
     call(gw, to, Method::DELETE, &path, Bytes::new(), TIMEOUT).await
 }
 
-/// Has a peer go on with the end of a job.
+/// Asks a peer to complete the cancellation of a job.
 pub(crate) async fn forward_end(gw: &Gateway, to: SocketAddr, id: &JobId) -> Result<(), PeerError> {
     let path = format!("/jobs/{id}/end");
     let (status, _) = call(gw, to, Method::PUT, &path, Bytes::new(), TIMEOUT).await?;
@@ -119,7 +120,7 @@
     Ok(())
 }
 
-/// Has a peer make a call to the store.
+/// Asks a peer to make a call to the store on this daemon's behalf.
 pub(crate) async fn store(
     gw: &Gateway,
     to: SocketAddr,
@@ -135,7 +136,7 @@
     Ok(body)
 }
 
-/// Tells a peer that it owns a job now, and what its items had generated.
+/// Notifies a peer that it now owns a job, with the progress of the job's items.
 pub(crate) async fn hand_over(
     gw: &Gateway,
     to: SocketAddr,
@@ -148,7 +149,7 @@
     Ok(status)
 }
 
-/// How far the items of a job are, as a keeper knows it; empty if it does not.
+/// Fetches the progress of a job's items from a keeper; empty if it has none.
 pub(crate) async fn progress(gw: &Gateway, to: SocketAddr, id: &JobId) -> Result<Bytes, PeerError> {
     let path = format!("/jobs/{id}/progress");
     let (status, body) = call(gw, to, Method::GET, &path, Bytes::new(), TIMEOUT).await?;
@@ -159,7 +160,7 @@
     }
 }
 
-/// Tells a keeper, or the peer that would take a job over, how far its items are.
+/// Sends the progress of a job's items to a keeper or to the job's successor.
 pub(crate) async fn copy_progress(
     gw: &Gateway,
     to: SocketAddr,
--- a/crates/bluebellreel_gateway/src/placement.rs
+++ b/crates/bluebellreel_gateway/src/placement.rs
@@ -1,4 +1,4 @@
-//! A worker for a caller's request, and a place there.
+//! Chooses a worker for a caller's request and reserves a run there.
 
 use crate::gateway::Gateway;
 use crate::jobs::make_room;
@@ -25,12 +25,14 @@
     }
 }
 
-/// Chooses a worker for a request that may wait in line for `patience`.
+/// Chooses a worker for a request that may wait in its queue for `patience`. Workers
+/// that were tried before are excluded.
 pub(crate) fn choose(gw: &Gateway, req: &Request, patience: Duration) -> Placement {
     choose_excluding_listed(gw, req, &req.tried, patience)
 }
 
-/// The same among all workers but some, whether they were tried or not.
+/// Chooses a worker among all except those in `avoid`; workers that were tried before
+/// are not excluded otherwise.
 pub(crate) fn choose_excluding_listed(
     gw: &Gateway,
     req: &Request,
@@ -40,13 +42,14 @@
     place_online(&gw.board.borrow(), &query(gw, req, avoid, patience))
 }
 
-/// Whether a request should leave the worker that it waits for, for another one.
+/// Whether a request that waits for `worker` should be sent to another worker instead.
 pub(crate) fn is_better_elsewhere(gw: &Gateway, req: &Request, worker: &WorkerName) -> bool {
     let query = query(gw, req, &req.tried, req.patience());
     should_leave(&gw.board.borrow(), &query, worker)
 }
 
-/// Takes a place for a caller's request; batch there makes room.
+/// Registers a caller's request as a run at a worker, and preempts batch runs there if
+/// needed.
 pub(crate) fn acquire(gw: &Rc<Gateway>, worker: &WorkerName) -> RunGuard {
     let place = RunGuard::acquire(gw, worker, Class::Online);
     make_room(gw);
--- a/crates/bluebellreel_gateway/src/quarantine_gate.rs
+++ b/crates/bluebellreel_gateway/src/quarantine_gate.rs
@@ -1,10 +1,10 @@
-//! Holding back requests that workers crash under.
+//! Holds back requests that crash workers.
 //!
-//! Guard: a request that crashes each worker that begins to run it would be sent on to the
-//! next one, at any gateway, as often as its caller returns, and each crash ends what else
-//! runs there. Which requests are quarantined is decided in `bluebellreel_dispatch`, from
-//! crashes of which all gateways notify each other; here they are stopped before they are
-//! sent.
+//! A request that crashes every worker that runs it would otherwise be sent to one worker
+//! after another, by any gateway, as often as its caller retries, and each crash ends all
+//! other runs at that worker. `bluebellreel_dispatch` decides which requests are
+//! quarantined, from crashes of which the gateways notify each other. This module checks
+//! each request before it is sent.
 
 use crate::gateway::Gateway;
 use crate::millis::millis;
@@ -15,14 +15,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The reason in the answer to a caller whose request is quarantined.
+/// The reason given in the answer to a quarantined request.
 pub(crate) const QUARANTINE_REASON: &str = "workers crash under it";
 
-/// Backoff of a request that another daemon may try out.
+/// Backoff of a request whose trial is left to another daemon.
 const TRIED_ELSEWHERE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// A request that shows whether workers can run it now, as long as it lives. Others like
-/// it wait for what it shows.
+/// A trial run of a request that has crashed workers, which shows whether workers can run
+/// it now. While it exists, other requests with the same fingerprint are held back.
 pub(crate) struct Trial {
     gw: Rc<Gateway>,
     fingerprint: Fingerprint,
@@ -35,30 +35,34 @@
     }
 }
 
-/// How a request may be sent to a worker.
+/// Permission to send a request to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Permit {
-    /// As any other.
+    /// Without restriction.
     Normal,
     /// As a trial; see [`Trial::begin`].
     OnTrial(Fingerprint),
 }
 
 impl Trial {
-    /// Notifies all that a request is tried out, if it is.
+    /// Begins a trial and notifies all peers of it, if the permit is for one.
     pub(crate) fn begin(gw: &Rc<Gateway>, request: &str, permit: Permit) -> Option<Self> {
         let Permit::OnTrial(fingerprint) = permit else {
             return None;
         };
         gw.suspects.borrow_mut().begin_trial(fingerprint, gw.now());
         gw.report_due.notify_one();
-        warn!(target: "online", request, fingerprint:% = fingerprint; "request tried out");
+        warn!(target: "online", request, fingerprint:% = fingerprint; "request on trial");
         let gw = gw.clone();
         Some(Self { gw, fingerprint })
     }
 }
 
-/// Whether a request may be sent to a worker; else when it may be tried again.
+/// Checks whether a request may be sent to a worker.
+///
+/// # Errors
+///
+/// Returns when the request may be retried, if it is held back now.
 pub(crate) fn may_run(
     gw: &Gateway,
     request: &str,
@@ -83,14 +87,15 @@
     Err(until)
 }
 
-/// Whether this daemon may try a request out now. A job's item has one owner.
+/// Whether this daemon may begin a trial of a request now. Batch items always may, as
+/// only the owner of their job sends them.
 fn may_try_here(gw: &Gateway, fingerprint: Fingerprint, sender: Sender, since: Moment) -> bool {
     let now = gw.now();
     let peers = gw.members.borrow().heard(now).count();
     sender == Sender::Job || may_try(fingerprint, gw.me(), peers + 1, since, now)
 }
 
-/// A run of a request has ended without a crash.
+/// Records that a run of a request has ended without a crash.
 pub(crate) fn run_completed(gw: &Rc<Gateway>, fingerprint: impl FnOnce() -> Fingerprint) {
     if gw.suspects.borrow().is_empty() {
         return;
--- a/crates/bluebellreel_gateway/src/quarantine_store.rs
+++ b/crates/bluebellreel_gateway/src/quarantine_store.rs
@@ -1,8 +1,8 @@
-//! Quarantined requests, kept in the store.
+//! Persists quarantined requests in the store.
 //!
-//! Guard: all gateways may be killed at the same moment, and none is left to notify those
-//! that start. An entry stands under a lease, as long as the longest quarantine, so that
-//! nothing has to be cleaned up.
+//! If all gateways are killed at the same moment, none is left to notify the ones that
+//! start afterwards. Each entry has a lease of the longest quarantine's duration, so
+//! expired entries need no clean-up.
 
 use crate::gateway::Gateway;
 use bluebellreel_dispatch::{Fingerprint, WorkerTag};
@@ -15,16 +15,16 @@
 
 /// Prefix of all entries.
 const ENTRIES_PREFIX: &str = "held/";
-/// How long an entry stands: the longest lease that the store grants, and the longest
-/// quarantine.
+/// Time to live of an entry: the longest lease that the store grants, which is also the
+/// longest quarantine.
 const ENTRY_TTL: Duration = Duration::from_mins(10);
-/// How long a write is tried again. After that others have seen the next crash, or the
-/// request has not come again.
+/// How long a failed write is retried. After that another gateway has seen the next
+/// crash, or the request has not been sent again.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause after a call that failed.
+/// Pause before a failed call is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// The value of an entry: the lives of the workers that crashed.
+/// The value of an entry: the incarnations of workers that crashed.
 #[derive(Serialize, Deserialize)]
 struct Entry {
     workers: Vec<WorkerTag>,
@@ -34,13 +34,13 @@
     Key::from(format!("{ENTRIES_PREFIX}{fingerprint}"))
 }
 
-/// Stores a request that is quarantined.
+/// Stores a quarantined request in the background, with retries.
 pub(crate) fn store(gw: &Rc<Gateway>, fingerprint: Fingerprint) {
     let gw = gw.clone();
     tokio::task::spawn_local(async move {
         let until = Instant::now() + WRITE_TIMEOUT;
         while let Err(e) = write(&gw, fingerprint).await {
-            warn!(target: "online", fingerprint:% = fingerprint, error:% = e; "held request not kept");
+            warn!(target: "online", fingerprint:% = fingerprint, error:% = e; "quarantined request not stored");
             if Instant::now() > until {
                 return;
             }
@@ -63,8 +63,8 @@
     check_committed(gw.store.commit(&txn, Instant::now() + RETRY_PAUSE).await)
 }
 
-/// Removes a request that workers can run again. An entry that stays quarantines it once
-/// more at the next start of all gateways.
+/// Removes the entry of a request that workers can run again, in the background. If the
+/// entry remains, the request is quarantined again when all gateways restart.
 pub(crate) fn remove(gw: &Rc<Gateway>, fingerprint: Fingerprint) {
     let gw = gw.clone();
     tokio::task::spawn_local(async move {
@@ -74,7 +74,7 @@
         };
         let until = Instant::now() + WRITE_TIMEOUT;
         if let Err(e) = check_committed(gw.store.commit(&txn, until).await) {
-            warn!(target: "online", fingerprint:% = fingerprint, error:% = e; "held request not forgotten");
+            warn!(target: "online", fingerprint:% = fingerprint, error:% = e; "quarantined request not removed");
         }
     });
 }
@@ -88,7 +88,7 @@
     }
 }
 
-/// Reads, once at the start, which requests are quarantined.
+/// Loads the quarantined requests from the store, once at the start.
 pub(crate) async fn load(gw: Rc<Gateway>) {
     let all = loop {
         match gw.store.list(&Key::from(ENTRIES_PREFIX)).await {
@@ -98,13 +98,13 @@
     };
     for kv in &all {
         let Some((fingerprint, entry)) = read(kv) else {
-            warn!(target: "online", key:% = kv.key; "held request not read");
+            warn!(target: "online", key:% = kv.key; "quarantined request not read");
             continue;
         };
         let now = gw.now();
         let mut suspects = gw.suspects.borrow_mut();
         suspects.recall(fingerprint, &entry.workers, now);
-        info!(target: "online", fingerprint:% = fingerprint, crashes = entry.workers.len(); "held request recalled");
+        info!(target: "online", fingerprint:% = fingerprint, crashes = entry.workers.len(); "quarantined request loaded");
     }
 }
 
--- a/crates/bluebellreel_gateway/src/registration.rs
+++ b/crates/bluebellreel_gateway/src/registration.rs
@@ -1,7 +1,8 @@
 //! The daemons' entries in the store.
 //!
-//! An entry stands under a lease (see `lease`) and can vanish without any call
-//! telling, so each daemon looks for its own entry whenever it reads the others'.
+//! An entry is held by a lease (see `lease`) and can disappear without any call
+//! reporting it. Each daemon therefore checks that its own entry exists whenever it
+//! reads those of the others.
 
 use crate::gateway::Gateway;
 use bluebellreel_batch::Owner;
@@ -15,36 +16,36 @@
 
 /// Prefix of all daemons' entries.
 const MEMBER_PREFIX: &str = "member/";
-/// Reads that follow each other soon after the start: daemons that start
-/// together read before all of them have registered.
+/// Number of reads in quick succession after the start: daemons that start at the same
+/// time read the entries before all of them have registered.
 const EARLY_LIST_COUNT: u32 = 2;
-/// Time between those.
+/// Interval between these early reads.
 const EARLY_LIST_INTERVAL: Duration = Duration::from_millis(1500);
-/// Time between reads of all entries.
+/// Interval between reads of all entries afterwards.
 const LIST_INTERVAL: Duration = Duration::from_secs(15);
-/// Pause after a call that failed.
+/// Pause before a failed read is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 fn key_of(entry: &EntryName) -> Key {
     Key::from(format!("{MEMBER_PREFIX}{entry}"))
 }
 
-/// Where this daemon's entry stands.
+/// The key of this daemon's entry.
 pub(crate) fn own_key(gw: &Gateway) -> Key {
     key_of(gw.me())
 }
 
-/// Whether a run of a daemon has ended, as the store has it.
+/// Whether an incarnation of a daemon has ended, according to the store.
 pub(crate) enum OwnerStatus {
-    /// Its entry stands.
+    /// Its entry exists.
     Alive,
-    /// It is an earlier run of this daemon.
+    /// It is an earlier incarnation of this daemon.
     EarlierRun,
-    /// It has ended as long as this guard holds.
+    /// It has ended, provided that this guard still holds when a write is applied.
     Guard(Compare),
 }
 
-/// Asks the store whether the run of a daemon that owns a job has ended.
+/// Asks the store whether the incarnation of the daemon that owns a job has ended.
 pub(crate) async fn owner_status(gw: &Gateway, owner: &Owner) -> Result<OwnerStatus, KvError> {
     if owner.entry == *gw.me() {
         return Ok(OwnerStatus::EarlierRun);
@@ -53,7 +54,7 @@
     let Some(kv) = gw.store.read(&key).await? else {
         return Ok(OwnerStatus::Guard(Compare::Absent(key)));
     };
-    // An entry that cannot be read is not the one that run wrote.
+    // An entry that cannot be parsed was not written by that incarnation.
     let entry = serde_json::from_slice::<MemberEntry>(&kv.value);
     if entry.is_ok_and(|entry| entry.run == owner.run) {
         return Ok(OwnerStatus::Alive);
@@ -61,8 +62,8 @@
     Ok(OwnerStatus::Guard(Compare::Unchanged(key, kv.revision)))
 }
 
-/// Reads the entries of all daemons now and then. A new daemon reads them once
-/// and reports to all, so the others hear of it without a read.
+/// Reads the entries of all daemons periodically, forever. A new daemon sends reports
+/// to all members that it finds, so the others learn of it without a read.
 pub(crate) async fn list_members(gw: Rc<Gateway>) {
     let mut early = EARLY_LIST_COUNT;
     loop {
@@ -80,7 +81,8 @@
     }
 }
 
-/// Reads the entries of all daemons.
+/// Reads the entries of all daemons and updates the members. If this daemon's own
+/// entry is missing, it registers again.
 pub(crate) async fn read_members(gw: &Rc<Gateway>) -> Result<(), KvError> {
     let (all, revision) = gw.store.list(&Key::from(MEMBER_PREFIX)).await?;
     if !all.iter().any(|kv| kv.key == own_key(gw)) && gw.lease.get() != 0 {
--- a/crates/bluebellreel_gateway/src/relay.rs
+++ b/crates/bluebellreel_gateway/src/relay.rs
@@ -1,9 +1,9 @@
-//! Passing a worker's events on as they come, across workers where the route
-//! allows it.
+//! Forwards a worker's events to the caller as they arrive, and resumes the stream at
+//! another worker if the route allows it.
 //!
-//! Only whole events are passed on and their ids must follow each other, so
-//! that a stream can go on at another worker after any event. A stream that
-//! cannot be finished is broken off visibly.
+//! Only complete events with consecutive ids are forwarded, so that a stream can be
+//! resumed at another worker after any event. If a stream cannot be completed, the
+//! connection to the caller is broken, so that the caller notices.
 
 use crate::crash;
 use crate::events::Events;
@@ -26,22 +26,25 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Silence after which a stream goes on at another worker. Events come some
-/// 30 ms apart and a pause is late from 300 ms on: noticed after half of it,
-/// the other worker still brings its first event in time.
+/// Silence after which a stream is resumed at another worker. Events arrive about
+/// 30 ms apart, and a pause counts as late from 300 ms on: when the silence is noticed
+/// after half of that, the other worker's first event still arrives in time.
 const MAX_SILENCE: Duration = Duration::from_millis(150);
-/// Events in whose time a slow worker must give the next one.
+/// Silence after which a stream is resumed elsewhere, in multiples of the mean interval
+/// between its worker's events. It applies to slow workers, where it exceeds
+/// [`MAX_SILENCE`].
 const MAX_SILENT_INTERVALS: f64 = 2.5;
-/// Share of a route's longest pause after which a slow worker is left, too.
+/// Upper limit of this silence, as a share of the longest pause that the route allows.
 const MAX_PAUSE_SHARE: f64 = 0.75;
-/// How long a worker may take to the first event of a stream that goes on,
-/// where another one could take it instead.
+/// Timeout of the first event of a resumed stream, if another worker could take the
+/// stream instead.
 const RESUMED_FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Silence of other workers, too, is a sign that this process was paused: what
-/// has arrived meanwhile is read before a worker is doubted.
+/// Timeout of one last read after a worker was silent for too long. If this process was
+/// paused, all workers seem silent: events that arrived meanwhile are read before the
+/// worker counts as silent.
 const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(12);
 
-/// What the worker's body brought.
+/// The outcome of a read from the worker's answer.
 enum ReadOutcome {
     Bytes(Bytes),
     End,
@@ -50,10 +53,11 @@
     DeadlinePassed,
 }
 
-/// Where a stream goes on.
+/// Where a stream is resumed.
 enum Resumption {
     NewWorker(Box<Upstream>),
-    /// Its former worker was late and brings this; nothing at its end.
+    /// The former worker was only late and sends these bytes; empty at the end of the
+    /// stream.
     FormerWorker(Bytes),
 }
 
@@ -67,7 +71,7 @@
     }
 }
 
-/// A stream on its way to a caller.
+/// A stream that is forwarded to a caller.
 pub(crate) struct Relay {
     gw: Rc<Gateway>,
     req: Request,
@@ -77,14 +81,15 @@
     last_id: Option<u64>,
     events_passed: u64,
     silence_deadline: Instant,
-    /// When its first event came.
+    /// When the first event arrived.
     first_event_at: Instant,
-    /// When its last event came.
+    /// When the last event arrived.
     last_event_at: Instant,
     longest_pause: Duration,
-    /// Whether its worker has started again since it was sent there.
+    /// Whether the worker has restarted since the request was sent there.
     has_restarted: bool,
-    /// Workers that it does not return to: they were silent, or did not take it.
+    /// Workers at which the stream is not resumed again: they were silent, or did not
+    /// accept it.
     excluded: Vec<WorkerName>,
     finished: bool,
 }
@@ -111,7 +116,7 @@
         }
     }
 
-    /// The events as a stream of bytes.
+    /// Returns the events as a stream of bytes.
     pub(crate) fn into_stream(self) -> impl Stream<Item = Result<Bytes, Broken>> {
         futures::stream::unfold(self, |mut relay| async {
             let piece = relay.next().await?;
@@ -166,7 +171,8 @@
         }
     }
 
-    /// Whole events that follow the last one.
+    /// Removes the complete events from the buffer whose ids follow the last forwarded
+    /// one. Fails if the first one does not follow.
     fn complete_events(&mut self) -> Result<Bytes, &'static str> {
         let mut all = BytesMut::new();
         while let Some(event) = self.events.next() {
@@ -174,9 +180,10 @@
                 && id != last + 1
             {
                 if all.is_empty() {
-                    return Err("events do not follow");
+                    return Err("event ids are not consecutive");
                 }
-                // Pass on what is whole; the gap shows again next time.
+                // Events before the gap are forwarded. The buffer is dropped, so the
+                // next event fails the check for consecutive ids.
                 self.events = Events::default();
                 break;
             }
@@ -202,8 +209,8 @@
         self.silence_deadline = Instant::now() + self.longest_silence();
     }
 
-    /// How long the worker may be silent. One that is slow but steady is not
-    /// left: its next event comes sooner than another worker's first one.
+    /// How long the worker may be silent. A slow but steady worker keeps its stream:
+    /// its next event arrives sooner than the first event of another worker would.
     fn longest_silence(&self) -> Duration {
         let board = self.gw.board.borrow();
         let worker = self.upstream.run_guard.worker();
@@ -242,22 +249,23 @@
         }
     }
 
-    /// Looks whether the worker that broke off has crashed.
+    /// Checks whether the worker that broke the stream off has crashed.
     async fn probe_for_crash(&self) {
         let ticket = self.upstream.run_guard.ticket().clone();
         let interrupted_run = self.req.interrupted_run(ticket, self.upstream.began);
         crash::check_for_crash(&self.gw, interrupted_run).await;
     }
 
-    /// Goes on at a worker, if possible at one that has not had it; whether it
-    /// could. Its former one, if `open`, may still bring something.
+    /// Resumes the stream at a worker, preferably one that has not had it. Returns
+    /// whether that succeeded. If `open`, the connection to the former worker is kept
+    /// meanwhile, as it may still send events.
     async fn resume(&mut self, reason: &str, open: bool) -> bool {
         let worker = self.upstream.run_guard.worker().clone();
         let resumable = self.req.route.resumable && self.req.may_repeat();
         warn!(target: "online", request:% = self.req.id, worker:% = worker, events = self.events_passed, last_id:? = self.last_id, runs = self.req.runs, resumable, reason; "stream interrupted");
         self.upstream.run_guard.failed();
         if self.has_restarted {
-            // Its new life has not had the stream.
+            // The worker's new incarnation has not had the stream.
             self.req.tried.retain(|w| *w != worker);
         }
         while resumable && self.req.may_repeat() && !self.req.left().is_zero() {
@@ -279,8 +287,8 @@
                     if open && !self.has_restarted {
                         self.excluded.push(worker);
                     }
-                    // Dropping the old one closes its connection, and with it
-                    // ends its run.
+                    // Dropping the old upstream closes its connection, which ends the
+                    // run at the former worker.
                     self.upstream = *upstream;
                     self.has_restarted = false;
                     self.events = Events::default();
@@ -302,11 +310,10 @@
         false
     }
 
-    /// The worker that it goes on at: one that has not had it; else, if it may
-    /// return, one that has, rather another than the last one.
+    /// Chooses the worker at which the stream is resumed: one that has not had it; else,
+    /// if `may_return`, one that has, preferably not the last one.
     ///
-    /// Its caller has a part of the answer: the rest is worth more late than not
-    /// at all.
+    /// The caller already has a part of the answer: a late rest is better than none.
     fn next_worker(&self, may_return: bool) -> Option<WorkerName> {
         let patience = self.req.left();
         let choose_excluding = |avoid: &[WorkerName]| {
@@ -325,9 +332,9 @@
         choose_excluding(&excluded_or_last).or_else(|| choose_excluding(&self.excluded))
     }
 
-    /// Sends to one more worker. Where it is the last one, it is waited for as
-    /// long as the caller waits, or until the former one brings something, or
-    /// until it has started again: its new life has not had the stream.
+    /// Sends the stream to one more worker. If no other worker is left to try, waits for
+    /// it until the caller's deadline, until the former worker sends something, or until
+    /// the new worker restarts: its new incarnation has not had the stream.
     async fn send_resumed(
         &mut self,
         worker: &WorkerName,
@@ -376,10 +383,11 @@
         }
     }
 
-    /// Whether nobody else would take the stream after the send that begins.
+    /// Whether no other worker could take the stream after the attempt that begins now.
     ///
-    /// A worker with all slots taken answers when a turn comes. Left before
-    /// that for nobody, the stream would stand until its deadline and break.
+    /// A worker whose slots are all taken answers when one becomes free. If the attempt
+    /// there were abandoned with no other worker left, the stream would stall until its
+    /// deadline and break.
     fn is_last_try(&self) -> bool {
         if self.req.runs + 1 >= self.req.route.max_workers.max(1) {
             return true;
@@ -407,7 +415,7 @@
     }
 }
 
-/// Until when the first event may take: longer where requests wait before it.
+/// The deadline of the first event: later if other requests wait at the worker.
 fn first_event_deadline(gw: &Gateway, worker: &WorkerName) -> Instant {
     let waiting = gw
         .board
@@ -418,8 +426,8 @@
 }
 
 impl Drop for Relay {
-    /// A relay that is dropped before its stream is over has lost its caller.
-    /// The worker's connection closes with it, which ends the run there.
+    /// A relay that is dropped before its stream has ended has lost its caller. The
+    /// connection to the worker closes with it, which ends the run there.
     fn drop(&mut self) {
         if !self.finished && !self.gw.ended.get() {
             self.gw.metrics.request("caller_left");
--- a/crates/bluebellreel_gateway/src/reload.rs
+++ b/crates/bluebellreel_gateway/src/reload.rs
@@ -1,7 +1,8 @@
-//! Settings that change while the daemon runs.
+//! Reloads the settings while the daemon runs.
 //!
-//! The file may change with or without a signal. What can be taken over at once
-//! is; the rest waits for the next start, and the log names it.
+//! The settings file is read at an interval and on a signal. Settings that can change
+//! at run time are applied at once. Others take effect at the next start, and the log
+//! names them.
 
 use crate::gateway::Gateway;
 use crate::millis::millis;
@@ -12,21 +13,21 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Time between reads of the file, which has some hundred bytes.
+/// Interval between reads of the settings file, which has a few hundred bytes.
 const CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
-/// What a daemon gets from the program around it.
+/// Callbacks that the embedding process provides to the daemon.
 pub struct ProcessHooks {
-    /// Number of log lines that were dropped so far.
+    /// Returns the number of log lines dropped so far.
     pub lines_dropped: Box<dyn Fn() -> u64>,
-    /// Reads the settings anew.
+    /// Reads the settings again.
     pub read_settings: Box<dyn Fn() -> Result<GatewaySettings, SettingsError>>,
-    /// Woken when a signal says that the settings have changed.
+    /// Notified when a signal announces that the settings have changed.
     pub settings_changed: Rc<Notify>,
 }
 
 impl ProcessHooks {
-    /// Surroundings in which nothing changes, for embedded daemons.
+    /// Hooks whose settings never change, for daemons embedded in other programs.
     #[must_use]
     pub fn fixed(settings: &GatewaySettings) -> Self {
         let settings = settings.clone();
@@ -38,7 +39,7 @@
     }
 }
 
-/// Follows the settings file for ever.
+/// Applies changes of the settings file, forever.
 pub(crate) async fn follow_settings(gw: Rc<Gateway>, hooks: Rc<ProcessHooks>) {
     let mut known = gw.settings.clone();
     let mut known_error = String::new();
--- a/crates/bluebellreel_gateway/src/reports/catch_up.rs
+++ b/crates/bluebellreel_gateway/src/reports/catch_up.rs
@@ -1,4 +1,4 @@
-//! Asking peers for what they know and this daemon does not.
+//! Fetches newer cluster state from peers.
 
 use super::interval::min_report_interval;
 use crate::gateway::Gateway;
@@ -15,17 +15,17 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time between comparisons of lists; peers report theirs as often.
+/// Interval between comparisons of lists of workers; peers report theirs as often.
 const COMPARE_INTERVAL: Duration = Duration::from_millis(250);
-/// Time over which daemons spread their questions after lists differed, for each of
-/// them: the first to be asked may have to send all workers to each.
+/// Time over which daemons spread their requests after lists differed, per peer: a single
+/// peer may have to send all workers to each of them.
 const SPREAD_PER_PEER: Duration = Duration::from_millis(5);
 
-/// Asks a peer for what it knows and we do not; one question at a time.
+/// Fetches newer state from a peer, one request at a time.
 ///
-/// All peers hear of news at the same moment, from the two that watch. Each
-/// waits a random time, longer the more they are, and asks any that has the
-/// news by then: else two daemons would answer hundreds at once.
+/// All daemons learn of a change at the same moment, from the two that watch the store.
+/// Each waits a random time, longer the more peers there are, and asks any peer that has
+/// the change by then. Otherwise two daemons would have to answer hundreds at once.
 pub(super) fn catch_up(gw: &Rc<Gateway>, is_asking: &Rc<Cell<bool>>) {
     if is_asking.replace(true) {
         return;
@@ -54,9 +54,9 @@
         .collect()
 }
 
-/// Asks peers, for ever, whose lists of workers differ and are complete to no earlier
-/// revision than the one here. Where lists are equal nothing is asked, however the
-/// revisions rise.
+/// Compares this daemon's list of workers with those of its peers, forever, and fetches
+/// state from a peer whose list differs and is complete up to at least the same revision.
+/// Nothing is fetched while the lists are equal, even if peers know later revisions.
 pub(crate) async fn compare_lists(gw: Rc<Gateway>) {
     let mut divergence = Divergence::default();
     loop {
@@ -77,7 +77,7 @@
         let candidates = peers_to_ask(&gw, question);
         if !candidates.is_empty() {
             let at = gw.rng.borrow_mut().random_range(0..candidates.len());
-            info!(target: "facts", peer:% = candidates[at].0, question:? = question; "lists differ");
+            info!(target: "facts", peer:% = candidates[at].0, question:? = question; "worker lists differ");
             ask(&gw, &candidates[at], question).await;
         }
     }
--- a/crates/bluebellreel_gateway/src/reports/interval.rs
+++ b/crates/bluebellreel_gateway/src/reports/interval.rs
@@ -1,17 +1,17 @@
-//! How far apart a daemon's reports are.
+//! The minimum interval between a daemon's reports.
 
 use std::time::Duration;
 
-/// Least time between reports to few peers. Two daemons that choose a worker
-/// within it may both take its last slot.
+/// Minimum interval between reports to few peers. Two daemons that choose a worker within
+/// it may both take its last slot.
 const MIN_INTERVAL: Duration = Duration::from_millis(8);
-/// Least time between reports to many peers, for each of them: a daemon sends
-/// a thousand datagrams a second at the most, however many peers there are.
+/// Minimum interval between reports to many peers, per peer: a daemon sends at most a
+/// thousand datagrams per second, however many peers there are.
 const MIN_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
-/// From this many peers on they count as many.
+/// Number of peers from which on the interval grows with their number.
 const MANY_PEERS: usize = 8;
 
-/// Least time between reports to so many peers.
+/// Minimum interval between reports to this number of peers.
 pub(super) fn min_report_interval(peers: usize) -> Duration {
     if peers < MANY_PEERS {
         return MIN_INTERVAL;
--- a/crates/bluebellreel_gateway/src/reports/mod.rs
+++ b/crates/bluebellreel_gateway/src/reports/mod.rs
@@ -1,8 +1,9 @@
-//! Reports to peers by datagram: what runs where, and what is known.
+//! Reports to peers by datagram: the runs at workers, the jobs, and the revisions of the
+//! known cluster state.
 //!
-//! A report is sent at once when something changed, but not more often than a
-//! few milliseconds apart, and four times a second in any case. It is complete
-//! in itself: one that is lost is made up for by the next.
+//! A report is sent when something has changed, with a minimum interval of a few
+//! milliseconds, and at least four times per second. Each report is complete, so a lost
+//! one is compensated by the next.
 
 mod catch_up;
 mod interval;
@@ -28,14 +29,14 @@
 use tokio::time::{sleep, timeout};
 use wire::{Datagram, Report, Supplement, Urgent, append_checksum, load_of, sender_tag};
 
-/// Time between reports when nothing changes.
+/// Interval between reports when nothing changes.
 const HEARTBEAT: Duration = Duration::from_millis(250);
-/// Longest wait for room to send one report.
+/// Timeout of sending one datagram, which waits while the socket's buffer is full.
 const SEND_TIMEOUT: Duration = Duration::from_millis(20);
-/// Longest datagram taken.
+/// Maximum size of a received datagram.
 const MAX_DATAGRAM_BYTES: usize = 60 * 1024;
 
-/// What the last full report said, and when the next one is due.
+/// The urgent parts of the last full report, and when the next one is due.
 #[derive(Default)]
 struct LastFull {
     urgent: Option<Urgent>,
@@ -43,9 +44,10 @@
     full_due: Moment,
 }
 
-/// Sends reports for ever.
+/// Sends reports, forever.
 pub(crate) async fn send_reports(gw: Rc<Gateway>, socket: Rc<UdpSocket>) {
-    // Later runs of this daemon must not be taken for older than this one.
+    // The sequence starts at the current time, so that reports of a later incarnation
+    // of this daemon do not count as older than this one's.
     let mut sequence = gw.now().0;
     let mut last = LastFull::default();
     loop {
@@ -57,10 +59,10 @@
             Ok((full, brief)) => {
                 for to in &targets {
                     let bytes = if briefed.contains(to) { &brief } else { &full };
-                    // Waits while the socket is full: a report that is not
-                    // sent would always miss the same peers, the last ones. One
-                    // that cannot be sent at all is as good as lost; the next
-                    // one is complete again.
+                    // Waits while the socket's buffer is full: if datagrams were
+                    // dropped instead, always the same peers would miss them, those
+                    // at the end of the list. One that cannot be sent in time
+                    // counts as lost; the next one is complete again.
                     let _ = timeout(SEND_TIMEOUT, socket.send_to(bytes, *to)).await;
                 }
             }
@@ -71,12 +73,12 @@
     }
 }
 
-/// A report for daemons that need it in full, and one for those that read briefs:
-/// the same where something has changed that a brief does not say, and each
-/// [`HEARTBEAT`].
+/// Encodes a report for daemons that need it in full, and one for those that read briefs.
+/// Both are full reports every [`HEARTBEAT`], and when something has changed that a brief
+/// omits.
 ///
-/// What runs where changes some fifty times a second and is a fifth of a full
-/// report; the rest would be most of the bytes between data centres.
+/// The runs at workers change about fifty times per second and are a fifth of a full
+/// report. The rest would be most of the bytes sent between data centres.
 fn datagrams(
     gw: &Gateway,
     sequence: u64,
@@ -99,8 +101,7 @@
     Ok((full.clone(), full))
 }
 
-/// Peers that are known, and seeds as long as they are not among them; and those
-/// of them that read briefs.
+/// The addresses of all known peers and seeds, and of those among them that read briefs.
 fn targets(gw: &Gateway) -> (BTreeSet<SocketAddr>, BTreeSet<SocketAddr>) {
     let members = gw.members.borrow();
     let mut targets: BTreeSet<SocketAddr> = members.peers().map(|(_, p)| p.reports).collect();
@@ -115,14 +116,14 @@
     (targets, briefed)
 }
 
-/// Takes reports for ever.
+/// Receives reports, forever.
 pub(crate) async fn take_reports(gw: Rc<Gateway>, socket: Rc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     let asking = Rc::new(Cell::new(false));
     let mut senders = Senders::default();
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buf).await else {
-            // A datagram that came back as undeliverable; the peer is down.
+            // An earlier datagram was undeliverable, as the peer is down.
             continue;
         };
         match wire::read(&buf[..length]) {
@@ -132,7 +133,7 @@
                 apply_report(&gw, *report, supplement, trailer, &asking);
             }
             Ok(Datagram::Brief(brief)) => {
-                // Of a sender that is not known yet the next full one tells all.
+                // Briefs of an unknown sender are ignored until its next full report.
                 if let Some(sender) = senders.get(brief.sender) {
                     apply_load(&gw, sender, brief.load(&gw));
                 }
@@ -152,7 +153,7 @@
         if self.0.get(&tag) == Some(entry) {
             return;
         }
-        // Its run before says nothing any more.
+        // The sender's previous incarnation sends no more briefs.
         self.0.retain(|_, known| known != entry);
         self.0.insert(tag, entry.clone());
     }
@@ -206,7 +207,8 @@
     }
 }
 
-/// Takes over what a peer runs: batch here may have to make room, or finds some.
+/// Records a peer's load. Batch runs of this daemon may have to be preempted, or further
+/// items may be started.
 fn apply_load(gw: &Gateway, peer: &EntryName, load: PeerLoad) {
     gw.board.borrow_mut().hear(peer, load);
     crate::jobs::make_room(gw);
@@ -240,8 +242,8 @@
     };
     let is_news = gw.members.borrow_mut().hear(report.entry.clone(), peer);
     if is_news {
-        // The jobs of its run before, if any, have no owner now.
+        // The jobs of the peer's previous incarnation, if any, have no owner now.
         gw.jobs.borrow().orphans_due.notify_one();
-        info!(target: "members", peer:% = report.entry, run:% = report.run; "peer heard");
+        info!(target: "members", peer:% = report.entry, run:% = report.run; "peer discovered");
     }
 }
--- a/crates/bluebellreel_gateway/src/reports/parts.rs
+++ b/crates/bluebellreel_gateway/src/reports/parts.rs
@@ -1,5 +1,6 @@
-//! What follows a report and its supplement. Each version of daemons adds parts at the
-//! end, and reads as far as those that it knows.
+//! The parts of a full report that follow the report proper and its supplement. Each
+//! version of the daemon adds parts at the end, and ignores those after the last one that
+//! it knows.
 
 use crate::gateway::Gateway;
 use bluebellreel_dispatch::{CrashNotice, Fingerprint, Strike, Suspects, WorkerTag};
@@ -8,16 +9,17 @@
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 
-/// How many daemons send, in each round of full reports, the notices that all have of
-/// quarantined requests: enough for one that has just started, whatever is lost.
+/// Mean number of daemons that include, in each round of full reports, the notices of
+/// quarantined requests that all daemons have: enough for a daemon that has just started
+/// to receive them despite lost datagrams.
 const FULL_NOTICE_SENDERS: usize = 8;
 
-/// All of them, in their order.
+/// All these parts, in the order of encoding.
 #[derive(Default, Serialize)]
 pub(super) struct Trailer {
     pub(super) warnings: Warnings,
     pub(super) freshness: Freshness,
-    /// Which workers the sender lists.
+    /// Digest of the sender's list of workers.
     pub(super) list: WorkerList,
 }
 
@@ -31,19 +33,19 @@
     }
 }
 
-/// What follows a supplement: crashes of workers, and the requests that were there.
-/// Some 500 bytes at the most.
+/// The part after the supplement: crashes of workers, and the requests that ran there. At
+/// most about 500 bytes.
 #[derive(Default, Serialize, Deserialize)]
 pub(super) struct Warnings {
     crashes: Vec<Crash>,
-    /// Requests that are tried out now.
+    /// Requests of which trial runs are in progress.
     trials: Vec<Fingerprint>,
 }
 
-/// What follows the warnings. Daemons of the version before read as far as those.
+/// The part after the warnings. Daemons of the previous version ignore it.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 pub(super) struct Freshness {
-    /// How long ago the store answered its sender last.
+    /// How long ago the store last answered the sender.
     answered_ms_ago: Option<u32>,
 }
 
@@ -56,14 +58,15 @@
         }
     }
 
-    /// When the store answered a report's sender last.
+    /// When the store last answered the report's sender.
     pub(super) fn answered_at(self, now: Moment) -> Option<Moment> {
         let ms = u64::from(self.answered_ms_ago?);
         Some(Moment(now.0.saturating_sub(ms * 1000)))
     }
 }
 
-/// One crash under one request; ages in milliseconds, as clocks differ.
+/// One crash during a run of one request. Times are sent as ages in milliseconds, as the
+/// daemons' clocks differ.
 #[derive(Serialize, Deserialize)]
 struct Crash {
     fingerprint: Fingerprint,
@@ -74,7 +77,7 @@
 }
 
 impl Warnings {
-    /// What this daemon warns of.
+    /// The crashes and trials that this daemon reports.
     pub(super) fn own(gw: &Gateway) -> Self {
         if gw.suspects.borrow().is_empty() {
             return Self::default();
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Takes over what a peer warns of.
+    /// Records the crashes and trials that a peer reports.
     pub(super) fn take(self, suspects: &mut Suspects, now: Moment) {
         for crash in self.crashes {
             suspects.note_crash(crash.notice(now), now);
--- a/crates/bluebellreel_gateway/src/reports/wire.rs
+++ b/crates/bluebellreel_gateway/src/reports/wire.rs
@@ -1,11 +1,11 @@
-//! What reports look like on the wire.
+//! The wire format of reports.
 //!
-//! A full report says everything of its sender. Between two of them, what changes
-//! some fifty times a second is only what runs where: that goes in a brief, which
-//! needs the full report before it to be understood.
+//! A full report contains the whole state of its sender. Between two full reports usually
+//! only the runs at workers change, about fifty times per second. These are sent in a
+//! brief, which can be interpreted only after a full report of the same sender.
 //!
-//! Each datagram ends with a checksum of what stands before. Daemons of earlier
-//! versions leave what follows a message; what they send has none.
+//! Each datagram ends with a checksum of the preceding bytes. Daemons of earlier versions
+//! ignore the bytes after a message, and send no checksum.
 
 use super::parts::Trailer;
 use crate::gateway::Gateway;
@@ -18,12 +18,12 @@
 use std::net::SocketAddr;
 use twox_hash::XxHash64;
 
-/// First byte of a brief. A report begins with the length of its sender's name,
-/// which is never none.
+/// First byte of a brief. A full report begins with the length of its sender's name,
+/// which is never zero.
 const BRIEF: u8 = 0;
 
-/// Length of a checksum in bytes. One in four billion datagrams that are no
-/// reports has a right one.
+/// Length of a checksum in bytes. One in four billion invalid datagrams has a correct
+/// checksum by chance.
 const CHECKSUM_BYTES: usize = 4;
 
 /// A full report.
@@ -36,7 +36,7 @@
     pub(super) reports: SocketAddr,
     pub(super) stopping: bool,
     pub(super) reaches_store: bool,
-    /// How long the store has served it without an outage; in seconds.
+    /// How long the store has served the sender without an outage, in seconds.
     pub(super) served_s: u32,
     pub(super) revisions: Revisions,
     pub(super) jobs: Vec<JobId>,
@@ -46,37 +46,37 @@
     pub(super) cancelled: Vec<JobId>,
 }
 
-/// What follows a report. Daemons of an earlier version read the report and
-/// leave this; what they send lacks it.
+/// The part that follows a report. Daemons of an earlier version ignore it and do not
+/// send it.
 #[derive(Default, Serialize, Deserialize)]
 pub(super) struct Supplement {
-    /// The lives of the workers in `running`, in the same order.
+    /// The incarnations of the workers in `running`, in the same order.
     boots: Vec<Option<Boot>>,
-    /// Whether its sender understands briefs.
+    /// Whether the sender understands briefs.
     pub(super) reads_briefs: bool,
-    /// Where its sender stands.
+    /// The sender's data centre.
     pub(super) place: Option<DataCentre>,
 }
 
-/// What runs where, between two full reports.
+/// The sender's runs at workers, sent between two full reports.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Brief {
-    /// Which run of which daemon sends it; see [`sender_tag`].
+    /// Identifies the sender's name and incarnation; see [`sender_tag`].
     pub(super) sender: u32,
     pub(super) sequence: u64,
     waiting: u32,
-    /// Online requests and batch items at each worker that has any.
+    /// Numbers of online requests and batch items at each worker that has any.
     running: Vec<(WorkerTag, u8, u8)>,
 }
 
-/// Why a datagram is no report.
+/// Why a datagram could not be decoded.
 #[derive(Debug)]
 pub(super) enum DecodeError {
-    /// It ends early, or a value in it cannot be.
+    /// It ends early, or contains an invalid value.
     Malformed(postcard::Error),
-    /// Bytes follow that are not its checksum.
+    /// The bytes after the message are not its checksum.
     Corrupt,
-    /// No daemon has such a name.
+    /// The sender's name is not a valid name of a daemon.
     InvalidSender,
 }
 
@@ -84,8 +84,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Malformed(e) => e.fmt(f),
-            Self::Corrupt => f.write_str("it is not as it was sent"),
-            Self::InvalidSender => f.write_str("its sender's name cannot be"),
+            Self::Corrupt => f.write_str("checksum mismatch"),
+            Self::InvalidSender => f.write_str("invalid name of the sender"),
         }
     }
 }
@@ -96,21 +96,21 @@
     }
 }
 
-/// A datagram as it was read.
+/// A decoded datagram.
 pub(super) enum Datagram {
     Full(Box<Report>, Supplement, Trailer),
     Brief(Brief),
 }
 
-/// The short name of a daemon's run: a daemon that has started again counts anew,
-/// and what its run before has sent must not be taken for its own.
+/// A short identifier of a daemon's incarnation: a restarted daemon counts its reports
+/// from a new number, and briefs of its previous incarnation must not be attributed to it.
 pub(super) fn sender_tag(entry: &EntryName, run: Incarnation) -> u32 {
     let hash = XxHash64::oneshot(run.0, entry.as_str().as_bytes());
     u32::try_from(hash >> 32).unwrap_or(0)
 }
 
-/// The parts of a report that a brief leaves out and that may not wait for the
-/// next regular one.
+/// The parts of a report that a brief omits and whose changes must not wait for the next
+/// regular full report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Urgent {
     stopping: bool,
@@ -118,7 +118,7 @@
     revisions: Revisions,
     jobs: Vec<JobId>,
     cancelled: Vec<JobId>,
-    /// Of what is known of crashes.
+    /// Version of the known crashes.
     suspects: u64,
 }
 
@@ -134,7 +134,7 @@
         }
     }
 
-    /// The same report, as far as a brief says it.
+    /// The brief that corresponds to this report.
     pub(super) fn brief(&self, supplement: &Supplement) -> Brief {
         let saturated = |n: u32| u8::try_from(n).unwrap_or(u8::MAX);
         let runs = self.running.iter().zip(&supplement.boots);
@@ -155,13 +155,13 @@
 }
 
 impl Brief {
-    /// A brief as it is sent.
+    /// Encodes the brief as a datagram.
     pub(super) fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_allocvec(&(BRIEF, self)).map(append_checksum)
     }
 
-    /// The load that it reports. Workers that are not known here are left out:
-    /// nothing is sent to them either.
+    /// The load that the brief reports. Workers that this daemon does not know are
+    /// omitted: it does not send to them either.
     pub(super) fn load(&self, gw: &Gateway) -> PeerLoad {
         let board = gw.board.borrow();
         let running = self.running.iter().filter_map(|(tag, online, batch)| {
@@ -181,7 +181,7 @@
     }
 }
 
-/// What this daemon says of itself.
+/// Creates this daemon's report.
 pub(super) fn report(gw: &Gateway, sequence: u64) -> (Report, Supplement) {
     let board = gw.board.borrow();
     let running = board
@@ -213,7 +213,7 @@
     (report, supplement)
 }
 
-/// Adds its checksum to a datagram.
+/// Appends the checksum to a datagram.
 pub(super) fn append_checksum(mut datagram: Vec<u8>) -> Vec<u8> {
     let sum = checksum(&datagram);
     datagram.extend_from_slice(&sum);
@@ -225,22 +225,21 @@
     u32::try_from(hash >> 32).unwrap_or(0).to_le_bytes()
 }
 
-/// What stands before a checksum that is right.
+/// The bytes before the checksum, if the checksum is correct.
 fn strip_checksum(datagram: &[u8]) -> Option<&[u8]> {
     let (bytes, sum) = datagram.split_last_chunk::<CHECKSUM_BYTES>()?;
     (checksum(bytes) == *sum).then_some(bytes)
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 pub(super) fn read(datagram: &[u8]) -> Result<Datagram, DecodeError> {
     if let Some(bytes) = strip_checksum(datagram) {
         return Ok(parse(bytes)?.0);
     }
     let (read, rest) = parse(datagram)?;
-    // Guard: bytes that nobody sent as a report can be read as one, with a peer that
-    // does not exist, its jobs and its load. Without a checksum a datagram must be an
-    // earlier version's: it ends where its message does, and a daemon may have its
-    // sender's name.
+    // Arbitrary bytes may decode as a report of a peer that does not exist, with jobs and
+    // load. A datagram without a checksum must therefore be one of an earlier version:
+    // nothing follows its message, and its sender has a valid name.
     if !rest.is_empty() {
         return Err(DecodeError::Corrupt);
     }
@@ -252,7 +251,7 @@
     Ok(read)
 }
 
-/// Reads a message; the bytes that follow it.
+/// Decodes a message. Also returns the bytes that follow it.
 fn parse(datagram: &[u8]) -> Result<(Datagram, &[u8]), postcard::Error> {
     if let [BRIEF, rest @ ..] = datagram {
         let (brief, rest) = postcard::take_from_bytes(rest)?;
@@ -272,7 +271,8 @@
     Ok((full, rest))
 }
 
-/// Reads a part that earlier versions do not send; the bytes that follow it.
+/// Decodes a part that earlier versions do not send. Also returns the bytes that follow
+/// it.
 fn optional<T: Default + DeserializeOwned>(bytes: &[u8]) -> Result<(T, &[u8]), postcard::Error> {
     if bytes.is_empty() {
         return Ok((T::default(), bytes));
@@ -280,13 +280,13 @@
     postcard::take_from_bytes(bytes)
 }
 
-/// Whether settings allow a daemon this name.
+/// Whether the settings accept this as a daemon's name.
 fn is_valid_name(name: &str) -> bool {
     let plain = |c: char| c.is_alphanumeric() || "-_.".contains(c);
     !name.is_empty() && name.chars().all(plain)
 }
 
-/// A peer's load as it reports it.
+/// The load that a peer's full report contains.
 pub(super) fn load_of(report: &Report, supplement: Supplement, now: Moment) -> PeerLoad {
     let boots = supplement.boots.into_iter().chain(std::iter::repeat(None));
     let runs = report.running.iter().zip(boots);
--- a/crates/bluebellreel_gateway/src/request.rs
+++ b/crates/bluebellreel_gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request on its way.
+//! The state of a caller's request while it is processed.
 
 use crate::crash::InterruptedRun;
 use crate::gateway::Gateway;
@@ -12,44 +12,45 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Share of a route's objective that a request may wait in line; the rest is
-/// for its way, its prompt, and what is not known of the others in line.
+/// Share of a route's latency objective that a request may wait in a worker's queue. The
+/// rest is for the network, the processing of its prompt, and unknown properties of the
+/// requests before it.
 const MAX_QUEUEING_SHARE: f64 = 0.62;
-/// How long a worker with a free slot may take to its first byte before a
-/// request that may be repeated goes elsewhere. An idle engine takes some
-/// 20 ms; a send elsewhere must still leave half of a 300 ms objective.
+/// How long a worker with a free slot may take to send its first byte before a
+/// repeatable request is sent elsewhere. An idle engine takes about 20 ms; a send
+/// elsewhere must leave half of a 300 ms objective.
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(130);
-/// Added for each request that waits before it: about the time in which one of
-/// a worker's slots comes free.
+/// Added to this timeout for each request that waits at the worker: about the time until
+/// one of a worker's slots becomes free.
 const FIRST_BYTE_PER_WAITING: Duration = Duration::from_millis(110);
 
-/// A caller's request on its way.
+/// A caller's request that is being processed.
 pub(crate) struct Request {
     pub(crate) id: Arc<str>,
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<str>,
     pub(crate) out: Outgoing,
-    /// When its answer is no longer wanted, or no longer allowed.
+    /// When the caller stops waiting or the route's time limit is reached.
     pub(crate) deadline: Instant,
     pub(crate) received: Instant,
-    /// Workers that it was sent to.
+    /// Workers that the request was sent to.
     pub(crate) tried: Vec<WorkerName>,
-    /// Sends that may have run.
+    /// Number of sends that may have been run by a worker.
     pub(crate) runs: u32,
-    /// Reckoned when it is first asked for.
+    /// The fingerprint, computed on first use.
     pub(crate) fingerprint: OnceCell<Fingerprint>,
-    /// While it shows whether workers can run it now.
+    /// Set while the request is a trial run that shows whether workers can run it.
     pub(crate) trial: Option<Trial>,
 }
 
 impl Request {
-    /// Whether it may be sent once more.
+    /// Whether the request may be sent once more.
     pub(crate) fn may_repeat(&self) -> bool {
         let allowed = self.runs == 0 || self.route.repeatable();
         allowed && self.runs < self.route.max_workers.max(1)
     }
 
-    /// A run of it that its worker broke off.
+    /// A run of this request that its worker broke off.
     pub(crate) fn interrupted_run(&self, ticket: Ticket, began: Moment) -> InterruptedRun {
         InterruptedRun {
             request: self.id.clone(),
@@ -59,16 +60,17 @@
         }
     }
 
-    /// What it asks for, whichever attempt it is.
+    /// The fingerprint of the request's content, the same for each retry by the caller.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self
             .fingerprint
             .get_or_init(|| Fingerprint::of(&self.out.identity()))
     }
 
-    /// Whether it may be sent to a worker; else when it may be tried again.
+    /// Checks whether the request may be sent to a worker; else returns when it may be
+    /// retried.
     pub(crate) fn may_run(&mut self, gw: &Rc<Gateway>) -> Result<(), Moment> {
-        // What an earlier run has shown counts by now.
+        // The outcome of an earlier run has been recorded by now.
         self.trial = None;
         let permit = quarantine_gate::may_run(gw, &self.id, Sender::Caller, || self.fingerprint())?;
         self.trial = Trial::begin(gw, &self.id, permit);
@@ -79,13 +81,13 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// How long it may wait in line and still meet its objective.
+    /// How long the request may wait in a worker's queue and still meet its objective.
     pub(crate) fn patience(&self) -> Duration {
         self.route.objective.mul_f64(MAX_QUEUEING_SHARE)
     }
 
-    /// When the first byte from a worker counts as late; never for a request
-    /// that cannot go elsewhere.
+    /// When the first byte from a worker counts as late. For a request that cannot be
+    /// sent elsewhere this is its deadline.
     pub(crate) fn first_byte_due(&self, gw: &Gateway, worker: &WorkerName) -> Instant {
         let last_try = self.runs + 1 >= self.route.max_workers.max(1);
         if last_try || !self.route.repeatable() {
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! The life of a gateway: start, signals, end.
+//! Start, periodic clean-up and stop of a gateway.
 
 use crate::gateway::Gateway;
 use crate::reload::ProcessHooks;
@@ -20,23 +20,24 @@
 use tokio::sync::Notify;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Longest that a caller's connection may stay without a request, until the
-/// configuration says otherwise.
+/// How long a caller's connection may be idle before it is closed, while no
+/// configuration is known that sets this limit.
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// The same for connections of peers and the balancer.
+/// Idle timeout of connections from peers, the balancer and readers of metrics.
 const INTERNAL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between clean-ups of what has outlived its time.
+/// Interval between evictions of expired entries.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// Time without most peers after which a daemon counts as cut off from them. One
-/// that has just started reads who they are, and hears all within half a second.
+/// Time without reports from most peers after which a daemon counts as isolated. A
+/// daemon that has just started reads the list of members and receives reports from
+/// all of them within half a second.
 const ISOLATED_AFTER: Duration = Duration::from_secs(1);
 
-/// Runs a gateway until it is asked to stop by a signal; whether nothing was
-/// cut.
+/// Runs a gateway until a signal asks it to stop. Returns whether every request was
+/// answered in full.
 ///
 /// # Errors
 ///
-/// Gives the reason when an address cannot be listened on.
+/// Returns an error if an address cannot be bound.
 pub fn run_gateway(settings: GatewaySettings, hooks: ProcessHooks) -> eyre::Result<bool> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -47,19 +48,20 @@
     })
 }
 
-/// Ends when a signal asks for the end, and notifies of those that say that the
-/// settings have changed. The handlers stand once this returns.
+/// Returns a future that completes when a signal asks the process to stop. Signals
+/// that announce changed settings notify `settings_changed`. The signal handlers are
+/// installed when this function returns.
 fn stop_signal(settings_changed: Rc<Notify>) -> eyre::Result<impl Future<Output = ()>> {
     let hung_up = move || settings_changed.notify_one();
     Ok(bluebellreel_signals::stop_asked(hung_up)?)
 }
 
-/// Runs a gateway on the present local task set until `stop` ends; whether
-/// nothing was cut.
+/// Runs a gateway on the current local task set until `stop_asked` completes. Returns
+/// whether every request was answered in full.
 ///
 /// # Errors
 ///
-/// Gives the reason when an address cannot be listened on.
+/// Returns an error if an address cannot be bound.
 pub async fn run_gateway_until(
     settings: GatewaySettings,
     stop_asked: impl Future<Output = ()>,
@@ -149,8 +151,7 @@
     Ok(())
 }
 
-/// How long a caller's connection may stay without a request, as the operators
-/// have it.
+/// The idle timeout of callers' connections: the configuration's, if one is known.
 fn caller_idle(gw: &Gateway) -> Duration {
     let configuration = gw.configuration();
     configuration.map_or(CALLER_IDLE_TIMEOUT, |c| c.limits.idle_time)
@@ -173,23 +174,26 @@
     gw.board.borrow_mut().paces.sweep(now);
     let expired = gw.cluster_state.borrow_mut().catalog.expire(now);
     if expired {
-        apply_workers(gw, "time to register again is over");
+        apply_workers(gw, "re-registration timeout");
     }
     let outlived = gw.cluster_state.borrow_mut().expire(now);
     if outlived {
-        warn!(target: "facts", entry:% = gw.me(); "snapshot no longer believed");
-        apply_workers(gw, "snapshot no longer believed");
+        warn!(target: "facts", entry:% = gw.me(); "snapshot expired");
+        apply_workers(gw, "snapshot expired");
     }
 }
 
-/// Notes whether few peers are heard, or most of them again.
+/// Records since when the daemon has been isolated from most peers. When the isolation
+/// ends and lasted longer than [`ISOLATED_AFTER`], interrupts the tenure and counts a
+/// reconnection.
 fn update_isolation(gw: &Gateway, now: Moment) {
     let isolated = !gw.members.borrow().hears_most(now);
     let since = gw.isolated_since.get();
     gw.isolated_since
         .set(isolated.then_some(since.unwrap_or(now)));
     if !isolated && since.is_some_and(|since| (since + ISOLATED_AFTER).is_past(now)) {
-        // Peers may have taken jobs over unheard, and workers have left.
+        // During the isolation peers may have taken over jobs of this daemon, and
+        // workers may have left.
         gw.interrupt_tenure();
         gw.reconnections.set(gw.reconnections.get() + 1);
     }
--- a/crates/bluebellreel_gateway/src/serve.rs
+++ b/crates/bluebellreel_gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Telling callers' requests apart.
+//! Distinguishes the kinds of callers' requests and passes each to its handler.
 
 use crate::gateway::Gateway;
 use crate::in_progress::InProgressGuard;
@@ -19,14 +19,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// When a caller should return to a daemon that knows no configuration yet.
+/// `Retry-After` of answers from a daemon without a configuration.
 const RETRY_UNCONFIGURED: Duration = Duration::from_millis(500);
 
-/// When a caller should return to another daemon.
+/// `Retry-After` of refusals by a stopping daemon; the retry goes to another daemon.
 const RETRY_ELSEWHERE: Duration = Duration::from_millis(50);
 
-/// Answers a caller. While the daemon stops, every answer asks the caller to
-/// open its next connection elsewhere.
+/// Answers a caller. While the daemon stops, every answer has `Connection: close`, so
+/// that the caller's next request goes to another daemon.
 pub(crate) async fn answer(gw: Rc<Gateway>, req: http::Request<Incoming>) -> Response<Body> {
     let in_progress = gw.in_progress.begin(ingress::request_id(req.headers()));
     let mut answer = answer_request(&gw, req).await;
@@ -37,7 +37,7 @@
     answer.map(|body| match body {
         Body::Full(bytes) => Body::Full(bytes),
         Body::Stream(chunks) => {
-            // The request is in progress until its last piece is out.
+            // The request counts as in progress until its last chunk is sent.
             Body::stream(GuardedBody {
                 chunks,
                 _guard: in_progress,
@@ -84,7 +84,7 @@
         let id = ingress::request_id(req.headers());
         info!(target: "online", request = id, path, host = ingress::host(&req), version = configuration.version; "no route");
         if gw.cluster_state.borrow().is_from_snapshot() {
-            // It may be newer than the snapshot.
+            // The route may be newer than the snapshot.
             let reason = "store away";
             return answers::retry_after(
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -103,7 +103,8 @@
         Err(answer) => return answer,
     };
     if gw.refusing.get() {
-        // Its body came late in a stop: passed on now, it would be cut.
+        // The daemon began to refuse requests while this body was being received. A
+        // request sent to a worker now would be cut off by the end of the process.
         return refuse_stopping();
     }
     if route.kind == RouteKind::Batch && head.method == Method::POST {
@@ -114,12 +115,12 @@
     online::answer(gw.clone(), request).await
 }
 
-/// Tells a caller that its request has not run, as this daemon ends.
+/// The answer to a request that has not run because this daemon is stopping.
 fn refuse_stopping() -> Response<Body> {
     answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, "stopping", RETRY_ELSEWHERE)
 }
 
-/// Bytes of a request's head, without what the protocol adds between its parts.
+/// Size of a request's head in bytes, without the separators that the protocol adds.
 fn head_bytes<B>(req: &http::Request<B>) -> usize {
     let headers = req.headers().iter();
     let fields: usize = headers.map(|(n, v)| n.as_str().len() + v.len()).sum();
@@ -135,7 +136,7 @@
     match read_body(body, configuration.limits.body_bytes, left).await {
         Ok(Some(body)) => Ok(body),
         Ok(None) => Err(answers::status(StatusCode::PAYLOAD_TOO_LARGE)),
-        // The body did not come: nothing was sent on.
+        // The body did not arrive, so nothing was sent to a worker.
         Err(_) => Err(answers::status(StatusCode::REQUEST_TIMEOUT)),
     }
 }
@@ -162,7 +163,7 @@
     }
 }
 
-/// Answers the balancer.
+/// Answers the balancer's readiness probe.
 pub(crate) fn readiness(gw: &Gateway) -> Response<Body> {
     answers::status(if gw.is_ready() {
         StatusCode::OK
--- a/crates/bluebellreel_gateway/src/server_handles.rs
+++ b/crates/bluebellreel_gateway/src/server_handles.rs
@@ -1,15 +1,15 @@
-//! Servers whose connections a stop waits for.
+//! Handles of the servers whose connections are drained on shutdown.
 
 use bluebellreel_net::{Served, Stop};
 
-/// A server and what it serves.
+/// Handle of one running server.
 #[derive(Default)]
 pub(crate) struct ServerHandle {
     pub(crate) stop: Stop,
     pub(crate) connection_tracker: Served,
 }
 
-/// Servers whose connections a stop waits for.
+/// Handles of the servers whose connections are drained on shutdown.
 #[derive(Default)]
 pub(crate) struct ServerHandles {
     pub(crate) callers: ServerHandle,
--- a/crates/bluebellreel_gateway/src/shutdown.rs
+++ b/crates/bluebellreel_gateway/src/shutdown.rs
@@ -1,10 +1,9 @@
-//! The graceful stop of a gateway.
+//! The graceful shutdown of a gateway.
 //!
-//! From the signal on it is not ready, and hands its jobs over. It takes
-//! requests as before until the balancer has noticed, and later ones too: with
-//! few gateways left, the balancer sends callers to those that stop. Once
-//! nothing is in progress it refuses what still comes, gives its lease back,
-//! and ends.
+//! From the signal on the gateway reports itself as not ready and hands its jobs over.
+//! It accepts requests until the balancer has noticed, and also later ones: when few
+//! gateways are left, the balancer sends callers to stopping ones too. Once nothing is
+//! in progress it refuses further requests, releases its lease, and ends.
 
 use crate::gateway::Gateway;
 use crate::jobs::{self, HandOvers};
@@ -17,32 +16,32 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-/// How long a stopping daemon takes connections as before: the balancer asks
-/// each second and needs two misses.
+/// How long a stopping daemon accepts connections as before: the balancer probes
+/// readiness every second and removes a gateway after two failed probes.
 const BALANCER_DRAIN_TIME: Duration = Duration::from_millis(2600);
-/// Time before the kill at which the process ends by itself.
+/// How long before SIGKILL the process ends by itself.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// Share of the time to the end after which new requests are refused: answers
-/// take more than a second under load, and a request passed on later may be cut.
+/// Share of the time until the end after which new requests are refused: answers take
+/// more than a second under load, and a request sent to a worker later may be cut off.
 const REFUSE_AFTER_SHARE: f64 = 0.6;
-/// Time kept before the end for closing the doors: refusals that are on their
-/// way, connections that wait to be accepted.
+/// Time reserved before the end for closing the listeners: for refusals that are being
+/// sent and connections that wait to be accepted.
 const CLOSE_MARGIN: Duration = Duration::from_millis(300);
-/// Longest wait for the store to take the lease back. It takes some
-/// milliseconds; from a silent store the lease lapses by itself.
+/// Timeout of releasing the lease. The store takes a few milliseconds; if it does not
+/// answer, the lease expires by itself.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time between checks whether requests are still in progress.
+/// Interval between checks whether requests are still in progress.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A stop that was asked for.
+/// A shutdown in progress.
 struct Shutdown<'a> {
     gw: &'a Rc<Gateway>,
     handles: &'a ServerHandles,
     hand_overs: Rc<HandOvers>,
     asked_at: Instant,
-    /// From when new requests are refused in any case.
+    /// When new requests are refused at the latest.
     refuse_from: Instant,
-    /// When the process ends, whatever is in progress.
+    /// When the process ends, even if requests are in progress.
     end: Instant,
 }
 
@@ -60,22 +59,24 @@
         }
     }
 
-    /// Whether anything is in progress, or a job waits for its hand-over.
+    /// Whether a request is in progress, a connection is active or a job has still to be
+    /// handed over.
     fn is_busy(&self) -> bool {
         let connections = self.handles.callers.connection_tracker.open();
         self.gw.in_progress.count() > 0 || connections > 0 || self.hand_overs.is_busy(self.gw)
     }
 
-    /// Logs where the stop is.
+    /// Logs the phase that the shutdown has reached.
     fn log_phase(&self, phase: &str) {
         let gw = self.gw;
         let took_ms = millis(self.asked_at.elapsed());
         info!(target: "gateway", entry:% = gw.me(), phase, in_progress = gw.in_progress.count(), open = self.handles.callers.connection_tracker.open(), jobs = gw.jobs.borrow().own.len(), took_ms; "stop goes on");
     }
 
-    /// Hands jobs over as they come. Some come after the signal: accepted
-    /// before it, taken over, or handed over by a peer that stops as well. So do ends
-    /// of jobs that cannot be recorded.
+    /// Hands over each job that this daemon owns or comes to own. After the signal it
+    /// may still get jobs that were accepted before it, taken over, or handed over by
+    /// a peer that stops as well. Cancellations that could not be recorded are
+    /// forwarded too.
     fn hand_jobs_over(&self) {
         let (gw, hand_overs) = (self.gw.clone(), self.hand_overs.clone());
         spawn_local(async move {
@@ -87,8 +88,7 @@
         });
     }
 
-    /// Waits until nothing is in progress, but not past the time from which
-    /// requests are refused.
+    /// Waits until nothing is in progress, but at most until requests are refused.
     async fn finish_requests(&self) {
         sleep_until((self.asked_at + BALANCER_DRAIN_TIME).min(self.refuse_from)).await;
         self.handles.callers.stop.close();
@@ -98,24 +98,24 @@
         }
     }
 
-    /// Takes no more requests: each that still comes is refused as not run.
-    /// Whatever is awaited at the end of a stop is awaited after this: a request
-    /// that was passed on meanwhile would be cut by the end of the process, and
-    /// its caller could not know whether it ran.
+    /// Refuses each further request as not run, then releases the lease. Every wait at
+    /// the end of a shutdown comes after the refusals begin: a request sent to a
+    /// worker during such a wait would be cut off by the end of the process, and its
+    /// caller could not know whether it ran.
     async fn refuse_and_release_lease(&self) {
         self.gw.refusing.set(true);
         self.log_phase("requests refused");
         let until = (Instant::now() + RELEASE_TIMEOUT).min(self.end);
         let released = timeout_at(until, lease::unregister(self.gw)).await;
         if released.is_err() {
-            warn!(target: "members", "lease not given back in time");
+            warn!(target: "members", "lease not released in time");
         }
     }
 
-    /// Listens no longer once nothing is in progress, and waits until every
-    /// connection has ended: after that nothing can come between the last look and
-    /// the end. While a stream goes on, callers are better off with a refusal that
-    /// says when to return.
+    /// Stops listening once nothing is in progress, and waits until every connection
+    /// is closed: after that no request can arrive between the last check and the end
+    /// of the process. While a stream is in progress the gateway keeps listening, as a
+    /// refusal with `Retry-After` serves callers better than a refused connection.
     async fn close_listeners(&self) {
         let close_at = self.end - CLOSE_MARGIN;
         let is_busy = || self.gw.in_progress.count() > 0 || self.hand_overs.is_busy(self.gw);
@@ -126,13 +126,13 @@
             handle.stop.finish();
         }
         for handle in [&self.handles.callers, &self.handles.peers] {
-            // What is cut is logged below.
+            // `log_cut` logs the requests that are still in progress.
             let _ = timeout_at(self.end, handle.connection_tracker.over()).await;
         }
     }
 
-    /// Names the requests that the end of the process cuts; whether nothing is
-    /// cut, also no answer that is not written to its end.
+    /// Logs the requests that the end of the process cuts off. Returns whether there
+    /// are none, and no connection is open on which an answer may be incomplete.
     fn log_cut(&self) -> bool {
         let gw = self.gw;
         gw.ended.set(true);
@@ -148,19 +148,20 @@
     }
 }
 
-/// Stops; whether no request was cut.
+/// Shuts the gateway down. Returns whether every request was answered in full.
 pub(crate) async fn shut_down(gw: &Rc<Gateway>, handles: &ServerHandles) -> bool {
     let shutdown = Shutdown::new(gw, handles);
     gw.stopping.set(true);
     gw.report_due.notify_one();
     info!(target: "gateway", entry:% = gw.me(), in_progress = gw.in_progress.count(), jobs = gw.jobs.borrow().own.len(); "stopping");
-    // Later calls of peers come on connections of their own, one each.
+    // Idle connections from peers are closed; from now on each call of a peer uses a
+    // new connection.
     handles.peers.stop.close();
     shutdown.hand_jobs_over();
     shutdown.finish_requests().await;
     shutdown.refuse_and_release_lease().await;
     shutdown.close_listeners().await;
-    // Nothing is awaited from this look to the end of the process.
+    // Nothing is awaited from this check to the end of the process.
     let clean = shutdown.log_cut();
     info!(target: "gateway", entry:% = gw.me(), clean, took_ms = millis(shutdown.asked_at.elapsed()); "stopped");
     clean
--- a/crates/bluebellreel_gateway/src/store.rs
+++ b/crates/bluebellreel_gateway/src/store.rs
@@ -1,9 +1,8 @@
 //! Calls to the platform's store.
 //!
-//! A call without an answer is given up after a time and its connection never
-//! used again. A write without an answer may have taken effect, or may do so
-//! seconds later while its guards hold: [`StoreClient::commit`] repeats it
-//! unchanged until it is decided.
+//! A call without an answer times out, and its connection is never reused. A write
+//! without an answer may have taken effect, or may take effect seconds later while its
+//! guards hold: [`StoreClient::commit`] repeats it unchanged until its outcome is known.
 
 use bluebellreel_kv::{Commit, Compare, Key, KeyValue, KvError, Txn};
 use bluebellreel_net::{Pool, PoolLimits, Reuse, SendError};
@@ -18,46 +17,46 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Longest wait for an answer. The store answers in some 4 ms, fifty times as
-/// slowly on a bad day.
+/// Timeout of a call. The store answers in about 4 ms normally, and up to fifty times
+/// more slowly under adverse conditions.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest wait for a new connection.
+/// Timeout of connecting to the store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle time of connections.
+/// Idle timeout of connections to the store.
 const CONNECTION_IDLE: Duration = Duration::from_secs(5);
-/// Idle connections kept.
+/// Maximum number of idle connections.
 const MAX_IDLE: usize = 4;
-/// Pause before a refused or lost call is repeated.
+/// Pause before a rejected or lost call is repeated.
 const REPEAT_PAUSE: Duration = Duration::from_millis(150);
-/// Longest answer read.
+/// Maximum size of an answer.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
-/// Time in which every straight call failed after which the store counts as
-/// lost. A single call may fail by a reset connection.
+/// The store counts as lost once every direct call has failed for this time. A single
+/// call may fail because of a reset connection.
 const LOST_AFTER: Duration = Duration::from_millis(500);
-/// Time in which every straight call failed after which a success counts as
-/// the end of an outage. Leases lapse only in longer ones, but this daemon may
-/// have made its first call late in it.
+/// Minimum time for which every direct call must have failed for this to count as an
+/// outage. Leases expire only in longer outages, but this daemon may have made its first
+/// call late in one.
 const MIN_OUTAGE: Duration = Duration::from_millis(250);
-/// Time after the start in which a store that is there has answered: it takes
-/// some 4 ms, and a new daemon calls it at once.
+/// Time after the start within which a reachable store has answered: an answer takes
+/// about 4 ms, and a new daemon calls the store at once.
 const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// How much longer than asked for a watch may take.
+/// How much longer than its requested duration a watch may take.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
 
-/// A time in which every straight call failed.
+/// A period in which every direct call failed.
 #[derive(Clone, Copy)]
 struct Outage {
     began: Instant,
     ended: Instant,
 }
 
-/// What a call brought: status and body.
+/// Status and body of an answer.
 pub(crate) type StoreAnswer = Result<(StatusCode, Bytes), KvError>;
-/// Makes a call through a peer; `None` if no peer reaches the store.
+/// Makes a call through a peer; returns `None` if no peer reaches the store.
 pub(crate) type PeerProxy =
     Box<dyn Fn(Request<Bytes>, Duration) -> Option<LocalBoxFuture<'static, StoreAnswer>>>;
 
-/// Whether the store has dealt with a call.
+/// Whether the store has processed a call.
 fn is_answered(answer: &StoreAnswer) -> bool {
     let turned_away = [
         StatusCode::SERVICE_UNAVAILABLE,
@@ -68,22 +67,21 @@
 
 /// A client of the store.
 ///
-/// The store may turn one daemon away and serve the others. Such a daemon
-/// makes its calls through a peer, and tries the straight way at each renewal
-/// of its lease.
+/// The store may reject one daemon's calls and serve the others. Such a daemon makes its
+/// calls through a peer, and tries a direct call at each renewal of its lease.
 pub(crate) struct StoreClient {
     pool: Pool,
     address: SocketAddr,
     calls: Cell<u64>,
     failures: Cell<u64>,
-    /// Since when every straight call has failed.
+    /// Since when every direct call has failed.
     failing_since: Cell<Option<Instant>>,
     started: Instant,
     last_outage: Cell<Option<Outage>>,
-    /// When a call succeeded last, either way.
+    /// When a call succeeded last, directly or through a peer.
     answered_at: Cell<Option<Instant>>,
     proxy: RefCell<Option<PeerProxy>>,
-    /// Latencies of calls that were answered, but watches, which wait.
+    /// Latencies of answered calls except watches, whose answers are delayed.
     latency: Histogram,
 }
 
@@ -108,35 +106,35 @@
         }
     }
 
-    /// Sets the way through peers.
+    /// Sets the function that makes calls through peers.
     pub(crate) fn set_peer_proxy(&self, proxy: PeerProxy) {
         *self.proxy.borrow_mut() = Some(proxy);
     }
 
-    /// Calls made and calls that failed.
+    /// Number of calls made and number of calls that failed.
     pub(crate) fn counts(&self) -> (u64, u64) {
         (self.calls.get(), self.failures.get())
     }
 
-    /// Whether the store turns this daemon's own calls away.
+    /// Whether this daemon's direct calls have failed for longer than [`LOST_AFTER`].
     pub(crate) fn is_lost(&self) -> bool {
         let failing = self.failing_since.get();
         failing.is_some_and(|since| since.elapsed() > LOST_AFTER)
     }
 
-    /// How long every straight call has failed; none while calls succeed.
+    /// How long every direct call has failed; none while direct calls succeed.
     pub(crate) fn failing_for(&self) -> Option<Duration> {
         Some(self.failing_since.get()?.elapsed())
     }
 
-    /// Whether this daemon has looked for the store since its start, and nobody
-    /// has answered.
+    /// Whether the store has had time to answer since this daemon's start, and no call
+    /// has succeeded.
     pub(crate) fn has_never_answered(&self) -> bool {
         let had_time = self.failures.get() > 0 || self.started.elapsed() > FIRST_ANSWER_TIMEOUT;
         had_time && self.answered_at.get().is_none()
     }
 
-    /// How long ago a call succeeded last, either way.
+    /// How long ago a call succeeded last, directly or through a peer.
     pub(crate) fn since_last_answer(&self) -> Option<Duration> {
         Some(self.answered_at.get()?.elapsed())
     }
@@ -146,7 +144,7 @@
         Some(self.last_outage.get()?.ended.elapsed())
     }
 
-    /// How long ago the last outage began, as far as this daemon noticed.
+    /// How long ago the last outage began, according to this daemon's calls.
     pub(crate) fn since_outage_start(&self) -> Option<Duration> {
         Some(self.last_outage.get()?.began.elapsed())
     }
@@ -160,14 +158,14 @@
             .unwrap_or_else(|| self.started.elapsed())
     }
 
-    /// Makes a call by the way that is likely to succeed.
+    /// Makes a call: through a peer while the store is lost, else directly.
     async fn call(&self, req: Request<Bytes>, max_time: Duration) -> StoreAnswer {
         let via_peer = self.is_lost();
         self.call_by(via_peer, req, max_time).await
     }
 
-    /// Makes a call by way of a peer if that is asked for and one reaches the
-    /// store; else straight.
+    /// Makes a call through a peer if `via_peer` is set and a peer reaches the store;
+    /// else directly.
     async fn call_by(
         &self,
         via_peer: bool,
@@ -221,7 +219,7 @@
         };
         let answer = timeout(max_time, sent).await;
         let answer = answer.unwrap_or_else(|_| {
-            // Its kept connections may all have fallen silent.
+            // The idle connections to the store may all be dead.
             self.pool.drop_idle(self.address);
             Err(KvError::Unknown("no answer in time".into()))
         });
@@ -244,8 +242,8 @@
         store::read_answer(status, &body)
     }
 
-    /// Reads all keys that start with `prefix`, and the revision from which a
-    /// watch brings what changed since the first page.
+    /// Reads all keys that start with `prefix`. Also returns the revision of the first
+    /// page: a watch after it delivers every later change.
     pub(crate) async fn list(&self, prefix: &Key) -> Result<(Vec<KeyValue>, i64), KvError> {
         let mut all = Vec::new();
         let mut revision = None;
@@ -267,7 +265,7 @@
         }
     }
 
-    /// Waits for changes.
+    /// Waits up to `wait` for changes of keys that start with `prefix`.
     pub(crate) async fn watch(
         &self,
         prefix: &Key,
@@ -279,7 +277,7 @@
         store::watch_answer(status, &body)
     }
 
-    /// Whether guards hold; what the guarded keys hold if one does not.
+    /// Checks whether guards hold; returns the guarded keys' values if one does not.
     pub(crate) async fn check(
         &self,
         guards: Vec<Compare>,
@@ -294,15 +292,15 @@
         store::txn_answer(status, &body)
     }
 
-    /// Asks for a lease.
+    /// Creates a lease.
     pub(crate) async fn lease(&self, ttl: Duration) -> Result<Lease, KvError> {
         let (status, body) = self.call(store::lease_call(ttl), CALL_TIMEOUT).await?;
         store::lease_answer(status, &body)
     }
 
-    /// Renews a lease; whether it still runs. This call always tries the
-    /// straight way first, and so finds out when it is open again: calls that
-    /// somebody waits for do not.
+    /// Renews a lease. Returns whether it was still alive. Renewals always try a direct
+    /// call first, and thereby detect when the store accepts direct calls again. Other
+    /// calls do not, since a caller may be waiting for them.
     pub(crate) async fn renew(&self, lease: i64) -> Result<bool, KvError> {
         let mut answer = self
             .call_by(false, store::renew_call(lease), CALL_TIMEOUT)
@@ -316,18 +314,18 @@
         store::renew_answer(status)
     }
 
-    /// Gives a lease back.
+    /// Revokes a lease.
     pub(crate) async fn release(&self, lease: i64) -> Result<(), KvError> {
         self.call(store::release_call(lease), CALL_TIMEOUT).await?;
         Ok(())
     }
 
-    /// Carries a write out, repeating it unchanged until it is decided or
-    /// `until` has come.
+    /// Makes a write, repeating it unchanged until its outcome is known or `until` is
+    /// reached.
     ///
-    /// A guard that fails after a try whose answer was lost may have been
-    /// overtaken by that very try: [`Commit::Beaten`] hands out what the
-    /// guarded keys hold, for the caller to tell its own write by its content.
+    /// If an attempt's answer was lost and a guard fails at the next attempt, the
+    /// first one may itself have changed the guarded key: [`Commit::Beaten`] returns
+    /// the guarded keys' values, so that the caller can recognise its own write.
     pub(crate) async fn commit(&self, txn: &Txn, until: Instant) -> Commit {
         let mut in_doubt = None;
         let mut via_peer = self.is_lost();
@@ -354,7 +352,8 @@
                     None => Commit::NotDone(reason),
                 };
             }
-            // The other way may be open, and is tried at once.
+            // The other route, direct or through a peer, is tried at once, with a
+            // pause only after both have failed.
             via_peer = !via_peer;
             if !via_peer {
                 sleep(REPEAT_PAUSE).await;
--- a/crates/bluebellreel_gateway/src/store_proxy.rs
+++ b/crates/bluebellreel_gateway/src/store_proxy.rs
@@ -1,9 +1,10 @@
-//! Calls to the store by way of a peer.
+//! Calls to the store through a peer.
 //!
-//! The store may turn a daemon away while it serves the others. The daemon's
-//! jobs would then stand still and its lease would end, though nothing is
-//! wrong with it. A peer makes the call and hands the answer back; a call
-//! that is lost on the way is as much in doubt as one lost at the store.
+//! The store may reject the calls of one daemon while it serves the others. That
+//! daemon's jobs would then stall and its lease would expire, though nothing is wrong
+//! with the daemon. A peer makes the call instead and returns the answer. The outcome of
+//! a call that is lost between the daemons is as unknown as that of one lost at the
+//! store.
 
 use crate::gateway::Gateway;
 use crate::millis::millis;
@@ -19,7 +20,7 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// A call as peers send it.
+/// A call to the store, as sent to a peer.
 #[derive(Serialize, Deserialize)]
 struct Call {
     method: String,
@@ -28,7 +29,7 @@
     longest_ms: u64,
 }
 
-/// What came of it.
+/// The outcome of a call, as the peer returns it.
 #[derive(Serialize, Deserialize)]
 enum Outcome {
     Answered(u16, Vec<u8>),
@@ -36,10 +37,10 @@
     Unknown(String),
 }
 
-/// Longest that a peer's call may take; that of a watch.
+/// Maximum duration of a call on behalf of a peer, which is the duration of a watch.
 const MAX_CALL_TIME: Duration = Duration::from_secs(5);
 
-/// Lets a daemon's store client go by way of its peers.
+/// Enables a daemon's store client to make calls through peers.
 pub(crate) fn install(gw: &Rc<Gateway>) {
     let weak: Weak<Gateway> = Rc::downgrade(gw);
     gw.store.set_peer_proxy(Box::new(move |req, max_time| {
@@ -49,8 +50,8 @@
     }));
 }
 
-/// A peer that reaches the store. One that stops is the last resort: a call that
-/// it makes is in doubt if its process ends meanwhile.
+/// Chooses a peer that reaches the store. Stopping peers are a last resort: the outcome
+/// of a call is unknown if the peer's process ends meanwhile.
 fn choose_peer(gw: &Gateway) -> Option<SocketAddr> {
     let members = gw.members.borrow();
     let (stopping, staying): (Vec<_>, Vec<_>) = members
@@ -99,7 +100,7 @@
 ///
 /// # Errors
 ///
-/// Gives the reason when the call cannot be read.
+/// Returns an error if the call cannot be decoded.
 pub(crate) async fn call_for_peer(gw: &Gateway, call: &[u8]) -> Result<Vec<u8>, String> {
     let call: Call = postcard::from_bytes(call).map_err(|e| e.to_string())?;
     let mut req = Request::new(Bytes::from(call.body));
--- a/crates/bluebellreel_gateway/src/stream_monitor.rs
+++ b/crates/bluebellreel_gateway/src/stream_monitor.rs
@@ -1,17 +1,18 @@
-//! What the events of one stream show of its worker.
+//! Derives a worker's health and speed from the events of one stream.
 
 use crate::gateway::Gateway;
 use crate::ticket::RunGuard;
 use bluebellreel_types::Moment;
 
-/// Follows the events of one run at one worker.
+/// Monitors the events of one run at one worker.
 #[derive(Debug, Default)]
 pub(crate) struct StreamMonitor {
     last: Option<Moment>,
 }
 
 impl StreamMonitor {
-    /// An event has come: the worker is well, and this is its pace.
+    /// Records the arrival of an event: the worker is healthy, and the time since the
+    /// previous event is a sample of its speed.
     pub(crate) fn record_event(&mut self, gw: &Gateway, run_guard: &RunGuard) {
         let now = gw.now();
         let mut board = gw.board.borrow_mut();
--- a/crates/bluebellreel_gateway/src/suspension.rs
+++ b/crates/bluebellreel_gateway/src/suspension.rs
@@ -1,7 +1,7 @@
-//! How long this VM has been suspended since it booted.
+//! Measures how long this VM has been suspended since it booted.
 //!
-//! A VM may stand still for seconds. Its steady clock does not show that, while
-//! leases end and peers take its jobs over; the boot-time clock goes on.
+//! A VM may be suspended for seconds, during which leases expire and peers take over
+//! its jobs. The monotonic clock does not advance meanwhile; the boot-time clock does.
 
 use log::warn;
 use nix::time::{ClockId, clock_gettime};
@@ -10,7 +10,7 @@
 
 static CLOCK_WARNING: Once = Once::new();
 
-/// Time that the steady clock has missed.
+/// The difference between the boot-time clock and the monotonic clock.
 pub(crate) fn time_suspended() -> Duration {
     let read = |clock: ClockId| clock_gettime(clock).map(Duration::from);
     let steady = read(ClockId::CLOCK_MONOTONIC);
@@ -18,7 +18,8 @@
     match (steady, booted) {
         (Ok(steady), Ok(booted)) => booted.saturating_sub(steady),
         (Err(e), _) | (_, Err(e)) => {
-            // Suspensions then show by failed renewals only, seconds late.
+            // Without the clocks a suspension is noticed only by a failed lease
+            // renewal, seconds late.
             CLOCK_WARNING.call_once(|| warn!(target: "gateway", error:% = e; "clock not read"));
             Duration::ZERO
         }
--- a/crates/bluebellreel_gateway/src/ticket.rs
+++ b/crates/bluebellreel_gateway/src/ticket.rs
@@ -1,4 +1,4 @@
-//! A run's place at its worker, given back however the run ends.
+//! Registers runs at workers, and deregisters them however they end.
 
 use crate::gateway::Gateway;
 use bluebellreel_dispatch::{Class, Ticket};
@@ -13,8 +13,8 @@
 }
 
 impl RunGuard {
-    /// Takes a place, and reports it to peers at once, so that none takes the same
-    /// slot.
+    /// Registers a run, and reports it to peers at once so that none of them uses the
+    /// same slot.
     pub(crate) fn acquire(gw: &Rc<Gateway>, worker: &WorkerName, class: Class) -> Self {
         let ticket = gw.board.borrow_mut().start(worker, class);
         gw.report_due.notify_one();
@@ -32,19 +32,19 @@
         &self.ticket
     }
 
-    /// The run has given an event or a whole answer.
+    /// Records that the run has delivered an event or a complete answer.
     pub(crate) fn succeeded(&self) {
         let now = self.gw.now();
         self.gw.board.borrow_mut().succeeded(&self.ticket, now);
     }
 
-    /// The run has failed in a way that speaks against its worker.
+    /// Records that the run has failed in a way that suggests a fault of its worker.
     pub(crate) fn failed(&self) {
         let now = self.gw.now();
         self.gw.board.borrow_mut().failed(&self.ticket, now);
     }
 
-    /// The worker has failed at a batch item.
+    /// Records that the worker has failed to run a batch item.
     pub(crate) fn failed_item(&self) {
         let now = self.gw.now();
         self.gw.board.borrow_mut().failed_item(&self.ticket, now);
@@ -59,13 +59,13 @@
     }
 }
 
-/// How long a run may still bring something once its worker is known to have
-/// started again. The worker may have done so before the run was sent: its entry
-/// comes some hundred milliseconds after its first answers, and events come some
-/// 30 ms apart.
+/// How long a run may still deliver something after its worker is known to have
+/// restarted. The worker may have restarted before the run was sent: its entry in the
+/// store appears a few hundred milliseconds after it begins to answer, and events arrive
+/// about 30 ms apart.
 pub(crate) const RESTART_GRACE: Duration = Duration::from_millis(150);
 
-/// Ends once a run's worker is known to have started again under its id.
+/// Completes once a run's worker is known to have restarted under the same id.
 pub(crate) async fn worker_restarted(gw: &Gateway, ticket: &Ticket) {
     loop {
         let restarted = gw.worker_restarted.notified();
--- a/crates/bluebellreel_gateway/src/unreadable.rs
+++ b/crates/bluebellreel_gateway/src/unreadable.rs
@@ -1,23 +1,24 @@
 //! Entries of the store that cannot be used.
 //!
-//! Others may write where workers, operators and daemons do. Such an entry is
-//! passed over, whichever it is, and those beside it hold. It is read again at
-//! each list, and reported once for each of its revisions.
+//! Foreign programs may write under the prefixes of workers, operators and daemons.
+//! An entry that cannot be parsed is skipped, and the others remain in effect. It is
+//! read again at each list, and reported once per revision.
 
 use bluebellreel_kv::{Key, KeyValue};
 use std::collections::BTreeMap;
 
-/// Entries remembered. Past this all are evicted, and reported once more.
+/// Maximum number of reported entries remembered. When it is reached all are evicted,
+/// and are reported once more.
 const MAX_ENTRIES: usize = 1024;
 
-/// Entries that were reported, with their revisions.
+/// Entries that were already reported, with their revisions.
 #[derive(Debug, Default)]
 pub(crate) struct Unreadable {
     reported: BTreeMap<Key, i64>,
 }
 
 impl Unreadable {
-    /// Notes an entry that cannot be used; whether this revision is new.
+    /// Records an entry that cannot be used. Returns whether this revision is new.
     pub(crate) fn note(&mut self, kv: &KeyValue) -> bool {
         if self.reported.len() >= MAX_ENTRIES {
             self.reported.clear();
--- a/crates/bluebellreel_gateway/src/upstream.rs
+++ b/crates/bluebellreel_gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One send to one worker.
+//! Sends one request to one worker.
 
 use crate::gateway::Gateway;
 use crate::ticket::RunGuard;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// A worker's answer that has begun.
+/// A worker's answer whose head has arrived.
 pub(crate) struct Upstream {
     pub(crate) head: http::response::Parts,
     pub(crate) body: ReplyBody,
@@ -20,30 +20,30 @@
     pub(crate) began: Moment,
 }
 
-/// Why a send has no answer to pass on.
+/// Why a send has no answer to forward.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum NoAnswer {
     /// Nothing reached the worker.
     Unsent(String),
-    /// The worker says that it did not run the request.
+    /// The worker's answer says that it did not run the request.
     NotRun(StatusCode),
-    /// It may have run.
+    /// The send failed, and the request may have run.
     Unknown(String),
-    /// Nothing came in time; it may have run.
+    /// No answer arrived in time; the request may have run.
     Silent,
 }
 
-/// What is sent, and how.
+/// A request to send, and how to send it.
 pub(crate) struct Send<'a> {
-    /// The run's place at its worker.
+    /// The registered run at the worker.
     pub(crate) run_guard: RunGuard,
     pub(crate) out: &'a Outgoing,
-    /// How long the caller still waits.
+    /// Time left until the caller's deadline.
     pub(crate) left: Option<Duration>,
-    /// The event after which a stream goes on.
+    /// Id of the event after which a stream is resumed.
     pub(crate) after: Option<u64>,
     pub(crate) reuse: Reuse,
-    /// Until when the answer's head is waited for.
+    /// Deadline for the head of the answer.
     pub(crate) until: Instant,
 }
 
@@ -70,7 +70,7 @@
             });
         }
         Err(_) => {
-            // Its kept connections may all have fallen silent.
+            // The idle connections to this worker may all be dead.
             gw.workers.drop_idle(address);
             return Err(NoAnswer::Silent);
         }
@@ -80,8 +80,8 @@
         not_run,
         ..
     } = read_head(reply.head.status, &reply.head.headers);
-    // An extra answer to an earlier request may arrive where this one's is
-    // due. It belongs to nobody here, and its connection is not used again.
+    // A surplus answer to an earlier request may arrive on the connection in place of
+    // this request's answer. It is discarded, and the connection is not reused.
     let expected = ingress::request_id(&send.out.headers);
     if request_id.is_some_and(|id| id != expected) {
         return Err(NoAnswer::Unknown("answer to another request".into()));
--- a/crates/bluebellreel_gateway/src/watching.rs
+++ b/crates/bluebellreel_gateway/src/watching.rs
@@ -1,8 +1,8 @@
-//! Following the store: what operators write, and which workers there are.
+//! Watches the store for operators' changes and for workers.
 //!
-//! A watch costs a call for each change, so only two daemons watch; the others
-//! take over what those report (see `reports`). A daemon that the store turns
-//! away says so and is passed over. One that hears nobody watches by itself.
+//! A watch costs a call per change, so only two daemons watch; the others fetch the
+//! changes from them (see `reports`). A daemon whose calls the store rejects reports that
+//! and is not elected as a watcher. A daemon that receives no reports watches by itself.
 
 use crate::gateway::Gateway;
 use crate::millis::millis;
@@ -18,32 +18,33 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Longest wait of one watch. A connection that has silently died brings
-/// nothing, nor does a watch that the store has lost; what was missed shows
-/// within this time. Operators expect a change in force within two seconds.
+/// Duration of one watch. A watch on a silently broken connection, or one that the store
+/// has lost, delivers nothing; the changes it missed are noticed within this time.
+/// Operators expect a change to be in force within two seconds.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Pause after a failed call.
+/// Pause before a failed call is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Time between checks of a daemon that does not watch whether it should.
+/// Interval at which a daemon that does not watch checks whether it should.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a worker that is missing after an outage may take to register
-/// again: the platform says about two seconds.
+/// How long a worker that is missing after an outage may take to register again: the
+/// platform specifies about two seconds.
 const REREGISTRATION_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time for which the store must have served a peer to have been there all
-/// along: longer than daemons take to notice the end of an outage.
+/// A store that has served a peer without interruption for this long has had no recent
+/// outage. It is longer than daemons take to notice the end of an outage.
 const CONTINUOUS_SERVICE: Duration = Duration::from_secs(6);
-/// In what units peers tell how long the store has served them.
+/// The unit in which peers report how long the store has served them.
 const SERVED_UNIT: Duration = Duration::from_secs(1);
-/// How long the answer to a request to empty a VM is repeated.
+/// How long the write that reports a VM as empty is retried.
 const REPORT_EMPTY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Whether this daemon is one of those that watch.
+/// Whether this daemon is one of the elected watchers.
 fn is_watcher(gw: &Gateway) -> bool {
     let members = gw.members.borrow();
     members.is_watcher(gw.me(), !gw.store.is_lost(), gw.now())
 }
 
-/// Keeps the configuration current, and answers requests to empty VMs.
+/// Follows the operators' prefix: keeps the configuration current, and answers requests
+/// to empty VMs.
 pub(crate) async fn watch_operator(gw: Rc<Gateway>) {
     follow(&gw, Key::from(keys::OPERATOR), &OPERATOR).await;
 }
@@ -53,18 +54,18 @@
     follow(&gw, Key::from(keys::WORKERS), &WORKERS).await;
 }
 
-/// What is done with a prefix.
+/// The operations by which a watched prefix is processed.
 struct WatchHandler {
-    /// Revision up to which everything is known.
+    /// Returns the revision up to which all changes are known.
     seen: fn(&Gateway) -> i64,
-    /// Takes the complete list.
+    /// Processes a complete list of the prefix.
     listed: fn(&Rc<Gateway>, &[KeyValue], i64),
-    /// Takes one change; whether it matters to what follows.
+    /// Processes one change. Returns whether `apply` is needed.
     changed: fn(&Rc<Gateway>, WatchEvent) -> bool,
-    /// Brings what mattered into force, once for all changes of an answer:
-    /// with thousands of workers, once for each would take seconds.
+    /// Applies changes, once for all changes of an answer: with thousands of workers,
+    /// applying each one separately would take seconds.
     apply: fn(&Gateway),
-    /// Everything up to a revision was handed out.
+    /// Records that all changes up to a revision were processed.
     seen_to: fn(&Gateway, i64),
 }
 
@@ -113,8 +114,8 @@
     }
 }
 
-/// VMs with a disk hold nothing of ours, so one that is to be emptied is empty
-/// at once. Each watching daemon writes the same; one write suffices.
+/// Reports a VM as empty. VMs with a disk hold no data of this system, so one that is to
+/// be emptied is empty at once. Each watching daemon makes the same write; one suffices.
 async fn report_empty(gw: Rc<Gateway>, vm: String) {
     let key = Key::from(keys::vm_status(&vm));
     let txn = Txn::create(key, keys::vm_is_empty().to_vec());
@@ -125,14 +126,15 @@
     info!(target: "facts", vm = vm.as_str(), outcome:? = outcome; "VM reported empty");
 }
 
-/// Until when workers that are missing are kept; none but after an outage.
+/// Until when missing workers are kept: workers are kept only after an outage of the
+/// store, until they have had time to register again.
 ///
-/// A store that has served a peer all along was not away, it was cut off from
-/// this daemon: entries did not lapse, and a worker that is missing leaves.
+/// If the store has served a peer without interruption, it was only unreachable from this
+/// daemon: entries did not expire, so a missing worker has left.
 fn keep_missing_until(gw: &Gateway) -> Option<Moment> {
     let left = REREGISTRATION_TIMEOUT.checked_sub(gw.store.since_outage_end()?)?;
-    // An outage of the store ends for a peer after it began here. One that was served
-    // before that met none, however short a time it has been there.
+    // An outage of the store ends for a peer after it has begun for this daemon. A peer
+    // that was served since before then had no outage, even if it started recently.
     let continuously = (gw.store.since_outage_start()? + SERVED_UNIT).min(CONTINUOUS_SERVICE);
     if gw.members.borrow().is_served_for(continuously, gw.now()) {
         return None;
@@ -183,15 +185,14 @@
     }
 }
 
-/// What stands at a worker's place: its id, and the worker if the entry names
-/// one that could be used.
+/// Parses a worker's entry: its id, and its record if that is valid.
 fn read_worker(gw: &Gateway, kv: &KeyValue) -> Option<(WorkerName, Option<WorkerRecord>)> {
     let id = keys::worker_id(kv.key.as_str())?;
     let record = match decode_worker(id, &kv.value) {
         Ok(record) => Some(record),
         Err(e) => {
             if gw.note_unreadable(kv) {
-                warn!(target: "facts", worker = id, revision = kv.revision, error:% = e; "worker not taken");
+                warn!(target: "facts", worker = id, revision = kv.revision, error:% = e; "worker rejected");
             }
             None
         }
@@ -199,13 +200,13 @@
     Some((WorkerName::from(id), record))
 }
 
-/// Time without what a peer knows after which a daemon that does not watch
-/// looks for itself. Peers answer within some milliseconds; one of another
-/// version, or behind a cut, may never do so.
+/// How long a daemon that does not watch may lack changes that a peer knows, before it
+/// reads the store itself. Peers answer requests for changes within a few milliseconds;
+/// one of another version, or one that is unreachable, may never answer.
 const MAX_STALENESS: Duration = Duration::from_secs(1);
 
-/// Whether a peer has known more than this daemon for too long. `since` holds
-/// since when one does.
+/// Whether a peer has known more than this daemon for longer than [`MAX_STALENESS`].
+/// `since` holds when that began.
 fn is_stale(gw: &Gateway, since: &Cell<Option<Moment>>) -> bool {
     let now = gw.now();
     let lacks = {
@@ -224,11 +225,12 @@
     (begun + MAX_STALENESS).is_past(now)
 }
 
-/// Time after which a daemon that has become a watcher lists, once. It may know no more
-/// than its predecessor told, which keeps workers that are missing after an outage.
+/// Delay after which a daemon that has become a watcher lists the prefix once. It may know
+/// only what its predecessor reported, which keeps workers that are missing after an
+/// outage.
 const SUCCESSOR_LIST_DELAY: Duration = Duration::from_secs(3);
 
-/// When a daemon that watches for the others lists, though no watch failed.
+/// Decides when a new watcher lists the prefix although no watch has failed.
 #[derive(Default)]
 struct Succession {
     began: Option<Moment>,
@@ -236,7 +238,7 @@
 }
 
 impl Succession {
-    /// Whether it lists now, given whether it watches.
+    /// Whether the daemon should list now. `watches` is whether it is a watcher.
     fn is_list_due(&mut self, watches: bool, now: Moment) -> bool {
         if !watches {
             *self = Self::default();
@@ -247,11 +249,11 @@
     }
 }
 
-/// Lists a prefix and follows its changes for ever.
+/// Lists a prefix and watches its changes, forever.
 ///
-/// After a gap in the history, and after a watch that failed, it lists again at
-/// once: a watch opened while the store drops its history may bring nothing and
-/// wait its time out, and callers of a new route would get 404 for as long.
+/// After a gap in the history or a failed watch it lists again at once: a watch that is
+/// opened while the store drops its history may deliver nothing until it times out, and
+/// callers of a new route would get 404 in the meantime.
 async fn follow(gw: &Rc<Gateway>, prefix: Key, handler: &WatchHandler) {
     let failing_since = Cell::new(None::<Moment>);
     let stale_since = Cell::new(None::<Moment>);
@@ -259,19 +261,19 @@
     let mut reconnections = 0;
     let mut succession = Succession::default();
     loop {
-        // Guard: workers may have left while this daemon was cut off. The peers that
-        // knew may have gone as well, and those that started since do not know.
+        // Workers may have left while this daemon was isolated. The peers that noticed
+        // may be gone as well, and those that have started since do not know of it.
         let relist =
             gw.reconnections.get() != std::mem::replace(&mut reconnections, gw.reconnections.get());
         must_list |= relist;
-        // What a snapshot says is to be confirmed by the store, by each daemon
-        // itself: its peers may have nothing that it lacks, and say nothing.
+        // State from a snapshot must be confirmed by the store, by each daemon itself:
+        // if its peers know nothing that it lacks, it fetches nothing from them.
         let by_store = !gw.cluster_state.borrow().is_from_snapshot();
         let known = by_store && (handler.seen)(gw) > 0;
         let is_elected = is_watcher(gw);
         must_list |= succession.is_list_due(is_elected, gw.now());
         if known && !relist && !is_elected && !is_stale(gw, &stale_since) {
-            // What a peer brings meanwhile is complete up to its revision.
+            // State fetched from a peer meanwhile is complete up to its revision.
             must_list = false;
             sleep(CHECK_INTERVAL).await;
             continue;
@@ -295,7 +297,7 @@
         let watch = gw.store.watch(&prefix, after, WATCH_TIMEOUT);
         let watched = tokio::select! {
             watched = watch => watched,
-            // The other prefix's watch has met the gap.
+            // The watch of the other prefix has found a gap in the history.
             () = gw.history_compacted.notified() => {
                 must_list = true;
                 continue;
@@ -314,7 +316,7 @@
                 (handler.seen_to)(gw, changes.revision);
             }
             Ok(Watched::HistoryGone) => {
-                info!(target: "facts", prefix:% = prefix, after; "history gone, listing again");
+                info!(target: "facts", prefix:% = prefix, after; "history compacted, listing again");
                 gw.history_compacted.notify_waiters();
                 must_list = true;
             }
@@ -334,7 +336,7 @@
     }
 }
 
-/// Notes that the store answers.
+/// Logs that the store answers again, if calls had failed before.
 fn note_recovery(gw: &Gateway, prefix: &Key, failing_since: &Cell<Option<Moment>>) {
     let Some(since) = failing_since.take() else {
         return;
--- a/crates/bluebellreel_gateway/src/workers.rs
+++ b/crates/bluebellreel_gateway/src/workers.rs
@@ -1,4 +1,4 @@
-//! Applying what is known of workers to the board.
+//! Applies the known list of workers to the board.
 
 use crate::gateway::Gateway;
 use crate::jobs::make_room;
@@ -6,7 +6,8 @@
 use bluebellreel_types::WorkerName;
 use log::info;
 
-/// Applies changed workers to the board, whichever source they came from.
+/// Applies changes of the workers' list to the board, and logs them with the source
+/// that they came from.
 pub(crate) fn apply_workers(gw: &Gateway, source: &str) {
     let cluster_state = gw.cluster_state.borrow();
     let revision = cluster_state.catalog.newest();
@@ -30,8 +31,8 @@
     make_room(gw);
 }
 
-/// Drops the connections to a worker's former life, which lead nowhere, and wakes the
-/// runs that wait there.
+/// Drops the idle connections to a worker's previous incarnation, which are dead, and
+/// wakes the runs that wait for an answer from it.
 fn drop_stale_connections(gw: &Gateway, worker: &WorkerName) {
     let address = gw.board.borrow().seat(worker).map(|s| s.record.address);
     if let Some(address) = address {
