--- a/crates/bluebellreel_gateway/src/cluster_state.rs
+++ b/crates/bluebellreel_gateway/src/cluster_state.rs
@@ -31,7 +31,7 @@
     rejected_revision: i64,
     /// When the state expires, if it comes from a snapshot. State from the store,
     /// received directly or through peers, does not expire.
-    trusted_until: Option<Moment>,
+    valid_until: Option<Moment>,
     /// Newest revision of a configuration that was ever in force in this process.
     newest_in_force: i64,
     pub(crate) catalog: Catalog,
@@ -134,7 +134,7 @@
             operator_seen: self.operator_seen,
             workers_seen: self.catalog.revision(),
             workers: workers.collect(),
-            believed_for: self.trusted_until.map(|until| until.since(now)),
+            believed_for: self.valid_until.map(|until| until.since(now)),
             whole: false,
         }
     }
@@ -148,14 +148,14 @@
     /// Updates when the state expires, before parts from another source are merged in.
     /// State that came from the store does not begin to expire because a snapshot adds
     /// to it.
-    fn extend_trust(&mut self, believed_for: Option<Duration>, now: Moment) {
+    fn extend_validity(&mut self, believed_for: Option<Duration>, now: Moment) {
         let knows_nothing = self.configured.is_none();
         match believed_for {
-            None => self.trusted_until = None,
-            Some(left) if knows_nothing || self.trusted_until.is_some() => {
+            None => self.valid_until = None,
+            Some(left) if knows_nothing || self.valid_until.is_some() => {
                 let until = now + left;
-                let before = self.trusted_until.unwrap_or(until);
-                self.trusted_until = Some(before.max(until));
+                let before = self.valid_until.unwrap_or(until);
+                self.valid_until = Some(before.max(until));
             }
             Some(_) => {}
         }
@@ -164,12 +164,12 @@
     /// Records that the store has confirmed all known writes of operators, so that the
     /// state no longer expires.
     pub(crate) fn confirmed_by_store(&mut self) {
-        self.trusted_until = None;
+        self.valid_until = None;
     }
 
     /// Whether the whole state comes from a snapshot.
     pub(crate) fn is_from_snapshot(&self) -> bool {
-        self.trusted_until.is_some()
+        self.valid_until.is_some()
     }
 
     /// Discards state from a snapshot once it has expired. Returns whether there was
@@ -179,10 +179,10 @@
     /// come into force here. The revision of a discarded configuration is still
     /// remembered, so that no older one comes into force in this process.
     pub(crate) fn expire(&mut self, now: Moment) -> bool {
-        if !self.trusted_until.is_some_and(|until| until.is_past(now)) {
+        if !self.valid_until.is_some_and(|until| until.is_past(now)) {
             return false;
         }
-        self.trusted_until = None;
+        self.valid_until = None;
         self.configured = None;
         self.catalog = Catalog::default();
         self.operator_seen = 0;
@@ -191,7 +191,7 @@
 
     /// Merges newer state from a peer or a snapshot. Returns whether workers changed.
     pub(crate) fn learn(&mut self, shared: SharedFacts, source: &str, now: Moment) -> bool {
-        self.extend_trust(shared.believed_for, now);
+        self.extend_validity(shared.believed_for, now);
         if let Some((revision, text)) = shared.configuration {
             self.configure(revision, &text, source, now);
         }
--- a/crates/bluebellreel_gateway/src/gateway.rs
+++ b/crates/bluebellreel_gateway/src/gateway.rs
@@ -162,7 +162,8 @@
         }
     }
 
-    /// Interrupts the tenure: this daemon's entry is gone, or its lease may have expired.
+    /// Ends the registration span: this daemon's entry is gone, or its lease may have
+    /// expired.
     pub(crate) fn interrupt_tenure(&self) {
         let mut tenure = self.tenure.get();
         tenure.interrupt();
--- a/crates/bluebellreel_gateway/src/lease.rs
+++ b/crates/bluebellreel_gateway/src/lease.rs
@@ -23,7 +23,7 @@
 const MAX_TRIES: usize = 3;
 
 /// Records that the store has renewed this daemon's entry, by a call sent at `sent`. If a
-/// new tenure begins, all jobs are confirmed.
+/// new registration span begins, all jobs are confirmed.
 fn record_renewal(gw: &Rc<Gateway>, sent: Stamp) {
     let mut tenure = gw.tenure.get();
     let begins = tenure.renewed(sent, gw.stamp());
--- a/crates/bluebellreel_gateway/src/peer_calls.rs
+++ b/crates/bluebellreel_gateway/src/peer_calls.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Timeout of calls that a peer should answer at once.
-const TIMEOUT: Duration = Duration::from_millis(600);
+const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Why a call to a peer failed.
 pub(crate) type PeerError = CallError;
 
@@ -64,7 +64,7 @@
         "/facts?configuration={}&workers={}",
         seen.configuration, seen.workers
     );
-    match call(gw, to, Method::GET, &path, Bytes::new(), TIMEOUT).await? {
+    match call(gw, to, Method::GET, &path, Bytes::new(), CALL_TIMEOUT).await? {
         (StatusCode::OK, body) => {
             let cluster_state = postcard::from_bytes::<SharedFacts>(&body);
             cluster_state.map(Some).map_err(|e| e.to_string())
@@ -86,7 +86,15 @@
         "/jobs/{id}/results?after={after}&wait_ms={}",
         wait.as_millis()
     );
-    call(gw, to, Method::GET, &path, Bytes::new(), TIMEOUT + wait).await
+    call(
+        gw,
+        to,
+        Method::GET,
+        &path,
+        Bytes::new(),
+        CALL_TIMEOUT + wait,
+    )
+    .await
 }
 
 /// Fetches the body of an item of a job that the peer owns.
@@ -97,7 +105,7 @@
     item: &str,
 ) -> Result<(StatusCode, Bytes), PeerError> {
     let path = format!("/jobs/{id}/items/{item}");
-    call(gw, to, Method::GET, &path, Bytes::new(), TIMEOUT).await
+    call(gw, to, Method::GET, &path, Bytes::new(), CALL_TIMEOUT).await
 }
 
 /// Cancels a job that the peer owns.
@@ -107,13 +115,13 @@
     id: &JobId,
 ) -> Result<(StatusCode, Bytes), PeerError> {
     let path = format!("/jobs/{id}");
-    call(gw, to, Method::DELETE, &path, Bytes::new(), TIMEOUT).await
+    call(gw, to, Method::DELETE, &path, Bytes::new(), CALL_TIMEOUT).await
 }
 
 /// Asks a peer to complete the cancellation of a job.
 pub(crate) async fn forward_end(gw: &Gateway, to: SocketAddr, id: &JobId) -> Result<(), PeerError> {
     let path = format!("/jobs/{id}/end");
-    let (status, _) = call(gw, to, Method::PUT, &path, Bytes::new(), TIMEOUT).await?;
+    let (status, _) = call(gw, to, Method::PUT, &path, Bytes::new(), CALL_TIMEOUT).await?;
     if status != StatusCode::OK {
         return Err(format!("status {status}"));
     }
@@ -128,7 +136,7 @@
     max_wait: Duration,
 ) -> Result<Bytes, PeerError> {
     let body = Bytes::from(body);
-    let max_wait = max_wait + TIMEOUT;
+    let max_wait = max_wait + CALL_TIMEOUT;
     let (status, body) = call(gw, to, Method::POST, "/store", body, max_wait).await?;
     if status != StatusCode::OK {
         return Err(format!("status {status}"));
@@ -145,14 +153,14 @@
 ) -> Result<StatusCode, PeerError> {
     let path = format!("/jobs/{id}/owner");
     let body = Bytes::from(progress);
-    let (status, _) = call(gw, to, Method::PUT, &path, body, TIMEOUT).await?;
+    let (status, _) = call(gw, to, Method::PUT, &path, body, CALL_TIMEOUT).await?;
     Ok(status)
 }
 
 /// Fetches the progress of a job's items from a keeper; empty if it has none.
 pub(crate) async fn progress(gw: &Gateway, to: SocketAddr, id: &JobId) -> Result<Bytes, PeerError> {
     let path = format!("/jobs/{id}/progress");
-    let (status, body) = call(gw, to, Method::GET, &path, Bytes::new(), TIMEOUT).await?;
+    let (status, body) = call(gw, to, Method::GET, &path, Bytes::new(), CALL_TIMEOUT).await?;
     match status {
         StatusCode::OK => Ok(body),
         StatusCode::NOT_FOUND => Ok(Bytes::new()),
@@ -169,7 +177,7 @@
 ) -> Result<(), PeerError> {
     let path = format!("/jobs/{id}/progress");
     let body = Bytes::from(progress);
-    let (status, _) = call(gw, to, Method::PUT, &path, body, TIMEOUT).await?;
+    let (status, _) = call(gw, to, Method::PUT, &path, body, CALL_TIMEOUT).await?;
     if status != StatusCode::OK {
         return Err(format!("status {status}"));
     }
--- a/crates/bluebellreel_gateway/src/placement.rs
+++ b/crates/bluebellreel_gateway/src/placement.rs
@@ -28,12 +28,12 @@
 /// Chooses a worker for a request that may wait in its queue for `patience`. Workers
 /// that were tried before are excluded.
 pub(crate) fn choose(gw: &Gateway, req: &Request, patience: Duration) -> Placement {
-    choose_excluding_listed(gw, req, &req.tried, patience)
+    choose_except(gw, req, &req.tried, patience)
 }
 
 /// Chooses a worker among all except those in `avoid`; workers that were tried before
 /// are not excluded otherwise.
-pub(crate) fn choose_excluding_listed(
+pub(crate) fn choose_except(
     gw: &Gateway,
     req: &Request,
     avoid: &[WorkerName],
--- a/crates/bluebellreel_gateway/src/quarantine_store.rs
+++ b/crates/bluebellreel_gateway/src/quarantine_store.rs
@@ -1,8 +1,8 @@
 //! Persists quarantined requests in the store.
 //!
-//! If all gateways are killed at the same moment, none is left to notify the ones that
-//! start afterwards. Each entry has a lease of the longest quarantine's duration, so
-//! expired entries need no clean-up.
+//! If all gateways are killed at the same moment, none is left to notify those that start
+//! afterwards. Each entry has a lease as long as the longest quarantine, so expired
+//! entries need no clean-up.
 
 use crate::gateway::Gateway;
 use bluebellreel_dispatch::{Fingerprint, WorkerTag};
--- a/crates/bluebellreel_gateway/src/relay.rs
+++ b/crates/bluebellreel_gateway/src/relay.rs
@@ -119,8 +119,8 @@
     /// Returns the events as a stream of bytes.
     pub(crate) fn into_stream(self) -> impl Stream<Item = Result<Bytes, Broken>> {
         futures::stream::unfold(self, |mut relay| async {
-            let piece = relay.next().await?;
-            Some((piece, relay))
+            let chunk = relay.next().await?;
+            Some((chunk, relay))
         })
     }
 
@@ -206,18 +206,20 @@
         self.events_passed += 1;
         self.stream_monitor
             .record_event(&self.gw, &self.upstream.run_guard);
-        self.silence_deadline = Instant::now() + self.longest_silence();
+        self.silence_deadline = Instant::now() + self.max_silence();
     }
 
     /// How long the worker may be silent. A slow but steady worker keeps its stream:
     /// its next event arrives sooner than the first event of another worker would.
-    fn longest_silence(&self) -> Duration {
+    fn max_silence(&self) -> Duration {
         let board = self.gw.board.borrow();
         let worker = self.upstream.run_guard.worker();
-        let pace = board.paces.interval(worker, self.gw.now());
-        let slow = pace.unwrap_or_default().mul_f64(MAX_SILENT_INTERVALS);
-        let late = self.req.route.pause.mul_f64(MAX_PAUSE_SHARE);
-        MAX_SILENCE.max(slow.min(late))
+        let mean_interval = board.paces.interval(worker, self.gw.now());
+        let steady_silence = mean_interval
+            .unwrap_or_default()
+            .mul_f64(MAX_SILENT_INTERVALS);
+        let late_silence = self.req.route.pause.mul_f64(MAX_PAUSE_SHARE);
+        MAX_SILENCE.max(steady_silence.min(late_silence))
     }
 
     async fn read_next(&mut self) -> ReadOutcome {
@@ -279,7 +281,7 @@
             match self.send_resumed(&next, open).await {
                 Ok(Resumption::FormerWorker(bytes)) => {
                     self.events.push(&bytes);
-                    self.silence_deadline = Instant::now() + self.longest_silence();
+                    self.silence_deadline = Instant::now() + self.max_silence();
                     self.req.runs += 1;
                     return true;
                 }
@@ -317,7 +319,7 @@
     fn next_worker(&self, may_return: bool) -> Option<WorkerName> {
         let patience = self.req.left();
         let choose_excluding = |avoid: &[WorkerName]| {
-            let placed = placement::choose_excluding_listed(&self.gw, &self.req, avoid, patience);
+            let placed = placement::choose_except(&self.gw, &self.req, avoid, patience);
             match placed {
                 Placement::Send(worker) => Some(worker),
                 Placement::Full | Placement::NoWorker => None,
--- a/crates/bluebellreel_gateway/src/reports/mod.rs
+++ b/crates/bluebellreel_gateway/src/reports/mod.rs
@@ -54,11 +54,15 @@
         // A timeout is the heartbeat.
         let _ = timeout(HEARTBEAT, gw.report_due.notified()).await;
         sequence += 1;
-        let (targets, briefed) = targets(&gw);
+        let (targets, brief_readers) = targets(&gw);
         match datagrams(&gw, sequence, &mut last) {
             Ok((full, brief)) => {
                 for to in &targets {
-                    let bytes = if briefed.contains(to) { &brief } else { &full };
+                    let bytes = if brief_readers.contains(to) {
+                        &brief
+                    } else {
+                        &full
+                    };
                     // Waits while the socket's buffer is full: if datagrams were
                     // dropped instead, always the same peers would miss them, those
                     // at the end of the list. One that cannot be sent in time
@@ -106,20 +110,20 @@
     let members = gw.members.borrow();
     let mut targets: BTreeSet<SocketAddr> = members.peers().map(|(_, p)| p.reports).collect();
     let heard = members.heard(gw.now());
-    let briefed = heard.filter(|(_, p)| p.reads_briefs);
-    let briefed = briefed.map(|(_, p)| p.reports).collect();
+    let brief_readers = heard.filter(|(_, p)| p.reads_briefs);
+    let brief_readers = brief_readers.map(|(_, p)| p.reports).collect();
     let port = gw.settings.reports.port();
     let seeds = gw.seeds.borrow();
     targets.extend(seeds.iter().map(|s| SocketAddr::new(s.ip(), port)));
     targets.remove(&gw.settings.reports);
     targets.remove(&gw.settings.advertised_reports());
-    (targets, briefed)
+    (targets, brief_readers)
 }
 
 /// Receives reports, forever.
-pub(crate) async fn take_reports(gw: Rc<Gateway>, socket: Rc<UdpSocket>) {
+pub(crate) async fn receive_reports(gw: Rc<Gateway>, socket: Rc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
-    let asking = Rc::new(Cell::new(false));
+    let is_asking = Rc::new(Cell::new(false));
     let mut senders = Senders::default();
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buf).await else {
@@ -130,7 +134,7 @@
             Ok(Datagram::Full(report, ..)) if report.entry == *gw.me() => {}
             Ok(Datagram::Full(report, supplement, trailer)) => {
                 senders.note(&report.entry, report.run);
-                apply_report(&gw, *report, supplement, trailer, &asking);
+                apply_report(&gw, *report, supplement, trailer, &is_asking);
             }
             Ok(Datagram::Brief(brief)) => {
                 // Briefs of an unknown sender are ignored until its next full report.
@@ -168,13 +172,15 @@
     report: Report,
     supplement: Supplement,
     trailer: Trailer,
-    asking: &Rc<Cell<bool>>,
+    is_asking: &Rc<Cell<bool>>,
 ) {
     let now = gw.now();
     trailer.warnings.take(&mut gw.suspects.borrow_mut(), now);
     let reads_briefs = supplement.reads_briefs;
-    if let Some(place) = supplement.place.clone() {
-        gw.board.borrow_mut().note_place(&report.entry, place);
+    if let Some(sender_data_centre) = supplement.sender_data_centre.clone() {
+        gw.board
+            .borrow_mut()
+            .note_place(&report.entry, sender_data_centre);
     }
     let load = load_of(&report, supplement, now);
     apply_load(gw, &report.entry, load);
@@ -203,7 +209,7 @@
         gw.members.borrow_mut().claimed(job, now);
     }
     if gw.cluster_state.borrow().lacks(revisions) {
-        catch_up(gw, asking);
+        catch_up(gw, is_asking);
     }
 }
 
@@ -240,8 +246,8 @@
         list,
         reads_briefs,
     };
-    let is_news = gw.members.borrow_mut().hear(report.entry.clone(), peer);
-    if is_news {
+    let is_new_incarnation = gw.members.borrow_mut().hear(report.entry.clone(), peer);
+    if is_new_incarnation {
         // The jobs of the peer's previous incarnation, if any, have no owner now.
         gw.jobs.borrow().orphans_due.notify_one();
         info!(target: "members", peer:% = report.entry, run:% = report.run; "peer discovered");
--- a/crates/bluebellreel_gateway/src/reports/wire.rs
+++ b/crates/bluebellreel_gateway/src/reports/wire.rs
@@ -20,7 +20,7 @@
 
 /// First byte of a brief. A full report begins with the length of its sender's name,
 /// which is never zero.
-const BRIEF: u8 = 0;
+const BRIEF_TAG: u8 = 0;
 
 /// Length of a checksum in bytes. One in four billion invalid datagrams has a correct
 /// checksum by chance.
@@ -55,7 +55,7 @@
     /// Whether the sender understands briefs.
     pub(super) reads_briefs: bool,
     /// The sender's data centre.
-    pub(super) place: Option<DataCentre>,
+    pub(super) sender_data_centre: Option<DataCentre>,
 }
 
 /// The sender's runs at workers, sent between two full reports.
@@ -157,7 +157,7 @@
 impl Brief {
     /// Encodes the brief as a datagram.
     pub(super) fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
-        postcard::to_allocvec(&(BRIEF, self)).map(append_checksum)
+        postcard::to_allocvec(&(BRIEF_TAG, self)).map(append_checksum)
     }
 
     /// The load that the brief reports. Workers that this daemon does not know are
@@ -208,7 +208,7 @@
     let supplement = Supplement {
         boots,
         reads_briefs: true,
-        place: Some(gw.settings.data_centre.clone()),
+        sender_data_centre: Some(gw.settings.data_centre.clone()),
     };
     (report, supplement)
 }
@@ -253,7 +253,7 @@
 
 /// Decodes a message. Also returns the bytes that follow it.
 fn parse(datagram: &[u8]) -> Result<(Datagram, &[u8]), postcard::Error> {
-    if let [BRIEF, rest @ ..] = datagram {
+    if let [BRIEF_TAG, rest @ ..] = datagram {
         let (brief, rest) = postcard::take_from_bytes(rest)?;
         return Ok((Datagram::Brief(brief), rest));
     }
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -43,8 +43,8 @@
         .enable_all()
         .build()?;
     LocalSet::new().block_on(&runtime, async {
-        let stop_requested = stop_signal(hooks.settings_changed.clone())?;
-        run_gateway_until(settings, stop_requested, hooks).await
+        let signal = stop_signal(hooks.settings_changed.clone())?;
+        run_gateway_until(settings, signal, hooks).await
     })
 }
 
@@ -52,8 +52,8 @@
 /// that announce changed settings notify `settings_changed`. The signal handlers are
 /// installed when this function returns.
 fn stop_signal(settings_changed: Rc<Notify>) -> eyre::Result<impl Future<Output = ()>> {
-    let hung_up = move || settings_changed.notify_one();
-    Ok(bluebellreel_signals::stop_asked(hung_up)?)
+    let on_hangup = move || settings_changed.notify_one();
+    Ok(bluebellreel_signals::stop_asked(on_hangup)?)
 }
 
 /// Runs a gateway on the current local task set until `stop_asked` completes. Returns
@@ -92,19 +92,19 @@
     let socket = Rc::new(socket);
 
     let g = gw.clone();
-    let of_limits = gw.clone();
+    let limits_gw = gw.clone();
     spawn_local(bluebellreel_net::serve(
         callers,
         handles.callers.stop.clone(),
         handles.callers.connection_tracker.clone(),
-        move || caller_idle(&of_limits),
+        move || caller_idle(&limits_gw),
         move |req| serve::answer(g.clone(), req),
     ));
-    let inner = Stop::default();
+    let internal_stop = Stop::default();
     let g = gw.clone();
     spawn_local(bluebellreel_net::serve(
         balancer,
-        inner.clone(),
+        internal_stop.clone(),
         Served::default(),
         || INTERNAL_IDLE_TIMEOUT,
         move |_| {
@@ -121,21 +121,21 @@
         move |req| peer_api::answer(g.clone(), req),
     ));
     let g = gw.clone();
-    let drops = hooks.clone();
+    let metrics_hooks = hooks.clone();
     spawn_local(bluebellreel_net::serve(
         metrics,
-        inner,
+        internal_stop,
         Served::default(),
         || INTERNAL_IDLE_TIMEOUT,
         move |_| {
-            let answer = crate::answers::bytes(metrics_text(&g, (drops.lines_dropped)()));
+            let answer = crate::answers::bytes(metrics_text(&g, (metrics_hooks.lines_dropped)()));
             async move { answer }
         },
     ));
 
     spawn_local(reload::follow_settings(gw.clone(), hooks));
     spawn_local(reports::send_reports(gw.clone(), socket.clone()));
-    spawn_local(reports::take_reports(gw.clone(), socket));
+    spawn_local(reports::receive_reports(gw.clone(), socket));
     spawn_local(reports::compare_lists(gw.clone()));
     spawn_local(watching::watch_operator(gw.clone()));
     spawn_local(watching::watch_workers(gw.clone()));
@@ -176,16 +176,16 @@
     if expired {
         apply_workers(gw, "re-registration timeout");
     }
-    let outlived = gw.cluster_state.borrow_mut().expire(now);
-    if outlived {
+    let snapshot_expired = gw.cluster_state.borrow_mut().expire(now);
+    if snapshot_expired {
         warn!(target: "facts", entry:% = gw.me(); "snapshot expired");
         apply_workers(gw, "snapshot expired");
     }
 }
 
 /// Records since when the daemon has been isolated from most peers. When the isolation
-/// ends and lasted longer than [`ISOLATED_AFTER`], interrupts the tenure and counts a
-/// reconnection.
+/// ends and lasted longer than [`ISOLATED_AFTER`], ends the registration span and counts
+/// a reconnection.
 fn update_isolation(gw: &Gateway, now: Moment) {
     let isolated = !gw.members.borrow().hears_most(now);
     let since = gw.isolated_since.get();
--- a/crates/bluebellreel_gateway/src/shutdown.rs
+++ b/crates/bluebellreel_gateway/src/shutdown.rs
@@ -38,7 +38,7 @@
     gw: &'a Rc<Gateway>,
     handles: &'a ServerHandles,
     hand_overs: Rc<HandOvers>,
-    asked_at: Instant,
+    requested_at: Instant,
     /// When new requests are refused at the latest.
     refuse_from: Instant,
     /// When the process ends, even if requests are in progress.
@@ -47,15 +47,15 @@
 
 impl<'a> Shutdown<'a> {
     fn new(gw: &'a Rc<Gateway>, handles: &'a ServerHandles) -> Self {
-        let asked_at = Instant::now();
+        let requested_at = Instant::now();
         let left = gw.grace.get().saturating_sub(KILL_MARGIN);
         Self {
             gw,
             handles,
             hand_overs: Rc::default(),
-            asked_at,
-            refuse_from: asked_at + left.mul_f64(REFUSE_AFTER_SHARE),
-            end: asked_at + left,
+            requested_at,
+            refuse_from: requested_at + left.mul_f64(REFUSE_AFTER_SHARE),
+            end: requested_at + left,
         }
     }
 
@@ -69,7 +69,7 @@
     /// Logs the phase that the shutdown has reached.
     fn log_phase(&self, phase: &str) {
         let gw = self.gw;
-        let took_ms = millis(self.asked_at.elapsed());
+        let took_ms = millis(self.requested_at.elapsed());
         info!(target: "gateway", entry:% = gw.me(), phase, in_progress = gw.in_progress.count(), open = self.handles.callers.connection_tracker.open(), jobs = gw.jobs.borrow().own.len(), took_ms; "stop goes on");
     }
 
@@ -90,7 +90,7 @@
 
     /// Waits until nothing is in progress, but at most until requests are refused.
     async fn finish_requests(&self) {
-        sleep_until((self.asked_at + BALANCER_DRAIN_TIME).min(self.refuse_from)).await;
+        sleep_until((self.requested_at + BALANCER_DRAIN_TIME).min(self.refuse_from)).await;
         self.handles.callers.stop.close();
         self.log_phase("idle connections closed");
         while self.is_busy() && Instant::now() < self.refuse_from {
@@ -163,6 +163,6 @@
     shutdown.close_listeners().await;
     // Nothing is awaited from this check to the end of the process.
     let clean = shutdown.log_cut();
-    info!(target: "gateway", entry:% = gw.me(), clean, took_ms = millis(shutdown.asked_at.elapsed()); "stopped");
+    info!(target: "gateway", entry:% = gw.me(), clean, took_ms = millis(shutdown.requested_at.elapsed()); "stopped");
     clean
 }
--- a/crates/bluebellreel_gateway/src/store.rs
+++ b/crates/bluebellreel_gateway/src/store.rs
@@ -23,7 +23,7 @@
 /// Timeout of connecting to the store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle timeout of connections to the store.
-const CONNECTION_IDLE: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum number of idle connections.
 const MAX_IDLE: usize = 4;
 /// Pause before a rejected or lost call is repeated.
@@ -58,11 +58,11 @@
 
 /// Whether the store has processed a call.
 fn is_answered(answer: &StoreAnswer) -> bool {
-    let turned_away = [
+    let rejected = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
     ];
-    matches!(answer, Ok((status, _)) if !turned_away.contains(status))
+    matches!(answer, Ok((status, _)) if !rejected.contains(status))
 }
 
 /// A client of the store.
@@ -89,7 +89,7 @@
     pub(crate) fn new(address: SocketAddr, latency: Histogram) -> Self {
         let limits = PoolLimits {
             connect: CONNECT_TIMEOUT,
-            idle: CONNECTION_IDLE,
+            idle: IDLE_TIMEOUT,
             idle_per_address: MAX_IDLE,
         };
         Self {
@@ -130,8 +130,9 @@
     /// Whether the store has had time to answer since this daemon's start, and no call
     /// has succeeded.
     pub(crate) fn has_never_answered(&self) -> bool {
-        let had_time = self.failures.get() > 0 || self.started.elapsed() > FIRST_ANSWER_TIMEOUT;
-        had_time && self.answered_at.get().is_none()
+        let store_had_time =
+            self.failures.get() > 0 || self.started.elapsed() > FIRST_ANSWER_TIMEOUT;
+        store_had_time && self.answered_at.get().is_none()
     }
 
     /// How long ago a call succeeded last, directly or through a peer.
@@ -254,13 +255,13 @@
             let Page {
                 items,
                 truncated,
-                revision: as_of,
+                revision: page_revision,
             } = store::list_answer(status, &body)?;
-            let as_of = *revision.get_or_insert(as_of);
+            let page_revision = *revision.get_or_insert(page_revision);
             let last_page = !truncated || items.is_empty();
             all.extend(items);
             if last_page {
-                return Ok((all, as_of));
+                return Ok((all, page_revision));
             }
         }
     }
@@ -327,27 +328,27 @@
     /// first one may itself have changed the guarded key: [`Commit::Beaten`] returns
     /// the guarded keys' values, so that the caller can recognise its own write.
     pub(crate) async fn commit(&self, txn: &Txn, until: Instant) -> Commit {
-        let mut in_doubt = None;
+        let mut unknown_reason = None;
         let mut via_peer = self.is_lost();
         loop {
             let call = self.call_by(via_peer, store::txn_call(txn), CALL_TIMEOUT);
-            let tried = match call.await {
+            let attempt = match call.await {
                 Ok((status, body)) => store::txn_answer(status, &body),
                 Err(e) => Err(e),
             };
-            let reason = match tried {
+            let reason = match attempt {
                 Ok(TxnOutcome::Done(revision)) => return Commit::Applied { revision },
                 Ok(TxnOutcome::Conflict(items)) => return Commit::Beaten(items),
                 Ok(TxnOutcome::NoLease) => return Commit::NotDone("the lease has ended".into()),
                 Err(KvError::Refused(reason)) => return Commit::NotDone(reason),
                 Err(KvError::NotDone(reason)) => reason,
                 Err(KvError::Unknown(reason)) => {
-                    in_doubt = Some(reason.clone());
+                    unknown_reason = Some(reason.clone());
                     reason
                 }
             };
             if Instant::now() + REPEAT_PAUSE >= until {
-                return match in_doubt {
+                return match unknown_reason {
                     Some(reason) => Commit::Unknown(reason),
                     None => Commit::NotDone(reason),
                 };
--- a/crates/bluebellreel_gateway/src/suspension.rs
+++ b/crates/bluebellreel_gateway/src/suspension.rs
@@ -13,10 +13,10 @@
 /// The difference between the boot-time clock and the monotonic clock.
 pub(crate) fn time_suspended() -> Duration {
     let read = |clock: ClockId| clock_gettime(clock).map(Duration::from);
-    let steady = read(ClockId::CLOCK_MONOTONIC);
-    let booted = read(ClockId::CLOCK_BOOTTIME);
-    match (steady, booted) {
-        (Ok(steady), Ok(booted)) => booted.saturating_sub(steady),
+    let monotonic = read(ClockId::CLOCK_MONOTONIC);
+    let boot_time = read(ClockId::CLOCK_BOOTTIME);
+    match (monotonic, boot_time) {
+        (Ok(monotonic), Ok(boot_time)) => boot_time.saturating_sub(monotonic),
         (Err(e), _) | (_, Err(e)) => {
             // Without the clocks a suspension is noticed only by a failed lease
             // renewal, seconds late.
--- a/crates/bluebellreel_gateway/src/watching.rs
+++ b/crates/bluebellreel_gateway/src/watching.rs
@@ -135,8 +135,8 @@
     let left = REREGISTRATION_TIMEOUT.checked_sub(gw.store.since_outage_end()?)?;
     // An outage of the store ends for a peer after it has begun for this daemon. A peer
     // that was served since before then had no outage, even if it started recently.
-    let continuously = (gw.store.since_outage_start()? + SERVED_UNIT).min(CONTINUOUS_SERVICE);
-    if gw.members.borrow().is_served_for(continuously, gw.now()) {
+    let min_served = (gw.store.since_outage_start()? + SERVED_UNIT).min(CONTINUOUS_SERVICE);
+    if gw.members.borrow().is_served_for(min_served, gw.now()) {
         return None;
     }
     Some(gw.now() + left)
@@ -268,8 +268,8 @@
         must_list |= relist;
         // State from a snapshot must be confirmed by the store, by each daemon itself:
         // if its peers know nothing that it lacks, it fetches nothing from them.
-        let by_store = !gw.cluster_state.borrow().is_from_snapshot();
-        let known = by_store && (handler.seen)(gw) > 0;
+        let is_confirmed = !gw.cluster_state.borrow().is_from_snapshot();
+        let known = is_confirmed && (handler.seen)(gw) > 0;
         let is_elected = is_watcher(gw);
         must_list |= succession.is_list_due(is_elected, gw.now());
         if known && !relist && !is_elected && !is_stale(gw, &stale_since) {
@@ -306,11 +306,11 @@
         match watched {
             Ok(Watched::Changes(changes)) => {
                 note_recovery(gw, &prefix, &failing_since);
-                let mut matters = false;
+                let mut needs_apply = false;
                 for event in changes.events {
-                    matters |= (handler.changed)(gw, event);
+                    needs_apply |= (handler.changed)(gw, event);
                 }
-                if matters {
+                if needs_apply {
                     (handler.apply)(gw);
                 }
                 (handler.seen_to)(gw, changes.revision);
