--- a/crates/bluebellreel_gateway/src/gateway.rs
+++ b/crates/bluebellreel_gateway/src/gateway.rs
@@ -65,7 +65,7 @@
     pub(crate) lease: Cell<i64>,
     /// How long this daemon's entry has existed without interruption. Meanwhile reads
     /// of jobs may be answered from memory.
-    pub(crate) tenure: Cell<Tenure>,
+    pub(crate) registration_span: Cell<Tenure>,
     /// When reports from most peers ceased to arrive; none while they arrive.
     pub(crate) isolated_since: Cell<Option<Moment>>,
     /// How many times this daemon was isolated from most peers and received their
@@ -129,7 +129,7 @@
             keepers: RefCell::default(),
             unreadable: RefCell::default(),
             lease: Cell::new(0),
-            tenure: Cell::default(),
+            registration_span: Cell::default(),
             isolated_since: Cell::new(None),
             reconnections: Cell::new(0),
             stopping: Cell::new(false),
@@ -164,10 +164,10 @@
 
     /// Ends the registration span: this daemon's entry is gone, or its lease may have
     /// expired.
-    pub(crate) fn interrupt_tenure(&self) {
-        let mut tenure = self.tenure.get();
-        tenure.interrupt();
-        self.tenure.set(tenure);
+    pub(crate) fn interrupt_registration_span(&self) {
+        let mut registration_span = self.registration_span.get();
+        registration_span.interrupt();
+        self.registration_span.set(registration_span);
     }
 
     /// The configuration in force, if one is known.
--- a/crates/bluebellreel_gateway/src/jobs/confirm.rs
+++ b/crates/bluebellreel_gateway/src/jobs/confirm.rs
@@ -34,7 +34,7 @@
     let (asked, now) = (owned.lease.get().asked(), gw.stamp());
     // An entry may be taken away while its lease is renewed as ever. Peers that
     // hear this daemon leave its jobs alone all the same.
-    let vouched = gw.tenure.get().covers(asked, now);
+    let vouched = gw.registration_span.get().covers(asked, now);
     vouched && (gw.isolated_since.get().is_none() || asked.is_fresh(now))
 }
 
--- a/crates/bluebellreel_gateway/src/lease.rs
+++ b/crates/bluebellreel_gateway/src/lease.rs
@@ -25,9 +25,9 @@
 /// Records that the store has renewed this daemon's entry, by a call sent at `sent`. If a
 /// new registration span begins, all jobs are confirmed.
 fn record_renewal(gw: &Rc<Gateway>, sent: Stamp) {
-    let mut tenure = gw.tenure.get();
-    let begins = tenure.renewed(sent, gw.stamp());
-    gw.tenure.set(tenure);
+    let mut registration_span = gw.registration_span.get();
+    let begins = registration_span.renewed(sent, gw.stamp());
+    gw.registration_span.set(registration_span);
     if begins {
         tokio::task::spawn_local(jobs::confirm_all(gw.clone()));
     }
@@ -57,7 +57,7 @@
         match gw.store.renew(lease).await {
             Ok(true) => record_renewal(gw, sent),
             Ok(false) => {
-                gw.interrupt_tenure();
+                gw.interrupt_registration_span();
                 warn!(target: "members", lease; "lease has ended");
                 return;
             }
@@ -122,7 +122,7 @@
     if lease == 0 {
         return;
     }
-    gw.interrupt_tenure();
+    gw.interrupt_registration_span();
     if let Err(e) = gw.store.release(lease).await {
         warn!(target: "members", lease, error:% = e; "lease not released");
     }
--- a/crates/bluebellreel_gateway/src/registration.rs
+++ b/crates/bluebellreel_gateway/src/registration.rs
@@ -88,7 +88,7 @@
     if !all.iter().any(|kv| kv.key == own_key(gw)) && gw.lease.get() != 0 {
         warn!(target: "members", revision; "own entry has vanished, registering again");
         gw.lease.set(0);
-        gw.interrupt_tenure();
+        gw.interrupt_registration_span();
     }
     let list = all.iter().filter_map(|kv| read_member(gw, kv)).collect();
     gw.members.borrow_mut().listed(list, revision);
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -194,7 +194,7 @@
     if !isolated && since.is_some_and(|since| (since + ISOLATED_AFTER).is_past(now)) {
         // During the isolation peers may have taken over jobs of this daemon, and
         // workers may have left.
-        gw.interrupt_tenure();
+        gw.interrupt_registration_span();
         gw.reconnections.set(gw.reconnections.get() + 1);
     }
 }
