--- a/crates/bluebellreel_gateway/src/serve.rs
+++ b/crates/bluebellreel_gateway/src/serve.rs
@@ -95,8 +95,8 @@
         return answers::failure(StatusCode::NOT_FOUND, "no route");
     };
     let received = Instant::now();
-    let caller_timeout = ingress::patience(req.headers()).unwrap_or(route.timeout);
-    let deadline = received + caller_timeout.min(route.timeout);
+    let patience = ingress::patience(req.headers()).unwrap_or(route.timeout);
+    let deadline = received + patience.min(route.timeout);
     let (head, body) = req.into_parts();
     let body = match read_request_body(&configuration, body, deadline).await {
         Ok(body) => body,
@@ -108,7 +108,7 @@
         return refuse_stopping();
     }
     if route.kind == RouteKind::Batch && head.method == Method::POST {
-        let deadline = received + caller_timeout;
+        let deadline = received + patience;
         return jobs::submit(gw, &route, &head, &body, received, deadline).await;
     }
     let request = request(&route, &head, body, received, deadline);
