--- a/crates/bluebellreel_gateway/src/cluster_state.rs
+++ b/crates/bluebellreel_gateway/src/cluster_state.rs
@@ -190,7 +190,7 @@
     }
 
     /// Merges newer state from a peer or a snapshot. Returns whether workers changed.
-    pub(crate) fn learn(&mut self, shared: SharedFacts, source: &str, now: Moment) -> bool {
+    pub(crate) fn merge(&mut self, shared: SharedFacts, source: &str, now: Moment) -> bool {
         self.extend_validity(shared.believed_for, now);
         if let Some((revision, text)) = shared.configuration {
             self.configure(revision, &text, source, now);
--- a/crates/bluebellreel_gateway/src/keepers.rs
+++ b/crates/bluebellreel_gateway/src/keepers.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 
 /// Whether the store has not answered this daemon yet, so that it accepts a snapshot.
-fn wants_facts(gw: &Gateway) -> bool {
+fn needs_snapshot(gw: &Gateway) -> bool {
     let cluster_state = gw.cluster_state.borrow();
     let knows_nothing = cluster_state.configuration().is_none() && gw.store.has_never_answered();
     knows_nothing || cluster_state.is_from_snapshot()
@@ -58,7 +58,7 @@
         newest: cluster_state.revisions(),
         from_store: cluster_state.configuration().is_some() && !cluster_state.is_from_snapshot(),
         reaches_store: !gw.store.is_lost(),
-        wants_facts: wants_facts(gw),
+        wants_facts: needs_snapshot(gw),
         peers,
     };
     match postcard::to_allocvec(&state) {
@@ -79,7 +79,7 @@
             return answers::failure(StatusCode::BAD_REQUEST, "not read");
         }
     };
-    if offered.believed_for.is_none() || !wants_facts(gw) {
+    if offered.believed_for.is_none() || !needs_snapshot(gw) {
         return answers::failure(StatusCode::CONFLICT, "the store has answered");
     }
     let workers = offered.workers.len();
@@ -88,7 +88,7 @@
     let changed = gw
         .cluster_state
         .borrow_mut()
-        .learn(offered, "snapshot", gw.now());
+        .merge(offered, "snapshot", gw.now());
     info!(target: "facts", revision, workers, believed_ms; "snapshot taken over");
     if changed {
         apply_workers(gw, "snapshot");
--- a/crates/bluebellreel_gateway/src/reports/catch_up.rs
+++ b/crates/bluebellreel_gateway/src/reports/catch_up.rs
@@ -103,16 +103,16 @@
         Question::All => peer_calls::full_cluster_state(gw, *calls, seen).await,
     };
     match answer {
-        Ok(shared) => learn(gw, shared, peer),
+        Ok(shared) => merge_cluster_state(gw, shared, peer),
         Err(e) => warn!(target: "facts", peer:% = peer, error:% = e; "facts not brought"),
     }
 }
 
-fn learn(gw: &Gateway, shared: SharedFacts, peer: &EntryName) {
+fn merge_cluster_state(gw: &Gateway, shared: SharedFacts, peer: &EntryName) {
     let changed = gw
         .cluster_state
         .borrow_mut()
-        .learn(shared, peer.as_str(), gw.now());
+        .merge(shared, peer.as_str(), gw.now());
     info!(target: "facts", peer:% = peer, changed; "facts taken over");
     if changed {
         apply_workers(gw, peer.as_str());
