--- a/crates/bluebellreel_gateway/src/online.rs
+++ b/crates/bluebellreel_gateway/src/online.rs
@@ -145,7 +145,8 @@
 ///
 /// # Errors
 ///
-/// Returns the request if it should be sent once more.
+/// Returns the request if nothing was forwarded, so that the caller of this function may
+/// send it once more.
 async fn forward_answer(
     gw: &Rc<Gateway>,
     mut req: Request,
--- a/crates/bluebellreel_gateway/src/relay.rs
+++ b/crates/bluebellreel_gateway/src/relay.rs
@@ -298,7 +298,7 @@
                     self.req.runs += 1;
                     self.silence_deadline = Instant::now() + RESUMED_FIRST_EVENT_TIMEOUT;
                     self.gw.metrics.resumed.inc();
-                    info!(target: "online", request:% = self.req.id, worker:% = next, last_id:? = self.last_id; "stream goes on");
+                    info!(target: "online", request:% = self.req.id, worker:% = next, last_id:? = self.last_id; "stream resumed");
                     return true;
                 }
                 Ok(_) | Err(NoAnswer::Unknown(_)) => self.req.runs += 1,
--- a/crates/bluebellreel_gateway/src/reports/mod.rs
+++ b/crates/bluebellreel_gateway/src/reports/mod.rs
@@ -70,7 +70,7 @@
                     let _ = timeout(SEND_TIMEOUT, socket.send_to(bytes, *to)).await;
                 }
             }
-            Err(e) => warn!(target: "members", error:% = e; "report not written"),
+            Err(e) => warn!(target: "members", error:% = e; "report not encoded"),
         }
         let min_report_interval = min_report_interval(targets.len());
         sleep(min_report_interval).await;
--- a/crates/bluebellreel_gateway/src/reports/parts.rs
+++ b/crates/bluebellreel_gateway/src/reports/parts.rs
@@ -9,9 +9,9 @@
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 
-/// Mean number of daemons that include, in each round of full reports, the notices of
-/// quarantined requests that all daemons have: enough for a daemon that has just started
-/// to receive them despite lost datagrams.
+/// Mean number of daemons that include all notices of quarantined requests in a full
+/// report, per round of full reports. All daemons know these notices; this number is
+/// enough for a daemon that has just started to receive them despite lost datagrams.
 const FULL_NOTICE_SENDERS: usize = 8;
 
 /// All these parts, in the order of encoding.
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -9,7 +9,7 @@
 {"at":"2026-12-02T10:00:03.300Z","event":"sent","request":"r2","worker":"w-1"}
 {"at":"2026-12-02T10:00:03.400Z","event":"stream interrupted","request":"r1","worker":"w-1","reason":"worker silent"}
 {"at":"2026-12-02T10:00:03.500Z","event":"store lost","part":"facts"}
-{"at":"2026-12-02T10:00:03.600Z","event":"stream goes on","request":"r1","worker":"w-2"}
+{"at":"2026-12-02T10:00:03.600Z","event":"stream resumed","request":"r1","worker":"w-2"}
 {"at":"2026-12-02T10:00:09.000Z","event":"store regained","part":"facts"}
 cut off {"at":"2026-
 "#;
@@ -31,7 +31,7 @@
             "sent  left_ms=5000  request=r1  worker=w-1",
             "stream interrupted  reason=worker silent  request=r1  worker=w-1",
             "store lost",
-            "stream goes on  request=r1  worker=w-2",
+            "stream resumed  request=r1  worker=w-2",
         ]
     );
     assert!(story.starts_with("10:00:03.000  entry-1"));
