--- a/crates/bluebellreel_gateway/src/cluster_state.rs
+++ b/crates/bluebellreel_gateway/src/cluster_state.rs
@@ -141,8 +141,8 @@
 
     /// Whether [`Self::share`] contains every change that a peer lacks whose state is
     /// complete up to `seen`.
-    pub(crate) fn tells_all_after(&self, seen: Revisions) -> bool {
-        self.catalog.tells_all_after(seen.workers)
+    pub(crate) fn has_all_changes_after(&self, seen: Revisions) -> bool {
+        self.catalog.has_all_changes_after(seen.workers)
     }
 
     /// Updates when the state expires, before parts from another source are merged in.
--- a/crates/bluebellreel_gateway/src/crash.rs
+++ b/crates/bluebellreel_gateway/src/crash.rs
@@ -8,7 +8,7 @@
 use crate::millis::millis;
 use crate::quarantine_store;
 use bluebellreel_dispatch::{
-    CrashNotice, Fingerprint, Sender, Standing, Strike, Ticket, WorkerState, WorkerTag,
+    CrashNotice, CrashedRun, Fingerprint, QuarantineStatus, Sender, Ticket, WorkerState, WorkerTag,
 };
 use bluebellreel_net::Knock;
 use bluebellreel_types::Moment;
@@ -51,8 +51,8 @@
 /// The address of a run's worker, unless the worker has announced that it leaves.
 fn ready_address(gw: &Gateway, ticket: &Ticket) -> Option<SocketAddr> {
     let board = gw.board.borrow();
-    let seat = board.seat(&ticket.worker)?;
-    (seat.record.state == WorkerState::Ready).then_some(seat.record.address)
+    let worker_view = board.worker_view(&ticket.worker)?;
+    (worker_view.record.state == WorkerState::Ready).then_some(worker_view.record.address)
 }
 
 async fn confirm_crash(gw: Rc<Gateway>, run: InterruptedRun, address: SocketAddr, at: Moment) {
@@ -74,30 +74,30 @@
 /// Whether a run's worker has restarted or is no longer listed.
 fn has_restarted(gw: &Gateway, ticket: &Ticket) -> bool {
     let board = gw.board.borrow();
-    let gone = board.seat(&ticket.worker).is_none();
-    gone || board.is_of_former_life(ticket)
+    let gone = board.worker_view(&ticket.worker).is_none();
+    gone || board.is_from_previous_incarnation(ticket)
 }
 
 fn record_crash(gw: &Rc<Gateway>, run: &InterruptedRun, at: Moment, reason: &str) {
     let lasted = millis(at.since(run.began));
     gw.metrics.crashes.inc();
-    let strike = Strike {
+    let crashed_run = CrashedRun {
         began: run.began,
         crashed: at,
-        excused: false,
+        cleared: false,
     };
     let notice = CrashNotice {
         fingerprint: run.fingerprint,
         worker: WorkerTag::of(&run.ticket.worker, run.ticket.boot),
-        strike,
+        crashed_run,
     };
     let crashes = gw.suspects.borrow_mut().note_own_crash(notice, gw.now());
     gw.report_due.notify_one();
-    let standing = gw
-        .suspects
-        .borrow()
-        .standing(run.fingerprint, Sender::Caller, gw.now());
-    if matches!(standing, Standing::Quarantined(_)) {
+    let quarantine_status =
+        gw.suspects
+            .borrow()
+            .quarantine_status(run.fingerprint, Sender::Caller, gw.now());
+    if matches!(quarantine_status, QuarantineStatus::Quarantined(_)) {
         quarantine_store::store(gw, run.fingerprint);
     }
     warn!(target: "online", request:% = run.request, fingerprint:% = run.fingerprint, worker:% = run.ticket.worker, took_ms = lasted, crashes, reason; "worker crashed under a run");
--- a/crates/bluebellreel_gateway/src/gateway.rs
+++ b/crates/bluebellreel_gateway/src/gateway.rs
@@ -193,7 +193,7 @@
         };
         let board = self.board.borrow();
         let knows_worker = board
-            .seats()
+            .worker_views()
             .any(|s| configuration.names_service(&s.record.service));
         !self.stopping.get() && knows_worker
     }
--- a/crates/bluebellreel_gateway/src/lease.rs
+++ b/crates/bluebellreel_gateway/src/lease.rs
@@ -67,7 +67,7 @@
 }
 
 async fn register(gw: &Rc<Gateway>) -> Result<i64, KvError> {
-    let ttl = ENTRY_TTL.max(gw.settings.shortest_lease);
+    let ttl = ENTRY_TTL.max(gw.settings.min_lease_ttl);
     let lease = gw.store.lease(ttl).await?;
     let entry = MemberEntry {
         run: gw.run,
--- a/crates/bluebellreel_gateway/src/online.rs
+++ b/crates/bluebellreel_gateway/src/online.rs
@@ -10,7 +10,7 @@
 use crate::request::Request;
 use crate::ticket::{RESTART_GRACE, worker_restarted};
 use crate::upstream::{NoAnswer, Send, Upstream, send};
-use bluebellreel_dispatch::{Placement, RouteKind, return_after};
+use bluebellreel_dispatch::{Placement, RouteKind, retry_delay};
 use bluebellreel_net::{Body, Reuse};
 use bluebellreel_platform::ingress;
 use bluebellreel_types::{Moment, WorkerName};
@@ -42,7 +42,7 @@
         if let Err(until) = req.may_run(&gw) {
             return refuse_quarantined(&gw, &req, until);
         }
-        let worker = match placement::choose(&gw, &req, req.patience()) {
+        let worker = match placement::choose(&gw, &req, req.max_wait()) {
             Placement::Send(worker) => worker,
             Placement::Full => return give_up(&gw, &req, "all workers full"),
             Placement::NoWorker => return give_up(&gw, &req, "no worker"),
@@ -119,10 +119,10 @@
 
 fn log_choice(gw: &Gateway, req: &Request, worker: &WorkerName) {
     let board = gw.board.borrow();
-    let Some(seat) = board.seat(worker) else {
+    let Some(worker_view) = board.worker_view(worker) else {
         return;
     };
-    let running = seat.running();
+    let running = worker_view.running();
     let report_age = gw.members.borrow().oldest_report(gw.now());
     gw.metrics.report_age.observe(report_age.as_secs_f64());
     info!(
@@ -132,7 +132,7 @@
         worker:% = worker,
         online = running.online,
         batch = running.batch,
-        slots = seat.record.slots,
+        slots = worker_view.record.slots,
         tried = req.tried.len(),
         left_ms = millis(req.left()),
         version = gw.configuration().map_or(0, |c| c.version),
@@ -229,7 +229,7 @@
         gw.metrics.request("refused");
         let lasted = gw.overloads.borrow_mut().refused(&req.service, gw.now());
         let draw = gw.rng.borrow_mut().random_range(0.0..1.0);
-        let after = return_after(lasted, req.left(), draw);
+        let after = retry_delay(lasted, req.left(), draw);
         answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, reason, after)
     } else if req.left().is_zero() {
         gw.metrics.request("timed_out");
--- a/crates/bluebellreel_gateway/src/peer_api.rs
+++ b/crates/bluebellreel_gateway/src/peer_api.rs
@@ -40,7 +40,7 @@
             jobs::body_of_own(&gw, &JobId::from(*id), item)
         }
         (&Method::DELETE, ["jobs", id]) => jobs::cancel_own(&gw, &JobId::from(*id)).await,
-        (&Method::PUT, ["jobs", id, "end"]) => jobs::take_end(&gw, &JobId::from(*id)),
+        (&Method::PUT, ["jobs", id, "end"]) => jobs::take_cancellation(&gw, &JobId::from(*id)),
         (&Method::PUT, ["jobs", id, what @ ("owner" | "progress")]) => {
             let id = JobId::from(*id);
             let is_owner = *what == "owner";
@@ -50,7 +50,7 @@
             if is_owner {
                 return jobs::take_hand_over(&gw, &id, &progress).await;
             }
-            jobs::keep_copy(&gw, id, &progress);
+            jobs::store_progress_copy(&gw, id, &progress);
             answers::status(StatusCode::OK)
         }
         (&Method::POST, ["store"]) => store(&gw, req).await,
@@ -86,7 +86,7 @@
         workers: revision("workers"),
     };
     let cluster_state = gw.cluster_state.borrow();
-    if !cluster_state.tells_all_after(seen) {
+    if !cluster_state.has_all_changes_after(seen) {
         return answers::failure(StatusCode::CONFLICT, "ask for all");
     }
     match postcard::to_allocvec(&cluster_state.share(seen, gw.now())) {
--- a/crates/bluebellreel_gateway/src/placement.rs
+++ b/crates/bluebellreel_gateway/src/placement.rs
@@ -1,10 +1,10 @@
 //! Chooses a worker for a caller's request and reserves a run there.
 
 use crate::gateway::Gateway;
-use crate::jobs::make_room;
+use crate::jobs::preempt_batch_runs;
 use crate::request::Request;
 use crate::ticket::RunGuard;
-use bluebellreel_dispatch::{Class, Placement, Query, place_online, should_leave};
+use bluebellreel_dispatch::{Class, Placement, Query, place_online, should_reroute};
 use bluebellreel_types::WorkerName;
 use rand::RngExt;
 use std::rc::Rc;
@@ -14,21 +14,21 @@
     gw: &Gateway,
     req: &'a Request,
     avoid: &'a [WorkerName],
-    patience: Duration,
+    max_wait: Duration,
 ) -> Query<'a> {
     Query {
         service: &req.service,
         avoid,
-        patience,
+        max_wait,
         salt: gw.rng.borrow_mut().random(),
         now: gw.now(),
     }
 }
 
-/// Chooses a worker for a request that may wait in its queue for `patience`. Workers
+/// Chooses a worker for a request that may wait in its queue for `max_wait`. Workers
 /// that were tried before are excluded.
-pub(crate) fn choose(gw: &Gateway, req: &Request, patience: Duration) -> Placement {
-    choose_except(gw, req, &req.tried, patience)
+pub(crate) fn choose(gw: &Gateway, req: &Request, max_wait: Duration) -> Placement {
+    choose_except(gw, req, &req.tried, max_wait)
 }
 
 /// Chooses a worker among all except those in `avoid`; workers that were tried before
@@ -37,21 +37,21 @@
     gw: &Gateway,
     req: &Request,
     avoid: &[WorkerName],
-    patience: Duration,
+    max_wait: Duration,
 ) -> Placement {
-    place_online(&gw.board.borrow(), &query(gw, req, avoid, patience))
+    place_online(&gw.board.borrow(), &query(gw, req, avoid, max_wait))
 }
 
 /// Whether a request that waits for `worker` should be sent to another worker instead.
 pub(crate) fn is_better_elsewhere(gw: &Gateway, req: &Request, worker: &WorkerName) -> bool {
-    let query = query(gw, req, &req.tried, req.patience());
-    should_leave(&gw.board.borrow(), &query, worker)
+    let query = query(gw, req, &req.tried, req.max_wait());
+    should_reroute(&gw.board.borrow(), &query, worker)
 }
 
 /// Registers a caller's request as a run at a worker, and preempts batch runs there if
 /// needed.
 pub(crate) fn acquire(gw: &Rc<Gateway>, worker: &WorkerName) -> RunGuard {
     let place = RunGuard::acquire(gw, worker, Class::Online);
-    make_room(gw);
+    preempt_batch_runs(gw);
     place
 }
--- a/crates/bluebellreel_gateway/src/quarantine_gate.rs
+++ b/crates/bluebellreel_gateway/src/quarantine_gate.rs
@@ -9,7 +9,7 @@
 use crate::gateway::Gateway;
 use crate::millis::millis;
 use crate::quarantine_store;
-use bluebellreel_dispatch::{Cleared, Fingerprint, Sender, Standing, may_try};
+use bluebellreel_dispatch::{Cleared, Fingerprint, QuarantineStatus, Sender, may_try};
 use bluebellreel_types::Moment;
 use log::warn;
 use std::rc::Rc;
@@ -41,13 +41,13 @@
     /// Without restriction.
     Normal,
     /// As a trial; see [`Trial::begin`].
-    OnTrial(Fingerprint),
+    TrialOnly(Fingerprint),
 }
 
 impl Trial {
     /// Begins a trial and notifies all peers of it, if the permit is for one.
     pub(crate) fn begin(gw: &Rc<Gateway>, request: &str, permit: Permit) -> Option<Self> {
-        let Permit::OnTrial(fingerprint) = permit else {
+        let Permit::TrialOnly(fingerprint) = permit else {
             return None;
         };
         gw.suspects.borrow_mut().begin_trial(fingerprint, gw.now());
@@ -73,14 +73,17 @@
         return Ok(Permit::Normal);
     }
     let (fingerprint, now) = (fingerprint(), gw.now());
-    let standing = gw.suspects.borrow().standing(fingerprint, sender, now);
-    let until = match standing {
-        Standing::Clear | Standing::Suspect => return Ok(Permit::Normal),
-        Standing::OnTrial(since) if may_try_here(gw, fingerprint, sender, since) => {
-            return Ok(Permit::OnTrial(fingerprint));
+    let quarantine_status = gw
+        .suspects
+        .borrow()
+        .quarantine_status(fingerprint, sender, now);
+    let until = match quarantine_status {
+        QuarantineStatus::Clear | QuarantineStatus::Suspect => return Ok(Permit::Normal),
+        QuarantineStatus::TrialOnly(since) if may_try_here(gw, fingerprint, sender, since) => {
+            return Ok(Permit::TrialOnly(fingerprint));
         }
-        Standing::OnTrial(_) => now + TRIED_ELSEWHERE_BACKOFF,
-        Standing::Quarantined(until) => until,
+        QuarantineStatus::TrialOnly(_) => now + TRIED_ELSEWHERE_BACKOFF,
+        QuarantineStatus::Quarantined(until) => until,
     };
     let held_ms = millis(until.since(now));
     warn!(target: "online", request, fingerprint:% = fingerprint, due_in_ms = held_ms; "request held back");
--- a/crates/bluebellreel_gateway/src/quarantine_store.rs
+++ b/crates/bluebellreel_gateway/src/quarantine_store.rs
@@ -50,7 +50,7 @@
 }
 
 async fn write(gw: &Gateway, fingerprint: Fingerprint) -> Result<(), KvError> {
-    let workers = gw.suspects.borrow().workers_of(fingerprint);
+    let workers = gw.suspects.borrow().crashed_workers(fingerprint);
     let value = serde_json::to_vec(&Entry { workers });
     let value = value.map_err(|e| KvError::Refused(e.to_string()))?;
     let lease = gw.store.lease(ENTRY_TTL).await?.id;
--- a/crates/bluebellreel_gateway/src/relay.rs
+++ b/crates/bluebellreel_gateway/src/relay.rs
@@ -214,7 +214,7 @@
     fn max_silence(&self) -> Duration {
         let board = self.gw.board.borrow();
         let worker = self.upstream.run_guard.worker();
-        let mean_interval = board.paces.interval(worker, self.gw.now());
+        let mean_interval = board.speeds.interval(worker, self.gw.now());
         let steady_silence = mean_interval
             .unwrap_or_default()
             .mul_f64(MAX_SILENT_INTERVALS);
@@ -317,9 +317,9 @@
     ///
     /// The caller already has a part of the answer: a late rest is better than none.
     fn next_worker(&self, may_return: bool) -> Option<WorkerName> {
-        let patience = self.req.left();
+        let max_wait = self.req.left();
         let choose_excluding = |avoid: &[WorkerName]| {
-            let placed = placement::choose_except(&self.gw, &self.req, avoid, patience);
+            let placed = placement::choose_except(&self.gw, &self.req, avoid, max_wait);
             match placed {
                 Placement::Send(worker) => Some(worker),
                 Placement::Full | Placement::NoWorker => None,
@@ -401,7 +401,7 @@
     fn finish(&mut self) {
         self.finished = true;
         let lasted = self.first_event_at.elapsed();
-        self.gw.board.borrow_mut().paces.note_run(lasted);
+        self.gw.board.borrow_mut().speeds.note_run(lasted);
         quarantine_gate::run_completed(&self.gw, || self.req.fingerprint());
         let metrics = &self.gw.metrics;
         metrics.pause.observe(self.longest_pause.as_secs_f64());
@@ -422,7 +422,7 @@
     let waiting = gw
         .board
         .borrow()
-        .seat(worker)
+        .worker_view(worker)
         .map_or(0, |s| s.running().total().saturating_sub(s.record.slots));
     Instant::now() + MAX_SILENCE + Duration::from_millis(110) * waiting
 }
--- a/crates/bluebellreel_gateway/src/reports/mod.rs
+++ b/crates/bluebellreel_gateway/src/reports/mod.rs
@@ -180,12 +180,12 @@
     if let Some(sender_data_centre) = supplement.sender_data_centre.clone() {
         gw.board
             .borrow_mut()
-            .note_place(&report.entry, sender_data_centre);
+            .note_data_centre(&report.entry, sender_data_centre);
     }
     let load = load_of(&report, supplement, now);
     apply_load(gw, &report.entry, load);
     for job in &report.cancelled {
-        crate::jobs::end_reported(gw, job, &report.entry);
+        crate::jobs::cancellation_reported(gw, job, &report.entry);
     }
     for job in &report.jobs {
         let owner = KnownOwner {
@@ -217,7 +217,7 @@
 /// items may be started.
 fn apply_load(gw: &Gateway, peer: &EntryName, load: PeerLoad) {
     gw.board.borrow_mut().hear(peer, load);
-    crate::jobs::make_room(gw);
+    crate::jobs::preempt_batch_runs(gw);
     gw.batch_due.notify_one();
 }
 
--- a/crates/bluebellreel_gateway/src/reports/parts.rs
+++ b/crates/bluebellreel_gateway/src/reports/parts.rs
@@ -3,7 +3,7 @@
 //! it knows.
 
 use crate::gateway::Gateway;
-use bluebellreel_dispatch::{CrashNotice, Fingerprint, Strike, Suspects, WorkerTag};
+use bluebellreel_dispatch::{CrashNotice, CrashedRun, Fingerprint, Suspects, WorkerTag};
 use bluebellreel_members::WorkerList;
 use bluebellreel_types::Moment;
 use rand::RngExt;
@@ -73,7 +73,7 @@
     worker: WorkerTag,
     began_ms_ago: u32,
     crashed_ms_ago: u32,
-    excused: bool,
+    cleared: bool,
 }
 
 impl Warnings {
@@ -110,9 +110,9 @@
         Self {
             fingerprint: notice.fingerprint,
             worker: notice.worker,
-            began_ms_ago: ago(notice.strike.began),
-            crashed_ms_ago: ago(notice.strike.crashed),
-            excused: notice.strike.excused,
+            began_ms_ago: ago(notice.crashed_run.began),
+            crashed_ms_ago: ago(notice.crashed_run.crashed),
+            cleared: notice.crashed_run.cleared,
         }
     }
 
@@ -121,10 +121,10 @@
         CrashNotice {
             fingerprint: self.fingerprint,
             worker: self.worker,
-            strike: Strike {
+            crashed_run: CrashedRun {
                 began: at(self.began_ms_ago),
                 crashed: at(self.crashed_ms_ago),
-                excused: self.excused,
+                cleared: self.cleared,
             },
         }
     }
--- a/crates/bluebellreel_gateway/src/reports/wire.rs
+++ b/crates/bluebellreel_gateway/src/reports/wire.rs
@@ -165,7 +165,7 @@
     pub(super) fn load(&self, gw: &Gateway) -> PeerLoad {
         let board = gw.board.borrow();
         let running = self.running.iter().filter_map(|(tag, online, batch)| {
-            let (id, boot) = board.tagged(*tag)?;
+            let (id, boot) = board.worker_by_tag(*tag)?;
             let running = Running {
                 online: u32::from(*online),
                 batch: u32::from(*batch),
@@ -202,7 +202,7 @@
         running: running.collect(),
         waiting: gw.jobs.borrow().items_waiting(),
         tokens: gw.jobs.borrow().tokens_by_route().into_iter().collect(),
-        cancelled: gw.jobs.borrow().ended_here(),
+        cancelled: gw.jobs.borrow().cancelled_here(),
     };
     let boots = board.own().map(|(_, boot, _)| boot).collect();
     let supplement = Supplement {
--- a/crates/bluebellreel_gateway/src/request.rs
+++ b/crates/bluebellreel_gateway/src/request.rs
@@ -82,7 +82,7 @@
     }
 
     /// How long the request may wait in a worker's queue and still meet its objective.
-    pub(crate) fn patience(&self) -> Duration {
+    pub(crate) fn max_wait(&self) -> Duration {
         self.route.objective.mul_f64(MAX_QUEUEING_SHARE)
     }
 
@@ -96,7 +96,7 @@
         let waiting = gw
             .board
             .borrow()
-            .seat(worker)
+            .worker_view(worker)
             .map_or(0, |s| s.running().online.saturating_sub(s.record.slots));
         let wait = FIRST_BYTE_TIMEOUT + FIRST_BYTE_PER_WAITING * waiting;
         (Instant::now() + wait).min(self.deadline)
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -143,7 +143,7 @@
     spawn_local(registration::list_members(gw.clone()));
     spawn_local(quarantine_store::load(gw.clone()));
     spawn_local(jobs::start_items(gw.clone()));
-    spawn_local(jobs::keep_confirmed(gw.clone()));
+    spawn_local(jobs::renew_start_leases(gw.clone()));
     spawn_local(jobs::adopt_orphans(gw.clone()));
     spawn_local(jobs::copy_progress(gw.clone()));
     let g = gw.clone();
@@ -170,8 +170,8 @@
     gw.keepers.borrow_mut().sweep(now);
     gw.overloads.borrow_mut().sweep(now);
     gw.suspects.borrow_mut().sweep(now);
-    gw.board.borrow_mut().evict_silent(now);
-    gw.board.borrow_mut().paces.sweep(now);
+    gw.board.borrow_mut().evict_expired_peers(now);
+    gw.board.borrow_mut().speeds.sweep(now);
     let expired = gw.cluster_state.borrow_mut().catalog.expire(now);
     if expired {
         apply_workers(gw, "re-registration timeout");
@@ -212,8 +212,8 @@
     metrics.copies_bytes.set(count(jobs.copies.bytes()));
     metrics.store_calls.set(total(calls));
     metrics.store_failures.set(total(failures));
-    let seats = gw.board.borrow().seats().count();
-    metrics.workers.set(count(seats));
+    let worker_views = gw.board.borrow().worker_views().count();
+    metrics.workers.set(count(worker_views));
     let heard = gw.members.borrow().heard(gw.now()).count();
     metrics.peers.set(count(heard));
     metrics.configuration_version.set(total(version));
--- a/crates/bluebellreel_gateway/src/shutdown.rs
+++ b/crates/bluebellreel_gateway/src/shutdown.rs
@@ -82,7 +82,7 @@
         spawn_local(async move {
             loop {
                 hand_overs.begin(&gw);
-                jobs::pass_ends_on(&gw);
+                jobs::forward_cancellations(&gw);
                 sleep(CHECK_INTERVAL).await;
             }
         });
--- a/crates/bluebellreel_gateway/src/ticket.rs
+++ b/crates/bluebellreel_gateway/src/ticket.rs
@@ -69,7 +69,7 @@
 pub(crate) async fn worker_restarted(gw: &Gateway, ticket: &Ticket) {
     loop {
         let restarted = gw.worker_restarted.notified();
-        if gw.board.borrow().is_of_former_life(ticket) {
+        if gw.board.borrow().is_from_previous_incarnation(ticket) {
             return;
         }
         restarted.await;
--- a/crates/bluebellreel_gateway/src/upstream.rs
+++ b/crates/bluebellreel_gateway/src/upstream.rs
@@ -52,7 +52,7 @@
     let worker = send.run_guard.worker();
     let address = {
         let board = gw.board.borrow();
-        board.seat(worker).map(|s| s.record.address)
+        board.worker_view(worker).map(|s| s.record.address)
     };
     let Some(address) = address else {
         return Err(NoAnswer::Unsent("worker no longer listed".into()));
--- a/crates/bluebellreel_gateway/src/watching.rs
+++ b/crates/bluebellreel_gateway/src/watching.rs
@@ -66,7 +66,7 @@
     /// applying each one separately would take seconds.
     apply: fn(&Gateway),
     /// Records that all changes up to a revision were processed.
-    seen_to: fn(&Gateway, i64),
+    advance_to: fn(&Gateway, i64),
 }
 
 const OPERATOR: WatchHandler = WatchHandler {
@@ -84,7 +84,7 @@
         false
     },
     apply: |_| {},
-    seen_to: operator_seen_to,
+    advance_to: operator_seen_to,
 };
 
 const WORKERS: WatchHandler = WatchHandler {
@@ -95,7 +95,7 @@
         apply_workers(gw, "store");
         gw.report_due.notify_one();
     },
-    seen_to: |gw, revision| gw.cluster_state.borrow_mut().catalog.seen_to(revision),
+    advance_to: |gw, revision| gw.cluster_state.borrow_mut().catalog.advance_to(revision),
 };
 
 fn operator_seen_to(gw: &Gateway, revision: i64) {
@@ -159,7 +159,7 @@
             info!(target: "facts", worker = id, revision, kept = keep_until.is_some(); "worker no longer listed");
             let id = WorkerName::from(id);
             match keep_until {
-                Some(until) => cluster_state.catalog.miss(revision, &id, until),
+                Some(until) => cluster_state.catalog.mark_missing(revision, &id, until),
                 None => cluster_state.catalog.remove(revision, &id),
             }
         }
@@ -313,7 +313,7 @@
                 if needs_apply {
                     (handler.apply)(gw);
                 }
-                (handler.seen_to)(gw, changes.revision);
+                (handler.advance_to)(gw, changes.revision);
             }
             Ok(Watched::HistoryGone) => {
                 info!(target: "facts", prefix:% = prefix, after; "history compacted, listing again");
--- a/crates/bluebellreel_gateway/src/workers.rs
+++ b/crates/bluebellreel_gateway/src/workers.rs
@@ -1,7 +1,7 @@
 //! Applies the known list of workers to the board.
 
 use crate::gateway::Gateway;
-use crate::jobs::make_room;
+use crate::jobs::preempt_batch_runs;
 use bluebellreel_dispatch::WorkerChange;
 use bluebellreel_types::WorkerName;
 use log::info;
@@ -11,14 +11,14 @@
 pub(crate) fn apply_workers(gw: &Gateway, source: &str) {
     let cluster_state = gw.cluster_state.borrow();
     let revision = cluster_state.catalog.newest();
-    let changes = gw.board.borrow_mut().follow(&cluster_state.catalog);
+    let changes = gw.board.borrow_mut().apply_catalog(&cluster_state.catalog);
     drop(cluster_state);
     for (worker, change) in changes {
         match change {
             WorkerChange::Listed(state) => {
                 info!(target: "facts", worker:% = worker, state:? = state, revision, source; "worker listed");
             }
-            WorkerChange::StartedAgain(state) => {
+            WorkerChange::Restarted(state) => {
                 info!(target: "facts", worker:% = worker, state:? = state, revision, source; "worker started again");
                 drop_stale_connections(gw, &worker);
             }
@@ -28,13 +28,17 @@
         }
     }
     gw.batch_due.notify_one();
-    make_room(gw);
+    preempt_batch_runs(gw);
 }
 
 /// Drops the idle connections to a worker's previous incarnation, which are dead, and
 /// wakes the runs that wait for an answer from it.
 fn drop_stale_connections(gw: &Gateway, worker: &WorkerName) {
-    let address = gw.board.borrow().seat(worker).map(|s| s.record.address);
+    let address = gw
+        .board
+        .borrow()
+        .worker_view(worker)
+        .map(|s| s.record.address);
     if let Some(address) = address {
         gw.workers.drop_idle(address);
     }
