--- a/crates/bluebellreel_gateway/src/crash.rs
+++ b/crates/bluebellreel_gateway/src/crash.rs
@@ -1,12 +1,12 @@
-//! Whether a worker has crashed under a run.
+//! Detects whether a worker has crashed during a run.
 //!
-//! A run that is broken off may have lost its connection only. A worker has crashed
-//! if its VM refuses connections right after, or if it is no longer there a moment
-//! later though it did not say that it leaves.
+//! A run that is broken off may have lost only its connection. The worker has crashed if
+//! its VM refuses connections right afterwards, or if the worker has restarted or is no
+//! longer listed a moment later without having announced that it leaves.
 
 use crate::gateway::Gateway;
 use crate::millis::millis;
-use crate::quarantine;
+use crate::quarantine_store;
 use bluebellreel_dispatch::{
     CrashNotice, CrashedRun, Fingerprint, QuarantineStatus, Sender, Ticket, WorkerState, WorkerTag,
 };
@@ -19,77 +19,76 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How long a broken-off run waits for the probe of its worker before it goes on
-/// elsewhere. A VM answers within some milliseconds.
-const PROBE_LONGEST: Duration = Duration::from_millis(30);
-/// When a worker that listens is checked once more: one that has started again is
-/// listed by then, its former life is not.
-const CHECK_AGAIN: Duration = Duration::from_millis(2500);
+/// How long a broken-off run waits for the probe of its worker before it is resumed
+/// elsewhere. A VM answers within a few milliseconds.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(30);
+/// Delay after which a worker that accepts connections is checked again: if it has
+/// restarted, its new incarnation is listed by then instead of the previous one.
+const RECHECK_DELAY: Duration = Duration::from_millis(2500);
 
 /// A run that its worker broke off.
-pub(crate) struct Cut {
-    /// Id of the attempt, or of the item's request.
+pub(crate) struct InterruptedRun {
+    /// Id of the caller's request or of the batch item.
     pub(crate) request: Arc<str>,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) ticket: Ticket,
-    /// When it was sent.
+    /// When the request was sent.
     pub(crate) began: Moment,
 }
 
-/// Looks whether a run was broken off as its worker has crashed. What is found
-/// later than a moment is noted all the same.
-pub(crate) async fn look(gw: &Rc<Gateway>, cut: Cut) {
-    let Some(address) = listed_at(gw, &cut.ticket) else {
-        // It leaves: what it breaks off then is no crash.
+/// Checks whether a run was broken off because its worker has crashed. Returns after
+/// [`PROBE_TIMEOUT`] at the latest; a crash that is detected later is recorded as well.
+pub(crate) async fn check_for_crash(gw: &Rc<Gateway>, run: InterruptedRun) {
+    let Some(address) = ready_address(gw, &run.ticket) else {
+        // The worker is leaving, so a run that it breaks off is no sign of a crash.
         return;
     };
-    let probing = tokio::task::spawn_local(find_out(gw.clone(), cut, address, gw.now()));
-    // It goes on by itself.
-    let _ = timeout(PROBE_LONGEST, probing).await;
+    let probing = tokio::task::spawn_local(confirm_crash(gw.clone(), run, address, gw.now()));
+    // After the timeout the spawned task continues by itself.
+    let _ = timeout(PROBE_TIMEOUT, probing).await;
 }
 
-/// Where a run's worker listens, unless it has said that it leaves.
-fn listed_at(gw: &Gateway, ticket: &Ticket) -> Option<SocketAddr> {
+/// The address of a run's worker, unless the worker has announced that it leaves.
+fn ready_address(gw: &Gateway, ticket: &Ticket) -> Option<SocketAddr> {
     let board = gw.board.borrow();
     let worker_view = board.worker_view(&ticket.worker)?;
     (worker_view.record.state == WorkerState::Ready).then_some(worker_view.record.address)
 }
 
-async fn find_out(gw: Rc<Gateway>, cut: Cut, address: SocketAddr, at: Moment) {
-    if has_started_again(&gw, &cut.ticket) {
-        return note(&gw, &cut, at, "started again");
+async fn confirm_crash(gw: Rc<Gateway>, run: InterruptedRun, address: SocketAddr, at: Moment) {
+    if has_restarted(&gw, &run.ticket) {
+        return record_crash(&gw, &run, at, "started again");
     }
     match gw.workers.knock(address).await {
-        Knock::Refused => note(&gw, &cut, at, "refuses connections"),
+        Knock::Refused => record_crash(&gw, &run, at, "refuses connections"),
         Knock::Unknown => {}
         Knock::Open => {
-            sleep(CHECK_AGAIN).await;
-            if has_started_again(&gw, &cut.ticket) {
-                note(&gw, &cut, at, "started again");
+            sleep(RECHECK_DELAY).await;
+            if has_restarted(&gw, &run.ticket) {
+                record_crash(&gw, &run, at, "started again");
             }
         }
     }
 }
 
-/// Whether a run's worker lives another life, or none, though it did not say that it
-/// would leave.
-fn has_started_again(gw: &Gateway, ticket: &Ticket) -> bool {
+/// Whether a run's worker has restarted or is no longer listed.
+fn has_restarted(gw: &Gateway, ticket: &Ticket) -> bool {
     let board = gw.board.borrow();
     let gone = board.worker_view(&ticket.worker).is_none();
     gone || board.is_from_previous_incarnation(ticket)
 }
 
-fn note(gw: &Rc<Gateway>, cut: &Cut, at: Moment, reason: &str) {
-    let lasted = millis(at.since(cut.began));
+fn record_crash(gw: &Rc<Gateway>, run: &InterruptedRun, at: Moment, reason: &str) {
+    let lasted = millis(at.since(run.began));
     gw.metrics.crashes.inc();
     let crashed_run = CrashedRun {
-        began: cut.began,
+        began: run.began,
         crashed: at,
         cleared: false,
     };
     let notice = CrashNotice {
-        fingerprint: cut.fingerprint,
-        worker: WorkerTag::of(&cut.ticket.worker, cut.ticket.boot),
+        fingerprint: run.fingerprint,
+        worker: WorkerTag::of(&run.ticket.worker, run.ticket.boot),
         crashed_run,
     };
     let crashes = gw.suspects.borrow_mut().note_own_crash(notice, gw.now());
@@ -97,9 +96,9 @@
     let quarantine_status =
         gw.suspects
             .borrow()
-            .quarantine_status(cut.fingerprint, Sender::Caller, gw.now());
+            .quarantine_status(run.fingerprint, Sender::Caller, gw.now());
     if matches!(quarantine_status, QuarantineStatus::Quarantined(_)) {
-        quarantine::store(gw, cut.fingerprint);
+        quarantine_store::store(gw, run.fingerprint);
     }
-    warn!(target: "online", request:% = cut.request, fingerprint:% = cut.fingerprint, worker:% = cut.ticket.worker, took_ms = lasted, crashes, reason; "worker crashed under a run");
+    warn!(target: "online", request:% = run.request, fingerprint:% = run.fingerprint, worker:% = run.ticket.worker, took_ms = lasted, crashes, reason; "worker crashed under a run");
 }
--- a/crates/bluebellreel_gateway/src/in_progress.rs
+++ b/crates/bluebellreel_gateway/src/in_progress.rs
@@ -1,47 +1,47 @@
-//! Requests of callers that are being answered.
+//! Callers' requests that are being answered.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The requests in progress, by the order in which they came.
+/// The requests in progress, in order of arrival.
 #[derive(Debug, Default)]
 pub(crate) struct InProgress {
     open: RefCell<BTreeMap<u64, Arc<str>>>,
-    begun: Cell<u64>,
+    next_number: Cell<u64>,
 }
 
 impl InProgress {
-    /// Notes a request until what is given back is dropped.
-    pub(crate) fn begin(self: &Rc<Self>, id: &str) -> Begun {
-        let number = self.begun.get();
-        self.begun.set(number + 1);
+    /// Registers a request until the returned guard is dropped.
+    pub(crate) fn begin(self: &Rc<Self>, id: &str) -> InProgressGuard {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         self.open.borrow_mut().insert(number, Arc::from(id));
-        Begun {
+        InProgressGuard {
             number,
             all: self.clone(),
         }
     }
 
-    /// How many there are.
+    /// Number of requests in progress.
     pub(crate) fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Their ids.
+    /// Ids of the requests in progress.
     pub(crate) fn ids(&self) -> Vec<Arc<str>> {
         self.open.borrow().values().cloned().collect()
     }
 }
 
-/// A request in progress as long as it lives.
-pub(crate) struct Begun {
+/// Keeps a request registered as in progress until it is dropped.
+pub(crate) struct InProgressGuard {
     number: u64,
     all: Rc<InProgress>,
 }
 
-impl Drop for Begun {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.all.open.borrow_mut().remove(&self.number);
     }
--- a/crates/bluebellreel_gateway/src/keepers.rs
+++ b/crates/bluebellreel_gateway/src/keepers.rs
@@ -1,7 +1,8 @@
-//! What keepers of snapshots ask and bring.
+//! Calls of keepers of snapshots.
 //!
-//! They come by themselves. A gateway gives them what it knows, and while the
-//! store has not answered it since its start it takes what they have.
+//! Keepers visit the gateways on their own schedule. A gateway sends them its cluster
+//! state, and accepts their snapshots as long as the store has not answered since the
+//! gateway's start.
 
 use crate::answers;
 use crate::gateway::Gateway;
@@ -15,14 +16,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Whether the store has not answered this daemon yet.
-fn wants_facts(gw: &Gateway) -> bool {
-    let facts = gw.facts.borrow();
-    let knows_nothing = facts.configuration().is_none() && gw.store.finds_nobody();
-    knows_nothing || facts.is_from_snapshot()
+/// Whether the store has not answered this daemon yet, so that it accepts a snapshot.
+fn needs_snapshot(gw: &Gateway) -> bool {
+    let cluster_state = gw.cluster_state.borrow();
+    let knows_nothing = cluster_state.configuration().is_none() && gw.store.has_never_answered();
+    knows_nothing || cluster_state.is_from_snapshot()
 }
 
-/// Notes the visit of the keeper that asks.
+/// Records the visit of the keeper that makes the call.
 fn note_visit(gw: &Gateway, query: &str) {
     let pairs = form_urlencoded::parse(query.as_bytes());
     let mut address = None;
@@ -36,11 +37,11 @@
     }
     if let Some(at) = address {
         let mut keepers = gw.keepers.borrow_mut();
-        keepers.visited(at, is_near, gw.now());
+        keepers.record_visit(at, is_near, gw.now());
     }
 }
 
-/// Answers a keeper with what is known here. `query` says who asks.
+/// Answers a keeper with this gateway's state. `query` identifies the keeper.
 pub(crate) fn state(gw: &Gateway, query: &str) -> Response<Body> {
     note_visit(gw, query);
     let peers: Vec<(EntryName, SocketAddr)> = {
@@ -50,14 +51,14 @@
             .map(|(name, peer)| (name.clone(), peer.calls))
             .collect()
     };
-    let facts = gw.facts.borrow();
+    let cluster_state = gw.cluster_state.borrow();
     let state = GatewayState {
         entry: gw.me().clone(),
         data_centre: gw.settings.data_centre.clone(),
-        newest: facts.revisions(),
-        from_store: facts.configuration().is_some() && !facts.is_from_snapshot(),
+        newest: cluster_state.revisions(),
+        from_store: cluster_state.configuration().is_some() && !cluster_state.is_from_snapshot(),
         reaches_store: !gw.store.is_lost(),
-        wants_facts: wants_facts(gw),
+        wants_facts: needs_snapshot(gw),
         peers,
     };
     match postcard::to_allocvec(&state) {
@@ -66,11 +67,11 @@
     }
 }
 
-/// Takes a snapshot, if the store does not answer.
+/// Accepts a snapshot, if the store has not answered yet.
 ///
-/// Guard: all gateways may be killed while the store is away. Without a snapshot
-/// each caller is refused until it is back.
-pub(crate) fn take_offer(gw: &Rc<Gateway>, body: &[u8]) -> Response<Body> {
+/// All gateways may be killed while the store is unavailable. Without a snapshot every
+/// caller would be refused until the store is available again.
+pub(crate) fn accept_snapshot(gw: &Rc<Gateway>, body: &[u8]) -> Response<Body> {
     let offered = match postcard::from_bytes::<SharedFacts>(body) {
         Ok(offered) => offered,
         Err(e) => {
@@ -78,13 +79,16 @@
             return answers::failure(StatusCode::BAD_REQUEST, "not read");
         }
     };
-    if offered.believed_for.is_none() || !wants_facts(gw) {
+    if offered.believed_for.is_none() || !needs_snapshot(gw) {
         return answers::failure(StatusCode::CONFLICT, "the store has answered");
     }
     let workers = offered.workers.len();
     let believed_ms = offered.believed_for.map_or(0, millis);
     let revision = offered.configuration.as_ref().map_or(0, |(r, _)| *r);
-    let changed = gw.facts.borrow_mut().learn(offered, "snapshot", gw.now());
+    let changed = gw
+        .cluster_state
+        .borrow_mut()
+        .merge(offered, "snapshot", gw.now());
     info!(target: "facts", revision, workers, believed_ms; "snapshot taken over");
     if changed {
         apply_workers(gw, "snapshot");
--- a/crates/bluebellreel_gateway/src/lease.rs
+++ b/crates/bluebellreel_gateway/src/lease.rs
@@ -1,4 +1,4 @@
-//! This daemon's entry in the store, and the lease under which it stands.
+//! This daemon's entry in the store, and the lease that holds it.
 
 use crate::gateway::Gateway;
 use crate::jobs;
@@ -11,51 +11,53 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Time to live of a daemon's entry. Short, as a dead daemon's jobs wait for
-/// it to end; a renewal costs a tenth of a read.
+/// Time to live of a daemon's entry. It is short because a dead daemon's jobs are taken
+/// over only after it expires; a renewal costs a tenth of a read.
 const ENTRY_TTL: Duration = Duration::from_millis(3600);
-/// Time between renewals: three within the time to live.
-const RENEW_EVERY: Duration = Duration::from_millis(1100);
-/// Pause after a call that failed.
-const RETRY: Duration = Duration::from_millis(300);
-/// Times that an entry that changes while it is being replaced is read again.
-const TRIES: usize = 3;
+/// Interval between renewals: three within the time to live.
+const RENEW_INTERVAL: Duration = Duration::from_millis(1100);
+/// Pause before a failed registration is repeated.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Maximum number of attempts to replace an entry that changes between its read and its
+/// write.
+const MAX_TRIES: usize = 3;
 
-/// The store has renewed this daemon's entry by a call that was sent at `sent`.
-fn renewed(gw: &Rc<Gateway>, sent: Stamp) {
-    let mut tenure = gw.tenure.get();
-    let begins = tenure.renewed(sent, gw.stamp());
-    gw.tenure.set(tenure);
+/// Records that the store has renewed this daemon's entry, by a call sent at `sent`. If a
+/// new registration span begins, all jobs are confirmed.
+fn record_renewal(gw: &Rc<Gateway>, sent: Stamp) {
+    let mut registration_span = gw.registration_span.get();
+    let begins = registration_span.renewed(sent, gw.stamp());
+    gw.registration_span.set(registration_span);
     if begins {
         tokio::task::spawn_local(jobs::confirm_all(gw.clone()));
     }
 }
 
-/// Keeps this daemon's entry in the store until it stops.
+/// Keeps this daemon's entry in the store until the daemon stops.
 pub(crate) async fn keep_registered(gw: Rc<Gateway>) {
     while !gw.stopping.get() {
         let lease = match register(&gw).await {
             Ok(lease) => lease,
             Err(e) => {
                 warn!(target: "members", error:% = e; "not registered");
-                sleep(RETRY).await;
+                sleep(RETRY_PAUSE).await;
                 continue;
             }
         };
         gw.lease.set(lease);
         info!(target: "members", lease; "registered");
-        renew_until_it_ends(&gw, lease).await;
+        renew_until_expired(&gw, lease).await;
     }
 }
 
-async fn renew_until_it_ends(gw: &Rc<Gateway>, lease: i64) {
+async fn renew_until_expired(gw: &Rc<Gateway>, lease: i64) {
     while gw.lease.get() == lease && !gw.stopping.get() {
-        sleep(RENEW_EVERY).await;
+        sleep(RENEW_INTERVAL).await;
         let sent = gw.stamp();
         match gw.store.renew(lease).await {
-            Ok(true) => renewed(gw, sent),
+            Ok(true) => record_renewal(gw, sent),
             Ok(false) => {
-                gw.interrupt_tenure();
+                gw.interrupt_registration_span();
                 warn!(target: "members", lease; "lease has ended");
                 return;
             }
@@ -78,27 +80,29 @@
         value,
         lease: lease.id,
     };
-    for _ in 0..TRIES {
+    for _ in 0..MAX_TRIES {
         let txn = entry_txn(gw, put.clone()).await?;
         let sent = gw.stamp();
         match gw.store.commit(&txn, Instant::now() + ttl).await {
             Commit::Applied { .. } => {
-                renewed(gw, sent);
+                record_renewal(gw, sent);
                 return Ok(lease.id);
             }
-            // Another write came first: it may be our own, without an answer.
+            // Another write came first: possibly this daemon's own, whose answer was lost.
             Commit::Beaten(_) => {}
             Commit::NotDone(reason) => return Err(KvError::NotDone(reason)),
             Commit::Unknown(reason) => return Err(KvError::Unknown(reason)),
         }
     }
-    Err(KvError::NotDone("entry changes each time".into()))
+    Err(KvError::NotDone(
+        "entry changed during each attempt to replace it".into(),
+    ))
 }
 
-/// A write of this daemon's entry in place of what stands there now: the newest
-/// run of a name is the one that lives. Unguarded, a write of an earlier run that
-/// takes effect late would replace the entry, and it would end with that run's
-/// lease.
+/// A write that replaces the current entry under this daemon's name, guarded by the
+/// revision of that entry: the newest incarnation of a name is the valid one. Without the
+/// guard, a delayed write of an earlier incarnation would replace the entry, which would
+/// then expire with that incarnation's lease.
 async fn entry_txn(gw: &Gateway, put: Put) -> Result<Txn, KvError> {
     let key = put.key.clone();
     let guard = match gw.store.read(&key).await? {
@@ -112,14 +116,14 @@
     })
 }
 
-/// Gives the lease back, so that the others learn of the stop at once.
+/// Releases the lease, so that the other daemons learn of the shutdown at once.
 pub(crate) async fn unregister(gw: &Gateway) {
     let lease = gw.lease.take();
     if lease == 0 {
         return;
     }
-    gw.interrupt_tenure();
+    gw.interrupt_registration_span();
     if let Err(e) = gw.store.release(lease).await {
-        warn!(target: "members", lease, error:% = e; "lease not given back");
+        warn!(target: "members", lease, error:% = e; "lease not released");
     }
 }
--- a/crates/bluebellreel_gateway/src/lib.rs
+++ b/crates/bluebellreel_gateway/src/lib.rs
@@ -1,44 +1,41 @@
-//! The gateway: an entry daemon that sends to workers directly.
+//! The gateway: an entry daemon that sends requests directly to workers.
 //!
-//! One process on each entry VM, one thread, one event loop. Callers' requests
-//! go straight to workers; batch jobs are kept in the platform's store and run
-//! by the daemon that owns them. Daemons report to each other what they run, so
-//! that none piles work on a worker that another has filled.
+//! One process runs on each entry VM, with one thread and one event loop. It sends
+//! callers' requests directly to workers. Batch jobs are stored in the platform's
+//! store and run by the daemon that owns them. Daemons report their running work to
+//! each other, so that none overloads a worker that another has already filled.
 //!
-//! The way of a request, each file importing those after it: [`run_gateway`]
-//! listens, `serve` tells calls apart, `online` answers, `relay` passes events on
-//! and goes on elsewhere, `place` chooses a worker, `upstream` sends; `jobs` holds
-//! what happens to batch jobs. Decisions are in `bluebellreel_dispatch` and
-//! `bluebellreel_batch`.
+//! The modules on the path of a request, each importing those after it:
+//! [`run_gateway`] listens, `serve` distinguishes the kinds of calls, `online` answers
+//! a request, `relay` forwards a stream's events and resumes it at another worker,
+//! `placement` chooses a worker, `upstream` sends; `jobs` handles batch jobs. The
+//! decisions are made by `bluebellreel_dispatch` and `bluebellreel_batch`.
 //!
 //! ```no_run
 //! let settings = bluebellreel_settings::load_gateway("gateway.toml".as_ref()).unwrap();
-//! let around = bluebellreel_gateway::Surroundings::fixed(&settings);
-//! let clean = bluebellreel_gateway::run_gateway(settings, around).unwrap();
+//! let hooks = bluebellreel_gateway::ProcessHooks::fixed(&settings);
+//! let clean = bluebellreel_gateway::run_gateway(settings, hooks).unwrap();
 //! assert!(clean);
 //! ```
 
 mod answers;
+mod cluster_state;
 mod crash;
-mod detour;
-mod doors;
 mod events;
-mod facts;
 mod gateway;
 mod in_progress;
 mod jobs;
 mod keeper_visits;
 mod keepers;
 mod lease;
-mod leave;
 mod metrics;
 mod millis;
 mod online;
 mod peer_api;
 mod peer_calls;
-mod place;
-mod pulse;
-mod quarantine;
+mod placement;
+mod quarantine_gate;
+mod quarantine_store;
 mod registration;
 mod relay;
 mod reload;
@@ -46,14 +43,17 @@
 mod request;
 mod run;
 mod serve;
+mod server_handles;
+mod shutdown;
 mod store;
+mod store_proxy;
+mod stream_monitor;
 mod suspension;
-mod suspicion;
 mod ticket;
 mod unreadable;
 mod upstream;
 mod watching;
 mod workers;
 
-pub use reload::Surroundings;
-pub use run::{live, run_gateway};
+pub use reload::ProcessHooks;
+pub use run::{run_gateway, run_gateway_until};
--- a/crates/bluebellreel_gateway/src/online.rs
+++ b/crates/bluebellreel_gateway/src/online.rs
@@ -1,14 +1,14 @@
-//! One caller's request: chosen a worker, sent, answered.
+//! Answers one caller's request: chooses a worker, sends the request, forwards the answer.
 
 use crate::answers;
 use crate::crash;
 use crate::gateway::Gateway;
 use crate::millis::millis;
-use crate::place;
+use crate::placement;
+use crate::quarantine_gate;
 use crate::relay::Relay;
 use crate::request::Request;
-use crate::suspicion;
-use crate::ticket::{AFTER_RESTART, worker_restarted};
+use crate::ticket::{RESTART_GRACE, worker_restarted};
 use crate::upstream::{NoAnswer, Send, Upstream, send};
 use bluebellreel_dispatch::{Placement, RouteKind, retry_delay};
 use bluebellreel_net::{Body, Reuse};
@@ -23,14 +23,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Longest answer that is gathered before it is passed on.
-const ANSWER_BYTES: usize = 8 * 1024 * 1024;
-/// Time between checks whether a request whose first byte is late does better
+/// Maximum size of an answer that is buffered before it is forwarded.
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// Interval between checks whether a request whose first byte is late should be sent
 /// elsewhere.
-const RECHECK_EVERY: Duration = Duration::from_millis(40);
-/// Sends that nothing came of before a request is given up. Refusals by
-/// workers cost a round trip each.
-const MOST_REFUSALS: u32 = 4;
+const RECHECK_INTERVAL: Duration = Duration::from_millis(40);
+/// Maximum number of sends that no worker ran before a request fails. Each refusal by a
+/// worker costs a round trip.
+const MAX_REFUSALS: u32 = 4;
 
 /// Answers a caller.
 pub(crate) async fn answer(gw: Rc<Gateway>, mut req: Request) -> Response<Body> {
@@ -40,28 +40,28 @@
             return give_up(&gw, &req, "deadline passed");
         }
         if let Err(until) = req.may_run(&gw) {
-            return hold_back(&gw, &req, until);
+            return refuse_quarantined(&gw, &req, until);
         }
-        let worker = match place::choose(&gw, &req, req.max_wait()) {
+        let worker = match placement::choose(&gw, &req, req.max_wait()) {
             Placement::Send(worker) => worker,
             Placement::Full => return give_up(&gw, &req, "all workers full"),
             Placement::NoWorker => return give_up(&gw, &req, "no worker"),
         };
         match send_to(&gw, &mut req, &worker).await {
-            Ok(upstream) => match pass_on(&gw, req, upstream).await {
+            Ok(upstream) => match forward_answer(&gw, req, upstream).await {
                 Ok(answer) => return answer,
                 Err(again) => req = again,
             },
             Err(NoAnswer::NotRun(_) | NoAnswer::Unsent(_)) => refusals += 1,
             Err(NoAnswer::Unknown(_) | NoAnswer::Silent) => req.runs += 1,
         }
-        if refusals >= MOST_REFUSALS || !req.may_repeat() {
+        if refusals >= MAX_REFUSALS || !req.may_repeat() {
             return give_up(&gw, &req, "nothing came of its sends");
         }
     }
 }
 
-/// Sends to a worker, and logs what decided it and what came of it.
+/// Sends the request to a worker, and logs the state behind the choice and a failure.
 async fn send_to(
     gw: &Rc<Gateway>,
     req: &mut Request,
@@ -75,15 +75,15 @@
     } else {
         Reuse::Never
     };
-    let place = place::take(gw, worker);
-    let ticket = place.ticket().clone();
+    let run_guard = placement::acquire(gw, worker);
+    let ticket = run_guard.ticket().clone();
     let began = gw.now();
     let mut restarted = pin!(worker_restarted(gw, &ticket));
-    let mut of_former_life = false;
+    let mut has_restarted = false;
     let mut answer = pin!(send(
         gw,
         Send {
-            place,
+            run_guard,
             out: &req.out,
             left: Some(req.left()),
             after: None,
@@ -95,16 +95,16 @@
         tokio::select! {
             biased;
             outcome = answer.as_mut() => break outcome,
-            () = restarted.as_mut(), if !of_former_life => {
-                of_former_life = true;
-                due = due.min(Instant::now() + AFTER_RESTART);
+            () = restarted.as_mut(), if !has_restarted => {
+                has_restarted = true;
+                due = due.min(Instant::now() + RESTART_GRACE);
             }
             () = sleep_until(due) => {
-                if of_former_life || place::does_better_elsewhere(gw, req, worker) {
+                if has_restarted || placement::is_better_elsewhere(gw, req, worker) {
                     gw.board.borrow_mut().failed(&ticket, gw.now());
                     break Err(NoAnswer::Silent);
                 }
-                due = (Instant::now() + RECHECK_EVERY).min(req.deadline);
+                due = (Instant::now() + RECHECK_INTERVAL).min(req.deadline);
             }
         }
     };
@@ -112,7 +112,7 @@
         warn!(target: "online", request:% = req.id, worker:% = worker, outcome:? = e, runs = req.runs; "no answer from worker");
     }
     if matches!(outcome, Err(NoAnswer::Unknown(_))) {
-        crash::look(gw, req.cut(ticket.clone(), began)).await;
+        crash::check_for_crash(gw, req.interrupted_run(ticket.clone(), began)).await;
     }
     outcome
 }
@@ -141,9 +141,13 @@
     );
 }
 
-/// Passes a worker's answer on, or hands the request back to be sent once
-/// more.
-async fn pass_on(
+/// Forwards a worker's answer.
+///
+/// # Errors
+///
+/// Returns the request if nothing was forwarded, so that the caller of this function may
+/// send it once more.
+async fn forward_answer(
     gw: &Rc<Gateway>,
     mut req: Request,
     mut upstream: Upstream,
@@ -152,9 +156,10 @@
     let failed = status.is_server_error();
     req.runs += 1;
     if failed {
-        // Also where the request cannot be sent on: the next one would meet the
-        // same worker, which looks emptiest as it fails at once.
-        upstream.place.failed();
+        // The failure is recorded even if the request cannot be sent elsewhere. A worker
+        // that fails at once seems to have the least load, and would otherwise be chosen
+        // for the next request too.
+        upstream.run_guard.failed();
         if req.route.repeatable() && req.may_repeat() {
             return Err(req);
         }
@@ -162,22 +167,22 @@
     if req.route.kind == RouteKind::Stream && status.is_success() {
         return Ok(stream(gw, req, upstream));
     }
-    let body = tokio::time::timeout_at(req.deadline, upstream.body.whole(ANSWER_BYTES)).await;
+    let body = tokio::time::timeout_at(req.deadline, upstream.body.whole(MAX_ANSWER_BYTES)).await;
     let Ok(Ok(body)) = body else {
-        upstream.place.failed();
+        upstream.run_guard.failed();
         if matches!(body, Ok(Err(_))) {
-            let ticket = upstream.place.ticket().clone();
-            crash::look(gw, req.cut(ticket, upstream.began)).await;
+            let ticket = upstream.run_guard.ticket().clone();
+            crash::check_for_crash(gw, req.interrupted_run(ticket, upstream.began)).await;
         }
         return Err(req);
     };
     if !failed {
-        upstream.place.succeeded();
+        upstream.run_guard.succeeded();
     }
-    suspicion::ended_well(gw, || req.fingerprint());
+    quarantine_gate::run_completed(gw, || req.fingerprint());
     gw.metrics
         .request(if failed { "worker_failed" } else { "served" });
-    info!(target: "online", request:% = req.id, worker:% = upstream.place.worker(), status = status.as_u16(); "answered");
+    info!(target: "online", request:% = req.id, worker:% = upstream.run_guard.worker(), status = status.as_u16(); "answered");
     Ok(whole(&upstream.head, body))
 }
 
@@ -200,20 +205,24 @@
     answer
 }
 
-/// The final answer to a request that workers crash under.
-fn hold_back(gw: &Gateway, req: &Request, until: Moment) -> Response<Body> {
+/// The final answer to a request that is held back because it crashes workers.
+fn refuse_quarantined(gw: &Gateway, req: &Request, until: Moment) -> Response<Body> {
     let mut answer = if req.runs == 0 {
         let after = until.since(gw.now());
-        answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, suspicion::REASON, after)
+        answers::retry_after(
+            StatusCode::SERVICE_UNAVAILABLE,
+            quarantine_gate::QUARANTINE_REASON,
+            after,
+        )
     } else {
-        answers::failure(StatusCode::BAD_GATEWAY, suspicion::REASON)
+        answers::failure(StatusCode::BAD_GATEWAY, quarantine_gate::QUARANTINE_REASON)
     };
     gw.metrics.request("held_back");
     ingress::set_request_id(answer.headers_mut(), &req.id);
     answer
 }
 
-/// The final answer to a request that nothing more is tried for.
+/// The final answer to a request that is not sent again.
 fn give_up(gw: &Gateway, req: &Request, reason: &str) -> Response<Body> {
     let held = millis(req.received.elapsed());
     let mut answer = if req.runs == 0 {
--- a/crates/bluebellreel_gateway/src/peer_api.rs
+++ b/crates/bluebellreel_gateway/src/peer_api.rs
@@ -1,10 +1,10 @@
-//! What peers may call.
+//! The interface for calls of peers and keepers.
 
 use crate::answers;
-use crate::detour;
 use crate::gateway::Gateway;
 use crate::jobs;
 use crate::keepers;
+use crate::store_proxy;
 use bluebellreel_members::Revisions;
 use bluebellreel_net::{Body, read_body};
 use bluebellreel_types::JobId;
@@ -14,25 +14,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest body of a peer's call.
-const BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Longest wait for it.
-const BODY_TIME: Duration = Duration::from_secs(2);
+/// Maximum size of the body of a peer's call.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// Timeout of reading the body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers a peer.
+/// Answers a call of a peer or keeper.
 pub(crate) async fn answer(gw: Rc<Gateway>, req: Request<Incoming>) -> Response<Body> {
     let path = req.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     match (req.method(), parts.as_slice()) {
-        (&Method::GET, ["facts"]) => facts(&gw, &req),
+        (&Method::GET, ["facts"]) => cluster_state(&gw, &req),
         (&Method::GET, ["state"]) => keepers::state(&gw, req.uri().query().unwrap_or("")),
-        (&Method::PUT, ["facts"]) => match body_of(req).await {
-            Some(body) => keepers::take_offer(&gw, &body),
-            None => no_body(),
+        (&Method::PUT, ["facts"]) => match read_call_body(req).await {
+            Some(body) => keepers::accept_snapshot(&gw, &body),
+            None => missing_body(),
         },
         (&Method::GET, ["jobs", id, "results"]) => {
-            let after = number(&req, "after");
-            let wait = Duration::from_millis(number(&req, "wait_ms"));
+            let after = query_number(&req, "after");
+            let wait = Duration::from_millis(query_number(&req, "wait_ms"));
             let after = usize::try_from(after).unwrap_or(usize::MAX);
             jobs::read_own(&gw, &JobId::from(*id), after, wait).await
         }
@@ -44,8 +44,8 @@
         (&Method::PUT, ["jobs", id, what @ ("owner" | "progress")]) => {
             let id = JobId::from(*id);
             let is_owner = *what == "owner";
-            let Some(progress) = body_of(req).await else {
-                return no_body();
+            let Some(progress) = read_call_body(req).await else {
+                return missing_body();
             };
             if is_owner {
                 return jobs::take_hand_over(&gw, &id, &progress).await;
@@ -58,44 +58,44 @@
     }
 }
 
-/// The whole body of a peer's call.
-async fn body_of(req: Request<Incoming>) -> Option<Bytes> {
-    let body = read_body(req.into_body(), BODY_BYTES, BODY_TIME).await;
+/// Reads the whole body of a peer's call; none if it is too long or incomplete.
+async fn read_call_body(req: Request<Incoming>) -> Option<Bytes> {
+    let body = read_body(req.into_body(), MAX_BODY_BYTES, BODY_TIMEOUT).await;
     body.ok().flatten()
 }
 
-fn no_body() -> Response<Body> {
+fn missing_body() -> Response<Body> {
     answers::failure(StatusCode::BAD_REQUEST, "no body")
 }
 
-/// Makes a call to the store for a peer that the store turns away.
+/// Makes a call to the store on behalf of a peer that the store rejects.
 async fn store(gw: &Gateway, req: Request<Incoming>) -> Response<Body> {
-    let Some(body) = body_of(req).await else {
-        return no_body();
+    let Some(body) = read_call_body(req).await else {
+        return missing_body();
     };
-    match detour::make_for_peer(gw, &body).await {
+    match store_proxy::call_for_peer(gw, &body).await {
         Ok(answer) => answers::bytes(answer),
         Err(e) => answers::failure(StatusCode::BAD_REQUEST, &e),
     }
 }
 
-fn facts(gw: &Gateway, req: &Request<Incoming>) -> Response<Body> {
-    let revision = |name| i64::try_from(number(req, name)).unwrap_or(i64::MAX);
+fn cluster_state(gw: &Gateway, req: &Request<Incoming>) -> Response<Body> {
+    let revision = |name| i64::try_from(query_number(req, name)).unwrap_or(i64::MAX);
     let seen = Revisions {
         configuration: revision("configuration"),
         workers: revision("workers"),
     };
-    let facts = gw.facts.borrow();
-    if !facts.has_all_changes_after(seen) {
+    let cluster_state = gw.cluster_state.borrow();
+    if !cluster_state.has_all_changes_after(seen) {
         return answers::failure(StatusCode::CONFLICT, "ask for all");
     }
-    match postcard::to_allocvec(&facts.share(seen, gw.now())) {
+    match postcard::to_allocvec(&cluster_state.share(seen, gw.now())) {
         Ok(bytes) => answers::bytes(bytes),
         Err(e) => answers::failure(StatusCode::INTERNAL_SERVER_ERROR, &e.to_string()),
     }
 }
 
-fn number(req: &Request<Incoming>, name: &str) -> u64 {
+fn query_number(req: &Request<Incoming>, name: &str) -> u64 {
     let query = req.uri().query().unwrap_or("");
     query
         .split('&')
--- a/crates/bluebellreel_gateway/src/peer_calls.rs
+++ b/crates/bluebellreel_gateway/src/peer_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to peers.
+//! Calls to peers and keepers.
 
 use crate::gateway::Gateway;
 use bluebellreel_members::Revisions;
@@ -10,9 +10,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for a peer that should answer at once.
-const TIMEOUT: Duration = Duration::from_millis(600);
-/// Why a peer gave no answer.
+/// Timeout of calls that a peer should answer at once.
+const CALL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Why a call to a peer failed.
 pub(crate) type PeerError = CallError;
 
 async fn call(
@@ -21,40 +21,41 @@
     method: Method,
     path: &str,
     body: Bytes,
-    longest: Duration,
+    max_wait: Duration,
 ) -> Result<(StatusCode, Bytes), PeerError> {
-    bluebellreel_net::call(&gw.peers, to, method, path, body, longest).await
+    bluebellreel_net::call(&gw.peers, to, method, path, body, max_wait).await
 }
 
-/// What a peer knows beyond `seen`; all that it knows of workers if it does not
-/// know who has left since.
-pub(crate) async fn facts(
+/// Fetches the part of a peer's cluster state that is newer than `seen`. If the peer no
+/// longer knows which workers have left since then, fetches all its workers.
+pub(crate) async fn cluster_state(
     gw: &Gateway,
     to: SocketAddr,
     seen: Revisions,
 ) -> Result<SharedFacts, PeerError> {
-    if let Some(facts) = facts_after(gw, to, seen).await? {
-        return Ok(facts);
+    if let Some(cluster_state) = cluster_state_after(gw, to, seen).await? {
+        return Ok(cluster_state);
     }
-    all_facts(gw, to, seen).await
+    full_cluster_state(gw, to, seen).await
 }
 
-/// All that a peer knows of workers, and a configuration that is newer than `seen`.
-pub(crate) async fn all_facts(
+/// Fetches all workers that a peer knows, and its configuration if that is newer than
+/// `seen`.
+pub(crate) async fn full_cluster_state(
     gw: &Gateway,
     to: SocketAddr,
     seen: Revisions,
 ) -> Result<SharedFacts, PeerError> {
     let all = Revisions { workers: 0, ..seen };
-    let facts = facts_after(gw, to, all).await?;
-    let facts = facts.ok_or("asked for all in vain")?;
+    let cluster_state = cluster_state_after(gw, to, all).await?;
+    let cluster_state = cluster_state.ok_or("peer refuses to send its full state")?;
     Ok(SharedFacts {
         whole: true,
-        ..facts
+        ..cluster_state
     })
 }
 
-async fn facts_after(
+async fn cluster_state_after(
     gw: &Gateway,
     to: SocketAddr,
     seen: Revisions,
@@ -63,17 +64,17 @@
         "/facts?configuration={}&workers={}",
         seen.configuration, seen.workers
     );
-    match call(gw, to, Method::GET, &path, Bytes::new(), TIMEOUT).await? {
+    match call(gw, to, Method::GET, &path, Bytes::new(), CALL_TIMEOUT).await? {
         (StatusCode::OK, body) => {
-            let facts = postcard::from_bytes::<SharedFacts>(&body);
-            facts.map(Some).map_err(|e| e.to_string())
+            let cluster_state = postcard::from_bytes::<SharedFacts>(&body);
+            cluster_state.map(Some).map_err(|e| e.to_string())
         }
         (StatusCode::CONFLICT, _) => Ok(None),
         (status, _) => Err(format!("status {status}")),
     }
 }
 
-/// Results of a job that the peer owns, in the form that callers get.
+/// Fetches results of a job that the peer owns, in the form that callers receive.
 pub(crate) async fn results(
     gw: &Gateway,
     to: SocketAddr,
@@ -85,10 +86,18 @@
         "/jobs/{id}/results?after={after}&wait_ms={}",
         wait.as_millis()
     );
-    call(gw, to, Method::GET, &path, Bytes::new(), TIMEOUT + wait).await
+    call(
+        gw,
+        to,
+        Method::GET,
+        &path,
+        Bytes::new(),
+        CALL_TIMEOUT + wait,
+    )
+    .await
 }
 
-/// Body of an item of a job that the peer owns.
+/// Fetches the body of an item of a job that the peer owns.
 pub(crate) async fn item_body(
     gw: &Gateway,
     to: SocketAddr,
@@ -96,46 +105,46 @@
     item: &str,
 ) -> Result<(StatusCode, Bytes), PeerError> {
     let path = format!("/jobs/{id}/items/{item}");
-    call(gw, to, Method::GET, &path, Bytes::new(), TIMEOUT).await
+    call(gw, to, Method::GET, &path, Bytes::new(), CALL_TIMEOUT).await
 }
 
-/// Ends a job that the peer owns.
+/// Cancels a job that the peer owns.
 pub(crate) async fn cancel(
     gw: &Gateway,
     to: SocketAddr,
     id: &JobId,
 ) -> Result<(StatusCode, Bytes), PeerError> {
     let path = format!("/jobs/{id}");
-    call(gw, to, Method::DELETE, &path, Bytes::new(), TIMEOUT).await
+    call(gw, to, Method::DELETE, &path, Bytes::new(), CALL_TIMEOUT).await
 }
 
-/// Has a peer go on with the end of a job.
-pub(crate) async fn pass_end_on(gw: &Gateway, to: SocketAddr, id: &JobId) -> Result<(), PeerError> {
+/// Asks a peer to complete the cancellation of a job.
+pub(crate) async fn forward_end(gw: &Gateway, to: SocketAddr, id: &JobId) -> Result<(), PeerError> {
     let path = format!("/jobs/{id}/end");
-    let (status, _) = call(gw, to, Method::PUT, &path, Bytes::new(), TIMEOUT).await?;
+    let (status, _) = call(gw, to, Method::PUT, &path, Bytes::new(), CALL_TIMEOUT).await?;
     if status != StatusCode::OK {
         return Err(format!("status {status}"));
     }
     Ok(())
 }
 
-/// Has a peer make a call to the store.
+/// Asks a peer to make a call to the store on this daemon's behalf.
 pub(crate) async fn store(
     gw: &Gateway,
     to: SocketAddr,
     body: Vec<u8>,
-    longest: Duration,
+    max_wait: Duration,
 ) -> Result<Bytes, PeerError> {
     let body = Bytes::from(body);
-    let longest = longest + TIMEOUT;
-    let (status, body) = call(gw, to, Method::POST, "/store", body, longest).await?;
+    let max_wait = max_wait + CALL_TIMEOUT;
+    let (status, body) = call(gw, to, Method::POST, "/store", body, max_wait).await?;
     if status != StatusCode::OK {
         return Err(format!("status {status}"));
     }
     Ok(body)
 }
 
-/// Tells a peer that it owns a job now, and what its items had generated.
+/// Notifies a peer that it now owns a job, with the progress of the job's items.
 pub(crate) async fn hand_over(
     gw: &Gateway,
     to: SocketAddr,
@@ -144,14 +153,14 @@
 ) -> Result<StatusCode, PeerError> {
     let path = format!("/jobs/{id}/owner");
     let body = Bytes::from(progress);
-    let (status, _) = call(gw, to, Method::PUT, &path, body, TIMEOUT).await?;
+    let (status, _) = call(gw, to, Method::PUT, &path, body, CALL_TIMEOUT).await?;
     Ok(status)
 }
 
-/// How far the items of a job are, as a keeper knows it; empty if it does not.
+/// Fetches the progress of a job's items from a keeper; empty if it has none.
 pub(crate) async fn progress(gw: &Gateway, to: SocketAddr, id: &JobId) -> Result<Bytes, PeerError> {
     let path = format!("/jobs/{id}/progress");
-    let (status, body) = call(gw, to, Method::GET, &path, Bytes::new(), TIMEOUT).await?;
+    let (status, body) = call(gw, to, Method::GET, &path, Bytes::new(), CALL_TIMEOUT).await?;
     match status {
         StatusCode::OK => Ok(body),
         StatusCode::NOT_FOUND => Ok(Bytes::new()),
@@ -159,7 +168,7 @@
     }
 }
 
-/// Tells a keeper, or the peer that would take a job over, how far its items are.
+/// Sends the progress of a job's items to a keeper or to the job's successor.
 pub(crate) async fn copy_progress(
     gw: &Gateway,
     to: SocketAddr,
@@ -168,7 +177,7 @@
 ) -> Result<(), PeerError> {
     let path = format!("/jobs/{id}/progress");
     let body = Bytes::from(progress);
-    let (status, _) = call(gw, to, Method::PUT, &path, body, TIMEOUT).await?;
+    let (status, _) = call(gw, to, Method::PUT, &path, body, CALL_TIMEOUT).await?;
     if status != StatusCode::OK {
         return Err(format!("status {status}"));
     }
--- a/crates/bluebellreel_gateway/src/place.rs
+++ b/crates/bluebellreel_gateway/src/placement.rs
@@ -1,9 +1,9 @@
-//! A worker for a caller's request, and a place there.
+//! Chooses a worker for a caller's request and reserves a run there.
 
 use crate::gateway::Gateway;
 use crate::jobs::preempt_batch_runs;
 use crate::request::Request;
-use crate::ticket::Place;
+use crate::ticket::RunGuard;
 use bluebellreel_dispatch::{Class, Placement, Query, place_online, should_reroute};
 use bluebellreel_types::WorkerName;
 use rand::RngExt;
@@ -25,13 +25,15 @@
     }
 }
 
-/// Chooses a worker for a request that may wait in line for `max_wait`.
+/// Chooses a worker for a request that may wait in its queue for `max_wait`. Workers
+/// that were tried before are excluded.
 pub(crate) fn choose(gw: &Gateway, req: &Request, max_wait: Duration) -> Placement {
-    choose_besides(gw, req, &req.tried, max_wait)
+    choose_except(gw, req, &req.tried, max_wait)
 }
 
-/// The same among all workers but some, whether they were tried or not.
-pub(crate) fn choose_besides(
+/// Chooses a worker among all except those in `avoid`; workers that were tried before
+/// are not excluded otherwise.
+pub(crate) fn choose_except(
     gw: &Gateway,
     req: &Request,
     avoid: &[WorkerName],
@@ -40,15 +42,16 @@
     place_online(&gw.board.borrow(), &query(gw, req, avoid, max_wait))
 }
 
-/// Whether a request should leave the worker that it waits for, for another one.
-pub(crate) fn does_better_elsewhere(gw: &Gateway, req: &Request, worker: &WorkerName) -> bool {
+/// Whether a request that waits for `worker` should be sent to another worker instead.
+pub(crate) fn is_better_elsewhere(gw: &Gateway, req: &Request, worker: &WorkerName) -> bool {
     let query = query(gw, req, &req.tried, req.max_wait());
     should_reroute(&gw.board.borrow(), &query, worker)
 }
 
-/// Takes a place for a caller's request; batch there makes room.
-pub(crate) fn take(gw: &Rc<Gateway>, worker: &WorkerName) -> Place {
-    let place = Place::take(gw, worker, Class::Online);
+/// Registers a caller's request as a run at a worker, and preempts batch runs there if
+/// needed.
+pub(crate) fn acquire(gw: &Rc<Gateway>, worker: &WorkerName) -> RunGuard {
+    let place = RunGuard::acquire(gw, worker, Class::Online);
     preempt_batch_runs(gw);
     place
 }
--- a/crates/bluebellreel_gateway/src/registration.rs
+++ b/crates/bluebellreel_gateway/src/registration.rs
@@ -1,7 +1,8 @@
 //! The daemons' entries in the store.
 //!
-//! An entry stands under a lease (see `lease`) and can vanish without any call
-//! telling, so each daemon looks for its own entry whenever it reads the others'.
+//! An entry is held by a lease (see `lease`) and can disappear without any call
+//! reporting it. Each daemon therefore checks that its own entry exists whenever it
+//! reads those of the others.
 
 use crate::gateway::Gateway;
 use bluebellreel_batch::Owner;
@@ -14,63 +15,63 @@
 use tokio::time::sleep;
 
 /// Prefix of all daemons' entries.
-const MEMBERS: &str = "member/";
-/// Reads that follow each other soon after the start: daemons that start
-/// together read before all of them have registered.
-const EARLY_LISTS: u32 = 2;
-/// Time between those.
-const LIST_PAUSE_EARLY: Duration = Duration::from_millis(1500);
-/// Time between reads of all entries.
-const LIST_PAUSE: Duration = Duration::from_secs(15);
-/// Pause after a call that failed.
-const RETRY: Duration = Duration::from_millis(300);
+const MEMBER_PREFIX: &str = "member/";
+/// Number of reads in quick succession after the start: daemons that start at the same
+/// time read the entries before all of them have registered.
+const EARLY_LIST_COUNT: u32 = 2;
+/// Interval between these early reads.
+const EARLY_LIST_INTERVAL: Duration = Duration::from_millis(1500);
+/// Interval between reads of all entries afterwards.
+const LIST_INTERVAL: Duration = Duration::from_secs(15);
+/// Pause before a failed read is repeated.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 fn key_of(entry: &EntryName) -> Key {
-    Key::from(format!("{MEMBERS}{entry}"))
+    Key::from(format!("{MEMBER_PREFIX}{entry}"))
 }
 
-/// Where this daemon's entry stands.
+/// The key of this daemon's entry.
 pub(crate) fn own_key(gw: &Gateway) -> Key {
     key_of(gw.me())
 }
 
-/// Whether a run of a daemon has ended, as the store has it.
-pub(crate) enum EntryEnd {
-    /// Its entry stands.
-    Stands,
-    /// It is an earlier run of this daemon.
-    Own,
-    /// It has ended as long as this guard holds.
+/// Whether an incarnation of a daemon has ended, according to the store.
+pub(crate) enum OwnerStatus {
+    /// Its entry exists.
+    Alive,
+    /// It is an earlier incarnation of this daemon.
+    EarlierRun,
+    /// It has ended, provided that this guard still holds when a write is applied.
     Guard(Compare),
 }
 
-/// Asks the store whether the run of a daemon that owns a job has ended.
-pub(crate) async fn end_of(gw: &Gateway, owner: &Owner) -> Result<EntryEnd, KvError> {
+/// Asks the store whether the incarnation of the daemon that owns a job has ended.
+pub(crate) async fn owner_status(gw: &Gateway, owner: &Owner) -> Result<OwnerStatus, KvError> {
     if owner.entry == *gw.me() {
-        return Ok(EntryEnd::Own);
+        return Ok(OwnerStatus::EarlierRun);
     }
     let key = key_of(&owner.entry);
     let Some(kv) = gw.store.read(&key).await? else {
-        return Ok(EntryEnd::Guard(Compare::Absent(key)));
+        return Ok(OwnerStatus::Guard(Compare::Absent(key)));
     };
-    // An entry that cannot be read is not the one that run wrote.
+    // An entry that cannot be parsed was not written by that incarnation.
     let entry = serde_json::from_slice::<MemberEntry>(&kv.value);
     if entry.is_ok_and(|entry| entry.run == owner.run) {
-        return Ok(EntryEnd::Stands);
+        return Ok(OwnerStatus::Alive);
     }
-    Ok(EntryEnd::Guard(Compare::Unchanged(key, kv.revision)))
+    Ok(OwnerStatus::Guard(Compare::Unchanged(key, kv.revision)))
 }
 
-/// Reads the entries of all daemons now and then. A new daemon reads them once
-/// and reports to all, so the others hear of it without a read.
+/// Reads the entries of all daemons periodically, forever. A new daemon sends reports
+/// to all members that it finds, so the others learn of it without a read.
 pub(crate) async fn list_members(gw: Rc<Gateway>) {
-    let mut early = EARLY_LISTS;
+    let mut early = EARLY_LIST_COUNT;
     loop {
         let listed = read_members(&gw).await;
         let pause = match (&listed, early) {
-            (Err(_), _) => RETRY,
-            (Ok(()), 1..) => LIST_PAUSE_EARLY,
-            (Ok(()), 0) => LIST_PAUSE,
+            (Err(_), _) => RETRY_PAUSE,
+            (Ok(()), 1..) => EARLY_LIST_INTERVAL,
+            (Ok(()), 0) => LIST_INTERVAL,
         };
         early = early.saturating_sub(u32::from(listed.is_ok()));
         if let Err(e) = listed {
@@ -80,13 +81,14 @@
     }
 }
 
-/// Reads the entries of all daemons.
+/// Reads the entries of all daemons and updates the members. If this daemon's own
+/// entry is missing, it registers again.
 pub(crate) async fn read_members(gw: &Rc<Gateway>) -> Result<(), KvError> {
-    let (all, revision) = gw.store.list(&Key::from(MEMBERS)).await?;
+    let (all, revision) = gw.store.list(&Key::from(MEMBER_PREFIX)).await?;
     if !all.iter().any(|kv| kv.key == own_key(gw)) && gw.lease.get() != 0 {
         warn!(target: "members", revision; "own entry has vanished, registering again");
         gw.lease.set(0);
-        gw.interrupt_tenure();
+        gw.interrupt_registration_span();
     }
     let list = all.iter().filter_map(|kv| read_member(gw, kv)).collect();
     gw.members.borrow_mut().listed(list, revision);
@@ -94,7 +96,7 @@
 }
 
 fn read_member(gw: &Gateway, kv: &KeyValue) -> Option<(EntryName, MemberEntry)> {
-    let name = EntryName::from(kv.key.as_str().strip_prefix(MEMBERS)?);
+    let name = EntryName::from(kv.key.as_str().strip_prefix(MEMBER_PREFIX)?);
     if name == *gw.me() {
         return None;
     }
--- a/crates/bluebellreel_gateway/src/relay.rs
+++ b/crates/bluebellreel_gateway/src/relay.rs
@@ -1,19 +1,19 @@
-//! Passing a worker's events on as they come, across workers where the route
-//! allows it.
+//! Forwards a worker's events to the caller as they arrive, and resumes the stream at
+//! another worker if the route allows it.
 //!
-//! Only whole events are passed on and their ids must follow each other, so
-//! that a stream can go on at another worker after any event. A stream that
-//! cannot be finished is broken off visibly.
+//! Only complete events with consecutive ids are forwarded, so that a stream can be
+//! resumed at another worker after any event. If a stream cannot be completed, the
+//! connection to the caller is broken, so that the caller notices.
 
 use crate::crash;
 use crate::events::Events;
 use crate::gateway::Gateway;
 use crate::millis::millis;
-use crate::place;
-use crate::pulse::Pulse;
+use crate::placement;
+use crate::quarantine_gate;
 use crate::request::Request;
-use crate::suspicion;
-use crate::ticket::{AFTER_RESTART, worker_restarted};
+use crate::stream_monitor::StreamMonitor;
+use crate::ticket::{RESTART_GRACE, worker_restarted};
 use crate::upstream::{NoAnswer, Send, Upstream, send};
 use bluebellreel_dispatch::Placement;
 use bluebellreel_net::{Broken, Reuse};
@@ -26,23 +26,26 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Silence after which a stream goes on at another worker. Events come some
-/// 30 ms apart and a pause is late from 300 ms on: noticed after half of it,
-/// the other worker still brings its first event in time.
-const SILENCE_LONGEST: Duration = Duration::from_millis(150);
-/// Events in whose time a slow worker must give the next one.
-const SLOW_INTERVALS: f64 = 2.5;
-/// Share of a route's longest pause after which a slow worker is left, too.
-const LATE_PAUSE_SHARE: f64 = 0.75;
-/// How long a worker may take to the first event of a stream that goes on,
-/// where another one could take it instead.
-const RESUMED_FIRST_EVENT: Duration = Duration::from_millis(250);
-/// Silence of other workers, too, is a sign that this process was paused: what
-/// has arrived meanwhile is read before a worker is doubted.
-const LAST_READ: Duration = Duration::from_millis(12);
+/// Silence after which a stream is resumed at another worker. Events arrive about
+/// 30 ms apart, and a pause counts as late from 300 ms on: when the silence is noticed
+/// after half of that, the other worker's first event still arrives in time.
+const MAX_SILENCE: Duration = Duration::from_millis(150);
+/// Silence after which a stream is resumed elsewhere, in multiples of the mean interval
+/// between its worker's events. It applies to slow workers, where it exceeds
+/// [`MAX_SILENCE`].
+const MAX_SILENT_INTERVALS: f64 = 2.5;
+/// Upper limit of this silence, as a share of the longest pause that the route allows.
+const MAX_PAUSE_SHARE: f64 = 0.75;
+/// Timeout of the first event of a resumed stream, if another worker could take the
+/// stream instead.
+const RESUMED_FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout of one last read after a worker was silent for too long. If this process was
+/// paused, all workers seem silent: events that arrived meanwhile are read before the
+/// worker counts as silent.
+const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(12);
 
-/// What the worker's body brought.
-enum Brought {
+/// The outcome of a read from the worker's answer.
+enum ReadOutcome {
     Bytes(Bytes),
     End,
     Broken,
@@ -50,14 +53,15 @@
     DeadlinePassed,
 }
 
-/// Where a stream goes on.
-enum Next {
-    Other(Box<Upstream>),
-    /// Its former worker was late and brings this; nothing at its end.
-    Former(Bytes),
+/// Where a stream is resumed.
+enum Resumption {
+    NewWorker(Box<Upstream>),
+    /// The former worker was only late and sends these bytes; empty at the end of the
+    /// stream.
+    FormerWorker(Bytes),
 }
 
-impl From<Result<Option<Bytes>, Broken>> for Brought {
+impl From<Result<Option<Bytes>, Broken>> for ReadOutcome {
     fn from(read: Result<Option<Bytes>, Broken>) -> Self {
         match read {
             Ok(Some(bytes)) => Self::Bytes(bytes),
@@ -67,116 +71,119 @@
     }
 }
 
-/// A stream on its way to a caller.
+/// A stream that is forwarded to a caller.
 pub(crate) struct Relay {
     gw: Rc<Gateway>,
     req: Request,
     upstream: Upstream,
     events: Events,
-    pulse: Pulse,
+    stream_monitor: StreamMonitor,
     last_id: Option<u64>,
-    passed: u64,
-    quiet_until: Instant,
-    /// When its first event came.
-    begun: Instant,
-    /// When its last event came.
-    last_at: Instant,
+    events_passed: u64,
+    silence_deadline: Instant,
+    /// When the first event arrived.
+    first_event_at: Instant,
+    /// When the last event arrived.
+    last_event_at: Instant,
     longest_pause: Duration,
-    /// Whether its worker has started again since it was sent there.
-    of_former_life: bool,
-    /// Workers that it does not return to: they were silent, or did not take it.
-    unfit: Vec<WorkerName>,
-    over: bool,
+    /// Whether the worker has restarted since the request was sent there.
+    has_restarted: bool,
+    /// Workers at which the stream is not resumed again: they were silent, or did not
+    /// accept it.
+    excluded: Vec<WorkerName>,
+    finished: bool,
 }
 
 impl Relay {
     pub(crate) fn new(gw: Rc<Gateway>, req: Request, upstream: Upstream) -> Self {
-        let quiet_until = first_event_until(&gw, upstream.place.worker());
+        let silence_deadline = first_event_deadline(&gw, upstream.run_guard.worker());
         let last_id = bluebellreel_platform::ingress::last_event_id(&req.out.headers);
         Self {
             gw,
             req,
             upstream,
             events: Events::default(),
-            pulse: Pulse::default(),
+            stream_monitor: StreamMonitor::default(),
             last_id,
-            passed: 0,
-            quiet_until,
-            begun: Instant::now(),
-            last_at: Instant::now(),
+            events_passed: 0,
+            silence_deadline,
+            first_event_at: Instant::now(),
+            last_event_at: Instant::now(),
             longest_pause: Duration::ZERO,
-            of_former_life: false,
-            unfit: Vec::new(),
-            over: false,
+            has_restarted: false,
+            excluded: Vec::new(),
+            finished: false,
         }
     }
 
-    /// The events as a stream of bytes.
+    /// Returns the events as a stream of bytes.
     pub(crate) fn into_stream(self) -> impl Stream<Item = Result<Bytes, Broken>> {
         futures::stream::unfold(self, |mut relay| async {
-            let piece = relay.next().await?;
-            Some((piece, relay))
+            let chunk = relay.next().await?;
+            Some((chunk, relay))
         })
     }
 
     async fn next(&mut self) -> Option<Result<Bytes, Broken>> {
-        if self.over {
+        if self.finished {
             return None;
         }
         loop {
-            let whole = match self.whole_events() {
-                Ok(whole) => whole,
+            let complete = match self.complete_events() {
+                Ok(complete) => complete,
                 Err(reason) => {
-                    if self.go_on(reason, false).await {
+                    if self.resume(reason, false).await {
                         continue;
                     }
-                    return Some(self.break_off(reason));
+                    return Some(self.abort(reason));
                 }
             };
-            if !whole.is_empty() {
-                return Some(Ok(whole));
+            if !complete.is_empty() {
+                return Some(Ok(complete));
             }
-            match self.bring().await {
-                Brought::Bytes(bytes) => self.events.push(&bytes),
-                Brought::End if !self.events.has_rest() => {
+            match self.read_next().await {
+                ReadOutcome::Bytes(bytes) => self.events.push(&bytes),
+                ReadOutcome::End if !self.events.has_partial_event() => {
                     self.finish();
                     return None;
                 }
-                Brought::End | Brought::Broken => {
-                    self.look_for_crash().await;
-                    if !self.go_on("broken off by the worker", false).await {
-                        return Some(self.break_off("broken off by the worker"));
+                ReadOutcome::End | ReadOutcome::Broken => {
+                    self.probe_for_crash().await;
+                    if !self.resume("broken off by the worker", false).await {
+                        return Some(self.abort("broken off by the worker"));
                     }
                 }
-                Brought::Silent => {
-                    let reason = if self.of_former_life {
+                ReadOutcome::Silent => {
+                    let reason = if self.has_restarted {
                         "worker started again"
                     } else {
                         "worker silent"
                     };
-                    if !self.go_on(reason, true).await {
-                        if self.of_former_life {
-                            return Some(self.break_off(reason));
+                    if !self.resume(reason, true).await {
+                        if self.has_restarted {
+                            return Some(self.abort(reason));
                         }
-                        self.quiet_until = self.req.deadline;
+                        self.silence_deadline = self.req.deadline;
                     }
                 }
-                Brought::DeadlinePassed => return Some(self.break_off("deadline passed")),
+                ReadOutcome::DeadlinePassed => return Some(self.abort("deadline passed")),
             }
         }
     }
 
-    /// Whole events that follow the last one.
-    fn whole_events(&mut self) -> Result<Bytes, &'static str> {
+    /// Removes the complete events from the buffer whose ids follow the last forwarded
+    /// one. Fails if the first one does not follow.
+    fn complete_events(&mut self) -> Result<Bytes, &'static str> {
         let mut all = BytesMut::new();
         while let Some(event) = self.events.next() {
             if let (Some(last), Some(id)) = (self.last_id, event.id)
                 && id != last + 1
             {
                 if all.is_empty() {
-                    return Err("events do not follow");
+                    return Err("event ids are not consecutive");
                 }
-                // Pass on what is whole; the gap shows again next time.
+                // Events before the gap are forwarded. The buffer is dropped, so the
+                // next event fails the check for consecutive ids.
                 self.events = Events::default();
                 break;
             }
@@ -188,73 +195,79 @@
     }
 
     fn note_event(&mut self) {
-        if self.passed == 0 {
+        if self.events_passed == 0 {
             let waited = self.req.received.elapsed();
             self.gw.metrics.first_event.observe(waited.as_secs_f64());
-            self.begun = Instant::now();
+            self.first_event_at = Instant::now();
         } else {
-            self.longest_pause = self.longest_pause.max(self.last_at.elapsed());
+            self.longest_pause = self.longest_pause.max(self.last_event_at.elapsed());
         }
-        self.last_at = Instant::now();
-        self.passed += 1;
-        self.pulse.beat(&self.gw, &self.upstream.place);
-        self.quiet_until = Instant::now() + self.longest_silence();
+        self.last_event_at = Instant::now();
+        self.events_passed += 1;
+        self.stream_monitor
+            .record_event(&self.gw, &self.upstream.run_guard);
+        self.silence_deadline = Instant::now() + self.max_silence();
     }
 
-    /// How long the worker may be silent. One that is slow but steady is not
-    /// left: its next event comes sooner than another worker's first one.
-    fn longest_silence(&self) -> Duration {
+    /// How long the worker may be silent. A slow but steady worker keeps its stream:
+    /// its next event arrives sooner than the first event of another worker would.
+    fn max_silence(&self) -> Duration {
         let board = self.gw.board.borrow();
-        let worker = self.upstream.place.worker();
-        let pace = board.speeds.interval(worker, self.gw.now());
-        let slow = pace.unwrap_or_default().mul_f64(SLOW_INTERVALS);
-        let late = self.req.route.pause.mul_f64(LATE_PAUSE_SHARE);
-        SILENCE_LONGEST.max(slow.min(late))
+        let worker = self.upstream.run_guard.worker();
+        let mean_interval = board.speeds.interval(worker, self.gw.now());
+        let steady_silence = mean_interval
+            .unwrap_or_default()
+            .mul_f64(MAX_SILENT_INTERVALS);
+        let late_silence = self.req.route.pause.mul_f64(MAX_PAUSE_SHARE);
+        MAX_SILENCE.max(steady_silence.min(late_silence))
     }
 
-    async fn bring(&mut self) -> Brought {
-        if !self.of_former_life {
-            let Upstream { body, place, .. } = &mut self.upstream;
-            let until = self.quiet_until.min(self.req.deadline);
+    async fn read_next(&mut self) -> ReadOutcome {
+        if !self.has_restarted {
+            let Upstream {
+                body, run_guard, ..
+            } = &mut self.upstream;
+            let until = self.silence_deadline.min(self.req.deadline);
             tokio::select! {
                 biased;
                 read = body.next() => return read.into(),
-                () = worker_restarted(&self.gw, place.ticket()) => {
-                    self.of_former_life = true;
-                    self.quiet_until = until.min(Instant::now() + AFTER_RESTART);
+                () = worker_restarted(&self.gw, run_guard.ticket()) => {
+                    self.has_restarted = true;
+                    self.silence_deadline = until.min(Instant::now() + RESTART_GRACE);
                 }
                 () = sleep_until(until) => {}
             }
         }
-        let until = self.quiet_until.min(self.req.deadline);
+        let until = self.silence_deadline.min(self.req.deadline);
         let mut read = timeout_at(until, self.upstream.body.next()).await;
         if read.is_err() {
-            let last = Instant::now() + LAST_READ;
+            let last = Instant::now() + FINAL_READ_TIMEOUT;
             read = timeout_at(last, self.upstream.body.next()).await;
         }
         match read {
             Ok(read) => read.into(),
-            Err(_) if self.req.left().is_zero() => Brought::DeadlinePassed,
-            Err(_) => Brought::Silent,
+            Err(_) if self.req.left().is_zero() => ReadOutcome::DeadlinePassed,
+            Err(_) => ReadOutcome::Silent,
         }
     }
 
-    /// Looks whether the worker that broke off has crashed.
-    async fn look_for_crash(&self) {
-        let ticket = self.upstream.place.ticket().clone();
-        let cut = self.req.cut(ticket, self.upstream.began);
-        crash::look(&self.gw, cut).await;
+    /// Checks whether the worker that broke the stream off has crashed.
+    async fn probe_for_crash(&self) {
+        let ticket = self.upstream.run_guard.ticket().clone();
+        let interrupted_run = self.req.interrupted_run(ticket, self.upstream.began);
+        crash::check_for_crash(&self.gw, interrupted_run).await;
     }
 
-    /// Goes on at a worker, if possible at one that has not had it; whether it
-    /// could. Its former one, if `open`, may still bring something.
-    async fn go_on(&mut self, reason: &str, open: bool) -> bool {
-        let worker = self.upstream.place.worker().clone();
+    /// Resumes the stream at a worker, preferably one that has not had it. Returns
+    /// whether that succeeded. If `open`, the connection to the former worker is kept
+    /// meanwhile, as it may still send events.
+    async fn resume(&mut self, reason: &str, open: bool) -> bool {
+        let worker = self.upstream.run_guard.worker().clone();
         let resumable = self.req.route.resumable && self.req.may_repeat();
-        warn!(target: "online", request:% = self.req.id, worker:% = worker, events = self.passed, last_id:? = self.last_id, runs = self.req.runs, resumable, reason; "stream interrupted");
-        self.upstream.place.failed();
-        if self.of_former_life {
-            // Its new life has not had the stream.
+        warn!(target: "online", request:% = self.req.id, worker:% = worker, events = self.events_passed, last_id:? = self.last_id, runs = self.req.runs, resumable, reason; "stream interrupted");
+        self.upstream.run_guard.failed();
+        if self.has_restarted {
+            // The worker's new incarnation has not had the stream.
             self.req.tried.retain(|w| *w != worker);
         }
         while resumable && self.req.may_repeat() && !self.req.left().is_zero() {
@@ -265,81 +278,84 @@
                 return false;
             };
             self.req.tried.push(next.clone());
-            match self.send_on(&next, open).await {
-                Ok(Next::Former(bytes)) => {
+            match self.send_resumed(&next, open).await {
+                Ok(Resumption::FormerWorker(bytes)) => {
                     self.events.push(&bytes);
-                    self.quiet_until = Instant::now() + self.longest_silence();
+                    self.silence_deadline = Instant::now() + self.max_silence();
                     self.req.runs += 1;
                     return true;
                 }
-                Ok(Next::Other(upstream)) if upstream.head.status.is_success() => {
-                    if open && !self.of_former_life {
-                        self.unfit.push(worker);
+                Ok(Resumption::NewWorker(upstream)) if upstream.head.status.is_success() => {
+                    if open && !self.has_restarted {
+                        self.excluded.push(worker);
                     }
-                    // Dropping the old one closes its connection, and with it
-                    // ends its run.
+                    // Dropping the old upstream closes its connection, which ends the
+                    // run at the former worker.
                     self.upstream = *upstream;
-                    self.of_former_life = false;
+                    self.has_restarted = false;
                     self.events = Events::default();
-                    self.pulse = Pulse::default();
+                    self.stream_monitor = StreamMonitor::default();
                     self.req.runs += 1;
-                    self.quiet_until = Instant::now() + RESUMED_FIRST_EVENT;
+                    self.silence_deadline = Instant::now() + RESUMED_FIRST_EVENT_TIMEOUT;
                     self.gw.metrics.resumed.inc();
-                    info!(target: "online", request:% = self.req.id, worker:% = next, last_id:? = self.last_id; "stream goes on");
+                    info!(target: "online", request:% = self.req.id, worker:% = next, last_id:? = self.last_id; "stream resumed");
                     return true;
                 }
                 Ok(_) | Err(NoAnswer::Unknown(_)) => self.req.runs += 1,
                 Err(NoAnswer::Silent) => {
                     self.req.runs += 1;
-                    self.unfit.push(next);
+                    self.excluded.push(next);
                 }
-                Err(NoAnswer::Unsent(_) | NoAnswer::NotRun(_)) => self.unfit.push(next),
+                Err(NoAnswer::Unsent(_) | NoAnswer::NotRun(_)) => self.excluded.push(next),
             }
         }
         false
     }
 
-    /// The worker that it goes on at: one that has not had it; else, if it may
-    /// return, one that has, rather another than the last one.
+    /// Chooses the worker at which the stream is resumed: one that has not had it; else,
+    /// if `may_return`, one that has, preferably not the last one.
     ///
-    /// Its caller has a part of the answer: the rest is worth more late than not
-    /// at all.
+    /// The caller already has a part of the answer: a late rest is better than none.
     fn next_worker(&self, may_return: bool) -> Option<WorkerName> {
         let max_wait = self.req.left();
-        let besides = |avoid: &[WorkerName]| {
-            let placed = place::choose_besides(&self.gw, &self.req, avoid, max_wait);
+        let choose_excluding = |avoid: &[WorkerName]| {
+            let placed = placement::choose_except(&self.gw, &self.req, avoid, max_wait);
             match placed {
                 Placement::Send(worker) => Some(worker),
                 Placement::Full | Placement::NoWorker => None,
             }
         };
-        let untried = besides(&self.req.tried);
+        let untried = choose_excluding(&self.req.tried);
         if untried.is_some() || !may_return {
             return untried;
         }
         let last = self.req.tried.last().cloned();
-        let unfit_or_last: Vec<WorkerName> = self.unfit.iter().cloned().chain(last).collect();
-        besides(&unfit_or_last).or_else(|| besides(&self.unfit))
+        let excluded_or_last: Vec<WorkerName> = self.excluded.iter().cloned().chain(last).collect();
+        choose_excluding(&excluded_or_last).or_else(|| choose_excluding(&self.excluded))
     }
 
-    /// Sends to one more worker. Where it is the last one, it is waited for as
-    /// long as the caller waits, or until the former one brings something, or
-    /// until it has started again: its new life has not had the stream.
-    async fn send_on(&mut self, worker: &WorkerName, mut open: bool) -> Result<Next, NoAnswer> {
-        let soon = (Instant::now() + RESUMED_FIRST_EVENT).min(self.req.deadline);
+    /// Sends the stream to one more worker. If no other worker is left to try, waits for
+    /// it until the caller's deadline, until the former worker sends something, or until
+    /// the new worker restarts: its new incarnation has not had the stream.
+    async fn send_resumed(
+        &mut self,
+        worker: &WorkerName,
+        mut open: bool,
+    ) -> Result<Resumption, NoAnswer> {
+        let early_deadline = (Instant::now() + RESUMED_FIRST_EVENT_TIMEOUT).min(self.req.deadline);
         let until = if self.is_last_try() {
             self.req.deadline
         } else {
-            soon
+            early_deadline
         };
-        let place = place::take(&self.gw, worker);
-        let ticket = place.ticket().clone();
+        let run_guard = placement::acquire(&self.gw, worker);
+        let ticket = run_guard.ticket().clone();
         let mut restarted = pin!(worker_restarted(&self.gw, &ticket));
-        let mut lost_at = None;
+        let mut restart_deadline = None;
         let mut sent = pin!(send(
             &self.gw,
             Send {
-                place,
+                run_guard,
                 out: &self.req.out,
                 left: Some(self.req.left()),
                 after: self.last_id,
@@ -347,21 +363,21 @@
                 until,
             },
         ));
-        if let Ok(answer) = timeout_at(soon, sent.as_mut()).await {
-            return answer.map(Box::new).map(Next::Other);
+        if let Ok(answer) = timeout_at(early_deadline, sent.as_mut()).await {
+            return answer.map(Box::new).map(Resumption::NewWorker);
         }
         loop {
             tokio::select! {
                 biased;
-                answer = sent.as_mut() => return answer.map(Box::new).map(Next::Other),
+                answer = sent.as_mut() => return answer.map(Box::new).map(Resumption::NewWorker),
                 read = self.upstream.body.next(), if open => match read {
-                    Ok(bytes) => return Ok(Next::Former(bytes.unwrap_or_default())),
+                    Ok(bytes) => return Ok(Resumption::FormerWorker(bytes.unwrap_or_default())),
                     Err(Broken) => open = false,
                 },
-                () = restarted.as_mut(), if lost_at.is_none() => {
-                    lost_at = Some(Instant::now() + AFTER_RESTART);
+                () = restarted.as_mut(), if restart_deadline.is_none() => {
+                    restart_deadline = Some(Instant::now() + RESTART_GRACE);
                 }
-                () = sleep_until(lost_at.unwrap_or(until)), if lost_at.is_some() => {
+                () = sleep_until(restart_deadline.unwrap_or(until)), if restart_deadline.is_some() => {
                     self.req.tried.retain(|w| w != worker);
                     return Err(NoAnswer::Unknown("worker started again".into()));
                 }
@@ -369,54 +385,55 @@
         }
     }
 
-    /// Whether nobody else would take the stream after the send that begins.
+    /// Whether no other worker could take the stream after the attempt that begins now.
     ///
-    /// A worker with all slots taken answers when a turn comes. Left before
-    /// that for nobody, the stream would stand until its deadline and break.
+    /// A worker whose slots are all taken answers when one becomes free. If the attempt
+    /// there were abandoned with no other worker left, the stream would stall until its
+    /// deadline and break.
     fn is_last_try(&self) -> bool {
         if self.req.runs + 1 >= self.req.route.max_workers.max(1) {
             return true;
         }
-        let next = place::choose(&self.gw, &self.req, self.req.left());
+        let next = placement::choose(&self.gw, &self.req, self.req.left());
         !matches!(next, Placement::Send(_))
     }
 
     fn finish(&mut self) {
-        self.over = true;
-        let lasted = self.begun.elapsed();
+        self.finished = true;
+        let lasted = self.first_event_at.elapsed();
         self.gw.board.borrow_mut().speeds.note_run(lasted);
-        suspicion::ended_well(&self.gw, || self.req.fingerprint());
+        quarantine_gate::run_completed(&self.gw, || self.req.fingerprint());
         let metrics = &self.gw.metrics;
         metrics.pause.observe(self.longest_pause.as_secs_f64());
         metrics.request("served");
-        info!(target: "online", request:% = self.req.id, worker:% = self.upstream.place.worker(), events = self.passed, runs = self.req.runs, pause_ms = millis(self.longest_pause), took_ms = millis(self.req.received.elapsed()); "served");
+        info!(target: "online", request:% = self.req.id, worker:% = self.upstream.run_guard.worker(), events = self.events_passed, runs = self.req.runs, pause_ms = millis(self.longest_pause), took_ms = millis(self.req.received.elapsed()); "served");
     }
 
-    fn break_off(&mut self, reason: &str) -> Result<Bytes, Broken> {
-        self.over = true;
+    fn abort(&mut self, reason: &str) -> Result<Bytes, Broken> {
+        self.finished = true;
         self.gw.metrics.request("broken_off");
-        warn!(target: "online", request:% = self.req.id, worker:% = self.upstream.place.worker(), events = self.passed, runs = self.req.runs, took_ms = millis(self.req.received.elapsed()), reason; "broken off");
+        warn!(target: "online", request:% = self.req.id, worker:% = self.upstream.run_guard.worker(), events = self.events_passed, runs = self.req.runs, took_ms = millis(self.req.received.elapsed()), reason; "broken off");
         Err(Broken)
     }
 }
 
-/// Until when the first event may take: longer where requests wait before it.
-fn first_event_until(gw: &Gateway, worker: &WorkerName) -> Instant {
+/// The deadline of the first event: later if other requests wait at the worker.
+fn first_event_deadline(gw: &Gateway, worker: &WorkerName) -> Instant {
     let waiting = gw
         .board
         .borrow()
         .worker_view(worker)
         .map_or(0, |s| s.running().total().saturating_sub(s.record.slots));
-    Instant::now() + SILENCE_LONGEST + Duration::from_millis(110) * waiting
+    Instant::now() + MAX_SILENCE + Duration::from_millis(110) * waiting
 }
 
 impl Drop for Relay {
-    /// A relay that is dropped before its stream is over has lost its caller.
-    /// The worker's connection closes with it, which ends the run there.
+    /// A relay that is dropped before its stream has ended has lost its caller. The
+    /// connection to the worker closes with it, which ends the run there.
     fn drop(&mut self) {
-        if !self.over && !self.gw.ended.get() {
+        if !self.finished && !self.gw.ended.get() {
             self.gw.metrics.request("caller_left");
-            info!(target: "online", request:% = self.req.id, worker:% = self.upstream.place.worker(), events = self.passed, took_ms = millis(self.req.received.elapsed()); "caller left");
+            info!(target: "online", request:% = self.req.id, worker:% = self.upstream.run_guard.worker(), events = self.events_passed, took_ms = millis(self.req.received.elapsed()); "caller left");
         }
     }
 }
--- a/crates/bluebellreel_gateway/src/reload.rs
+++ b/crates/bluebellreel_gateway/src/reload.rs
@@ -1,7 +1,8 @@
-//! Settings that change while the daemon runs.
+//! Reloads the settings while the daemon runs.
 //!
-//! The file may change with or without a signal. What can be taken over at once
-//! is; the rest waits for the next start, and the log names it.
+//! The settings file is read at an interval and on a signal. Settings that can change
+//! at run time are applied at once. Others take effect at the next start, and the log
+//! names them.
 
 use crate::gateway::Gateway;
 use crate::millis::millis;
@@ -12,21 +13,21 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Time between reads of the file, which has some hundred bytes.
-const CHECK_EVERY: Duration = Duration::from_secs(3);
+/// Interval between reads of the settings file, which has a few hundred bytes.
+const CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
-/// What a daemon gets from the program around it.
-pub struct Surroundings {
-    /// Number of log lines that were dropped so far.
+/// Callbacks that the embedding process provides to the daemon.
+pub struct ProcessHooks {
+    /// Returns the number of log lines dropped so far.
     pub lines_dropped: Box<dyn Fn() -> u64>,
-    /// Reads the settings anew.
+    /// Reads the settings again.
     pub read_settings: Box<dyn Fn() -> Result<GatewaySettings, SettingsError>>,
-    /// Woken when a signal says that the settings have changed.
+    /// Notified when a signal announces that the settings have changed.
     pub settings_changed: Rc<Notify>,
 }
 
-impl Surroundings {
-    /// Surroundings in which nothing changes, for embedded daemons.
+impl ProcessHooks {
+    /// Hooks whose settings never change, for daemons embedded in other programs.
     #[must_use]
     pub fn fixed(settings: &GatewaySettings) -> Self {
         let settings = settings.clone();
@@ -38,18 +39,18 @@
     }
 }
 
-/// Follows the settings file for ever.
-pub(crate) async fn follow_settings(gw: Rc<Gateway>, around: Rc<Surroundings>) {
+/// Applies changes of the settings file, forever.
+pub(crate) async fn follow_settings(gw: Rc<Gateway>, hooks: Rc<ProcessHooks>) {
     let mut known = gw.settings.clone();
     let mut known_error = String::new();
     loop {
-        let changed = timeout(CHECK_EVERY, around.settings_changed.notified()).await;
+        let changed = timeout(CHECK_INTERVAL, hooks.settings_changed.notified()).await;
         let signalled = changed.is_ok();
-        match (around.read_settings)() {
+        match (hooks.read_settings)() {
             Ok(read) => {
                 known_error.clear();
                 if signalled || read != known {
-                    take_over(&gw, &read, signalled);
+                    apply(&gw, &read, signalled);
                     known = read;
                 }
             }
@@ -64,7 +65,7 @@
     }
 }
 
-fn take_over(gw: &Gateway, read: &GatewaySettings, signalled: bool) {
+fn apply(gw: &Gateway, read: &GatewaySettings, signalled: bool) {
     let start_needed_for = gw.settings.start_needed_for(read).join(" ");
     gw.seeds.replace(read.seeds.clone());
     gw.grace.set(read.grace);
--- a/crates/bluebellreel_gateway/src/reports/catch_up.rs
+++ b/crates/bluebellreel_gateway/src/reports/catch_up.rs
@@ -1,6 +1,6 @@
-//! Asking peers for what they know and this daemon does not.
+//! Fetches newer cluster state from peers.
 
-use super::gap::gap;
+use super::interval::min_report_interval;
 use crate::gateway::Gateway;
 use crate::peer_calls;
 use crate::workers::apply_workers;
@@ -15,54 +15,54 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time between comparisons of lists; peers report theirs as often.
-const COMPARE_EVERY: Duration = Duration::from_millis(250);
-/// Time over which daemons spread their questions after lists differed, for each of
-/// them: the first to be asked may have to send all workers to each.
-const SPREAD_EACH: Duration = Duration::from_millis(5);
+/// Interval between comparisons of lists of workers; peers report theirs as often.
+const COMPARE_INTERVAL: Duration = Duration::from_millis(250);
+/// Time over which daemons spread their requests after lists differed, per peer: a single
+/// peer may have to send all workers to each of them.
+const SPREAD_PER_PEER: Duration = Duration::from_millis(5);
 
-/// Asks a peer for what it knows and we do not; one question at a time.
+/// Fetches newer state from a peer, one request at a time.
 ///
-/// All peers hear of news at the same moment, from the two that watch. Each
-/// waits a random time, longer the more they are, and asks any that has the
-/// news by then: else two daemons would answer hundreds at once.
-pub(super) fn catch_up(gw: &Rc<Gateway>, asking: &Rc<Cell<bool>>) {
-    if asking.replace(true) {
+/// All daemons learn of a change at the same moment, from the two that watch the store.
+/// Each waits a random time, longer the more peers there are, and asks any peer that has
+/// the change by then. Otherwise two daemons would have to answer hundreds at once.
+pub(super) fn catch_up(gw: &Rc<Gateway>, is_asking: &Rc<Cell<bool>>) {
+    if is_asking.replace(true) {
         return;
     }
-    let (gw, asking) = (gw.clone(), asking.clone());
+    let (gw, is_asking) = (gw.clone(), is_asking.clone());
     tokio::task::spawn_local(async move {
         let peers = gw.members.borrow().peers().count();
-        let wait = gap(peers).mul_f64(gw.rng.borrow_mut().random_range(0.0..1.0));
+        let wait = min_report_interval(peers).mul_f64(gw.rng.borrow_mut().random_range(0.0..1.0));
         sleep(wait).await;
-        let knowing = peers_that_know_more(&gw);
-        if !knowing.is_empty() {
-            let at = gw.rng.borrow_mut().random_range(0..knowing.len());
-            ask(&gw, &knowing[at], Question::Changes).await;
+        let candidates = peers_that_know_more(&gw);
+        if !candidates.is_empty() {
+            let at = gw.rng.borrow_mut().random_range(0..candidates.len());
+            ask(&gw, &candidates[at], Question::Changes).await;
         }
-        asking.set(false);
+        is_asking.set(false);
     });
 }
 
 fn peers_that_know_more(gw: &Gateway) -> Vec<(EntryName, SocketAddr)> {
-    let facts = gw.facts.borrow();
+    let cluster_state = gw.cluster_state.borrow();
     let members = gw.members.borrow();
     members
         .heard(gw.now())
-        .filter(|(_, peer)| facts.lacks(peer.revisions))
+        .filter(|(_, peer)| cluster_state.lacks(peer.revisions))
         .map(|(name, peer)| (name.clone(), peer.calls))
         .collect()
 }
 
-/// Asks peers, for ever, whose lists of workers differ and are complete to no earlier
-/// revision than the one here. Where lists are equal nothing is asked, however the
-/// revisions rise.
+/// Compares this daemon's list of workers with those of its peers, forever, and fetches
+/// state from a peer whose list differs and is complete up to at least the same revision.
+/// Nothing is fetched while the lists are equal, even if peers know later revisions.
 pub(crate) async fn compare_lists(gw: Rc<Gateway>) {
     let mut divergence = Divergence::default();
     loop {
-        sleep(COMPARE_EVERY).await;
+        sleep(COMPARE_INTERVAL).await;
         let question = {
-            let (own, now) = (gw.facts.borrow().list(), gw.now());
+            let (own, now) = (gw.cluster_state.borrow().list(), gw.now());
             let members = gw.members.borrow();
             let lists = members.heard(now).map(|(_, peer)| peer.list);
             divergence.question(own, lists, now)
@@ -71,20 +71,20 @@
             continue;
         };
         let peers = u32::try_from(gw.members.borrow().peers().count()).unwrap_or(u32::MAX);
-        let spread = SPREAD_EACH.saturating_mul(peers);
+        let spread = SPREAD_PER_PEER.saturating_mul(peers);
         let wait = spread.mul_f64(gw.rng.borrow_mut().random_range(0.0..1.0));
         sleep(wait).await;
-        let ahead = peers_to_ask(&gw, question);
-        if !ahead.is_empty() {
-            let at = gw.rng.borrow_mut().random_range(0..ahead.len());
-            info!(target: "facts", peer:% = ahead[at].0, question:? = question; "lists differ");
-            ask(&gw, &ahead[at], question).await;
+        let candidates = peers_to_ask(&gw, question);
+        if !candidates.is_empty() {
+            let at = gw.rng.borrow_mut().random_range(0..candidates.len());
+            info!(target: "facts", peer:% = candidates[at].0, question:? = question; "worker lists differ");
+            ask(&gw, &candidates[at], question).await;
         }
     }
 }
 
 fn peers_to_ask(gw: &Gateway, question: Question) -> Vec<(EntryName, SocketAddr)> {
-    let own = gw.facts.borrow().list();
+    let own = gw.cluster_state.borrow().list();
     let members = gw.members.borrow();
     members
         .heard(gw.now())
@@ -97,19 +97,22 @@
 }
 
 async fn ask(gw: &Rc<Gateway>, (peer, calls): &(EntryName, SocketAddr), question: Question) {
-    let seen = gw.facts.borrow().seen();
+    let seen = gw.cluster_state.borrow().seen();
     let answer = match question {
-        Question::Changes => peer_calls::facts(gw, *calls, seen).await,
-        Question::All => peer_calls::all_facts(gw, *calls, seen).await,
+        Question::Changes => peer_calls::cluster_state(gw, *calls, seen).await,
+        Question::All => peer_calls::full_cluster_state(gw, *calls, seen).await,
     };
     match answer {
-        Ok(shared) => learn(gw, shared, peer),
+        Ok(shared) => merge_cluster_state(gw, shared, peer),
         Err(e) => warn!(target: "facts", peer:% = peer, error:% = e; "facts not brought"),
     }
 }
 
-fn learn(gw: &Gateway, shared: SharedFacts, peer: &EntryName) {
-    let changed = gw.facts.borrow_mut().learn(shared, peer.as_str(), gw.now());
+fn merge_cluster_state(gw: &Gateway, shared: SharedFacts, peer: &EntryName) {
+    let changed = gw
+        .cluster_state
+        .borrow_mut()
+        .merge(shared, peer.as_str(), gw.now());
     info!(target: "facts", peer:% = peer, changed; "facts taken over");
     if changed {
         apply_workers(gw, peer.as_str());
--- /dev/null
+++ b/crates/bluebellreel_gateway/src/reports/interval.rs
@@ -0,0 +1,21 @@
+//! The minimum interval between a daemon's reports.
+
+use std::time::Duration;
+
+/// Minimum interval between reports to few peers. Two daemons that choose a worker within
+/// it may both take its last slot.
+const MIN_INTERVAL: Duration = Duration::from_millis(8);
+/// Minimum interval between reports to many peers, per peer: a daemon sends at most a
+/// thousand datagrams per second, however many peers there are.
+const MIN_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
+/// Number of peers from which on the interval grows with their number.
+const MANY_PEERS: usize = 8;
+
+/// Minimum interval between reports to this number of peers.
+pub(super) fn min_report_interval(peers: usize) -> Duration {
+    if peers < MANY_PEERS {
+        return MIN_INTERVAL;
+    }
+    let peers = u32::try_from(peers).unwrap_or(u32::MAX);
+    MIN_INTERVAL.max(MIN_INTERVAL_PER_PEER.saturating_mul(peers))
+}
--- a/crates/bluebellreel_gateway/src/reports/mod.rs
+++ b/crates/bluebellreel_gateway/src/reports/mod.rs
@@ -1,11 +1,12 @@
-//! Reports to peers by datagram: what runs where, and what is known.
+//! Reports to peers by datagram: the runs at workers, the jobs, and the revisions of the
+//! known cluster state.
 //!
-//! A report is sent at once when something changed, but not more often than a
-//! few milliseconds apart, and four times a second in any case. It is complete
-//! in itself: one that is lost is made up for by the next.
+//! A report is sent when something has changed, with a minimum interval of a few
+//! milliseconds, and at least four times per second. Each report is complete, so a lost
+//! one is compensated by the next.
 
 mod catch_up;
-mod gap;
+mod interval;
 mod parts;
 mod wire;
 
@@ -16,9 +17,9 @@
 use bluebellreel_types::{EntryName, Incarnation, Moment};
 use catch_up::catch_up;
 pub(crate) use catch_up::compare_lists;
-use gap::gap;
+use interval::min_report_interval;
 use log::{info, warn};
-use parts::{Freshness, Rest};
+use parts::{Freshness, Trailer};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -26,16 +27,16 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
-use wire::{Datagram, Report, Supplement, Urgent, load_of, seal, sender_tag};
+use wire::{Datagram, Report, Supplement, Urgent, append_checksum, load_of, sender_tag};
 
-/// Time between reports when nothing changes.
+/// Interval between reports when nothing changes.
 const HEARTBEAT: Duration = Duration::from_millis(250);
-/// Longest wait for room to send one report.
-const SEND: Duration = Duration::from_millis(20);
-/// Longest datagram taken.
-const DATAGRAM_BYTES: usize = 60 * 1024;
+/// Timeout of sending one datagram, which waits while the socket's buffer is full.
+const SEND_TIMEOUT: Duration = Duration::from_millis(20);
+/// Maximum size of a received datagram.
+const MAX_DATAGRAM_BYTES: usize = 60 * 1024;
 
-/// What the last full report said, and when the next one is due.
+/// The urgent parts of the last full report, and when the next one is due.
 #[derive(Default)]
 struct LastFull {
     urgent: Option<Urgent>,
@@ -43,40 +44,45 @@
     full_due: Moment,
 }
 
-/// Sends reports for ever.
+/// Sends reports, forever.
 pub(crate) async fn send_reports(gw: Rc<Gateway>, socket: Rc<UdpSocket>) {
-    // Later runs of this daemon must not be taken for older than this one.
+    // The sequence starts at the current time, so that reports of a later incarnation
+    // of this daemon do not count as older than this one's.
     let mut sequence = gw.now().0;
     let mut last = LastFull::default();
     loop {
         // A timeout is the heartbeat.
         let _ = timeout(HEARTBEAT, gw.report_due.notified()).await;
         sequence += 1;
-        let (targets, briefed) = targets(&gw);
+        let (targets, brief_readers) = targets(&gw);
         match datagrams(&gw, sequence, &mut last) {
             Ok((full, brief)) => {
                 for to in &targets {
-                    let bytes = if briefed.contains(to) { &brief } else { &full };
-                    // Waits while the socket is full: a report that is not
-                    // sent would always miss the same peers, the last ones. One
-                    // that cannot be sent at all is as good as lost; the next
-                    // one is complete again.
-                    let _ = timeout(SEND, socket.send_to(bytes, *to)).await;
+                    let bytes = if brief_readers.contains(to) {
+                        &brief
+                    } else {
+                        &full
+                    };
+                    // Waits while the socket's buffer is full: if datagrams were
+                    // dropped instead, always the same peers would miss them, those
+                    // at the end of the list. One that cannot be sent in time
+                    // counts as lost; the next one is complete again.
+                    let _ = timeout(SEND_TIMEOUT, socket.send_to(bytes, *to)).await;
                 }
             }
-            Err(e) => warn!(target: "members", error:% = e; "report not written"),
+            Err(e) => warn!(target: "members", error:% = e; "report not encoded"),
         }
-        let gap = gap(targets.len());
-        sleep(gap).await;
+        let min_report_interval = min_report_interval(targets.len());
+        sleep(min_report_interval).await;
     }
 }
 
-/// A report for daemons that need it in full, and one for those that read briefs:
-/// the same where something has changed that a brief does not say, and each
-/// [`HEARTBEAT`].
+/// Encodes a report for daemons that need it in full, and one for those that read briefs.
+/// Both are full reports every [`HEARTBEAT`], and when something has changed that a brief
+/// omits.
 ///
-/// What runs where changes some fifty times a second and is a fifth of a full
-/// report; the rest would be most of the bytes between data centres.
+/// The runs at workers change about fifty times per second and are a fifth of a full
+/// report. The rest would be most of the bytes sent between data centres.
 fn datagrams(
     gw: &Gateway,
     sequence: u64,
@@ -85,7 +91,11 @@
     let (report, supplement) = wire::report(gw, sequence);
     let brief = report.brief(&supplement);
     let urgent = report.urgent(gw.suspects.borrow().version());
-    let full = seal(postcard::to_allocvec(&(report, supplement, Rest::own(gw)))?);
+    let full = append_checksum(postcard::to_allocvec(&(
+        report,
+        supplement,
+        Trailer::own(gw),
+    ))?);
     let now = gw.now();
     if last.urgent.as_ref() == Some(&urgent) && !last.full_due.is_past(now) {
         return Ok((full, brief.encode()?));
@@ -95,42 +105,41 @@
     Ok((full.clone(), full))
 }
 
-/// Peers that are known, and seeds as long as they are not among them; and those
-/// of them that read briefs.
+/// The addresses of all known peers and seeds, and of those among them that read briefs.
 fn targets(gw: &Gateway) -> (BTreeSet<SocketAddr>, BTreeSet<SocketAddr>) {
     let members = gw.members.borrow();
     let mut targets: BTreeSet<SocketAddr> = members.peers().map(|(_, p)| p.reports).collect();
     let heard = members.heard(gw.now());
-    let briefed = heard.filter(|(_, p)| p.reads_briefs);
-    let briefed = briefed.map(|(_, p)| p.reports).collect();
+    let brief_readers = heard.filter(|(_, p)| p.reads_briefs);
+    let brief_readers = brief_readers.map(|(_, p)| p.reports).collect();
     let port = gw.settings.reports.port();
     let seeds = gw.seeds.borrow();
     targets.extend(seeds.iter().map(|s| SocketAddr::new(s.ip(), port)));
     targets.remove(&gw.settings.reports);
     targets.remove(&gw.settings.advertised_reports());
-    (targets, briefed)
+    (targets, brief_readers)
 }
 
-/// Takes reports for ever.
-pub(crate) async fn take_reports(gw: Rc<Gateway>, socket: Rc<UdpSocket>) {
-    let mut buf = vec![0; DATAGRAM_BYTES];
-    let asking = Rc::new(Cell::new(false));
+/// Receives reports, forever.
+pub(crate) async fn receive_reports(gw: Rc<Gateway>, socket: Rc<UdpSocket>) {
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
+    let is_asking = Rc::new(Cell::new(false));
     let mut senders = Senders::default();
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buf).await else {
-            // A datagram that came back as undeliverable; the peer is down.
+            // An earlier datagram was undeliverable, as the peer is down.
             continue;
         };
         match wire::read(&buf[..length]) {
             Ok(Datagram::Full(report, ..)) if report.entry == *gw.me() => {}
-            Ok(Datagram::Full(report, supplement, rest)) => {
+            Ok(Datagram::Full(report, supplement, trailer)) => {
                 senders.note(&report.entry, report.run);
-                hear(&gw, *report, supplement, rest, &asking);
+                apply_report(&gw, *report, supplement, trailer, &is_asking);
             }
             Ok(Datagram::Brief(brief)) => {
-                // Of a sender that is not known yet the next full one tells all.
+                // Briefs of an unknown sender are ignored until its next full report.
                 if let Some(sender) = senders.get(brief.sender) {
-                    hear_load(&gw, sender, brief.load(&gw));
+                    apply_load(&gw, sender, brief.load(&gw));
                 }
             }
             Err(e) => warn!(target: "members", from:% = from, error:% = e; "report not read"),
@@ -148,7 +157,7 @@
         if self.0.get(&tag) == Some(entry) {
             return;
         }
-        // Its run before says nothing any more.
+        // The sender's previous incarnation sends no more briefs.
         self.0.retain(|_, known| known != entry);
         self.0.insert(tag, entry.clone());
     }
@@ -158,21 +167,23 @@
     }
 }
 
-fn hear(
+fn apply_report(
     gw: &Rc<Gateway>,
     report: Report,
     supplement: Supplement,
-    rest: Rest,
-    asking: &Rc<Cell<bool>>,
+    trailer: Trailer,
+    is_asking: &Rc<Cell<bool>>,
 ) {
     let now = gw.now();
-    rest.warnings.take(&mut gw.suspects.borrow_mut(), now);
+    trailer.warnings.take(&mut gw.suspects.borrow_mut(), now);
     let reads_briefs = supplement.reads_briefs;
-    if let Some(place) = supplement.place.clone() {
-        gw.board.borrow_mut().note_data_centre(&report.entry, place);
+    if let Some(sender_data_centre) = supplement.sender_data_centre.clone() {
+        gw.board
+            .borrow_mut()
+            .note_data_centre(&report.entry, sender_data_centre);
     }
     let load = load_of(&report, supplement, now);
-    hear_load(gw, &report.entry, load);
+    apply_load(gw, &report.entry, load);
     for job in &report.cancelled {
         crate::jobs::cancellation_reported(gw, job, &report.entry);
     }
@@ -186,17 +197,25 @@
     }
     let revisions = report.revisions;
     let cancelled = report.cancelled.clone();
-    note_peer(gw, report, reads_briefs, rest.freshness, rest.list, now);
+    note_peer(
+        gw,
+        report,
+        reads_briefs,
+        trailer.freshness,
+        trailer.list,
+        now,
+    );
     for job in &cancelled {
         gw.members.borrow_mut().claimed(job, now);
     }
-    if gw.facts.borrow().lacks(revisions) {
-        catch_up(gw, asking);
+    if gw.cluster_state.borrow().lacks(revisions) {
+        catch_up(gw, is_asking);
     }
 }
 
-/// Takes over what a peer runs: batch here may have to make room, or finds some.
-fn hear_load(gw: &Gateway, peer: &EntryName, load: PeerLoad) {
+/// Records a peer's load. Batch runs of this daemon may have to be preempted, or further
+/// items may be started.
+fn apply_load(gw: &Gateway, peer: &EntryName, load: PeerLoad) {
     gw.board.borrow_mut().hear(peer, load);
     crate::jobs::preempt_batch_runs(gw);
     gw.batch_due.notify_one();
@@ -227,10 +246,10 @@
         list,
         reads_briefs,
     };
-    let is_news = gw.members.borrow_mut().hear(report.entry.clone(), peer);
-    if is_news {
-        // The jobs of its run before, if any, have no owner now.
+    let is_new_incarnation = gw.members.borrow_mut().hear(report.entry.clone(), peer);
+    if is_new_incarnation {
+        // The jobs of the peer's previous incarnation, if any, have no owner now.
         gw.jobs.borrow().orphans_due.notify_one();
-        info!(target: "members", peer:% = report.entry, run:% = report.run; "peer heard");
+        info!(target: "members", peer:% = report.entry, run:% = report.run; "peer discovered");
     }
 }
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -1,12 +1,13 @@
-//! The life of a gateway: start, signals, end.
+//! Start, periodic clean-up and stop of a gateway.
 
-use crate::doors::Doors;
 use crate::gateway::Gateway;
-use crate::leave::leave;
-use crate::reload::Surroundings;
+use crate::reload::ProcessHooks;
+use crate::server_handles::ServerHandles;
+use crate::shutdown::shut_down;
 use crate::workers::apply_workers;
 use crate::{
-    detour, jobs, lease, peer_api, quarantine, registration, reload, reports, serve, watching,
+    jobs, lease, peer_api, quarantine_store, registration, reload, reports, serve, store_proxy,
+    watching,
 };
 use bluebellreel_net::{Served, Stop, every, listen};
 use bluebellreel_settings::GatewaySettings;
@@ -19,62 +20,68 @@
 use tokio::sync::Notify;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Longest that a caller's connection may stay without a request, until the
-/// configuration says otherwise.
-const CALLER_IDLE: Duration = Duration::from_secs(15);
-/// The same for connections of peers and the balancer.
-const INNER_IDLE: Duration = Duration::from_secs(30);
-/// Time between clean-ups of what has outlived its time.
-const SWEEP_EVERY: Duration = Duration::from_millis(250);
-/// Time without most peers after which a daemon counts as cut off from them. One
-/// that has just started reads who they are, and hears all within half a second.
+/// How long a caller's connection may be idle before it is closed, while no
+/// configuration is known that sets this limit.
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Idle timeout of connections from peers, the balancer and readers of metrics.
+const INTERNAL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between evictions of expired entries.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Time without reports from most peers after which a daemon counts as isolated. A
+/// daemon that has just started reads the list of members and receives reports from
+/// all of them within half a second.
 const ISOLATED_AFTER: Duration = Duration::from_secs(1);
 
-/// Runs a gateway until it is asked to stop by a signal; whether nothing was
-/// cut.
+/// Runs a gateway until a signal asks it to stop. Returns whether every request was
+/// answered in full.
 ///
 /// # Errors
 ///
-/// Gives the reason when an address cannot be listened on.
-pub fn run_gateway(settings: GatewaySettings, around: Surroundings) -> eyre::Result<bool> {
+/// Returns an error if an address cannot be bound.
+pub fn run_gateway(settings: GatewaySettings, hooks: ProcessHooks) -> eyre::Result<bool> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     LocalSet::new().block_on(&runtime, async {
-        let asked = asked_to_stop(around.settings_changed.clone())?;
-        live(settings, asked, around).await
+        let signal = stop_signal(hooks.settings_changed.clone())?;
+        run_gateway_until(settings, signal, hooks).await
     })
 }
 
-/// Ends when a signal asks for the end, and notifies of those that say that the
-/// settings have changed. The handlers stand once this returns.
-fn asked_to_stop(settings_changed: Rc<Notify>) -> eyre::Result<impl Future<Output = ()>> {
-    let hung_up = move || settings_changed.notify_one();
-    Ok(bluebellreel_signals::stop_asked(hung_up)?)
+/// Returns a future that completes when a signal asks the process to stop. Signals
+/// that announce changed settings notify `settings_changed`. The signal handlers are
+/// installed when this function returns.
+fn stop_signal(settings_changed: Rc<Notify>) -> eyre::Result<impl Future<Output = ()>> {
+    let on_hangup = move || settings_changed.notify_one();
+    Ok(bluebellreel_signals::stop_asked(on_hangup)?)
 }
 
-/// Runs a gateway on the present local task set until `stop` ends; whether
-/// nothing was cut.
+/// Runs a gateway on the current local task set until `stop_asked` completes. Returns
+/// whether every request was answered in full.
 ///
 /// # Errors
 ///
-/// Gives the reason when an address cannot be listened on.
-pub async fn live(
+/// Returns an error if an address cannot be bound.
+pub async fn run_gateway_until(
     settings: GatewaySettings,
     stop_asked: impl Future<Output = ()>,
-    around: Surroundings,
+    hooks: ProcessHooks,
 ) -> eyre::Result<bool> {
     let gw = Gateway::new(settings);
-    detour::install(&gw);
-    let doors = Doors::default();
-    start(&gw, &doors, Rc::new(around)).await?;
+    store_proxy::install(&gw);
+    let handles = ServerHandles::default();
+    start(&gw, &handles, Rc::new(hooks)).await?;
     info!(target: "gateway", entry:% = gw.me(), run:% = gw.run, data_centre:% = gw.settings.data_centre, requests:% = gw.settings.requests; "started");
     stop_asked.await;
-    let clean = leave(&gw, &doors).await;
+    let clean = shut_down(&gw, &handles).await;
     Ok(clean)
 }
 
-async fn start(gw: &Rc<Gateway>, doors: &Doors, around: Rc<Surroundings>) -> eyre::Result<()> {
+async fn start(
+    gw: &Rc<Gateway>,
+    handles: &ServerHandles,
+    hooks: Rc<ProcessHooks>,
+) -> eyre::Result<()> {
     let callers = listen(gw.settings.requests).wrap_err("address for requests")?;
     let balancer = listen(gw.settings.readiness).wrap_err("address for readiness")?;
     let peers = listen(gw.settings.peers).wrap_err("address for peers")?;
@@ -85,21 +92,21 @@
     let socket = Rc::new(socket);
 
     let g = gw.clone();
-    let of_limits = gw.clone();
+    let limits_gw = gw.clone();
     spawn_local(bluebellreel_net::serve(
         callers,
-        doors.callers.stop.clone(),
-        doors.callers.served.clone(),
-        move || caller_idle(&of_limits),
+        handles.callers.stop.clone(),
+        handles.callers.connection_tracker.clone(),
+        move || caller_idle(&limits_gw),
         move |req| serve::answer(g.clone(), req),
     ));
-    let inner = Stop::default();
+    let internal_stop = Stop::default();
     let g = gw.clone();
     spawn_local(bluebellreel_net::serve(
         balancer,
-        inner.clone(),
+        internal_stop.clone(),
         Served::default(),
-        || INNER_IDLE,
+        || INTERNAL_IDLE_TIMEOUT,
         move |_| {
             let answer = serve::readiness(&g);
             async move { answer }
@@ -108,47 +115,46 @@
     let g = gw.clone();
     spawn_local(bluebellreel_net::serve(
         peers,
-        doors.peers.stop.clone(),
-        doors.peers.served.clone(),
-        || INNER_IDLE,
+        handles.peers.stop.clone(),
+        handles.peers.connection_tracker.clone(),
+        || INTERNAL_IDLE_TIMEOUT,
         move |req| peer_api::answer(g.clone(), req),
     ));
     let g = gw.clone();
-    let drops = around.clone();
+    let metrics_hooks = hooks.clone();
     spawn_local(bluebellreel_net::serve(
         metrics,
-        inner,
+        internal_stop,
         Served::default(),
-        || INNER_IDLE,
+        || INTERNAL_IDLE_TIMEOUT,
         move |_| {
-            let answer = crate::answers::bytes(metrics_text(&g, (drops.lines_dropped)()));
+            let answer = crate::answers::bytes(metrics_text(&g, (metrics_hooks.lines_dropped)()));
             async move { answer }
         },
     ));
 
-    spawn_local(reload::follow_settings(gw.clone(), around));
+    spawn_local(reload::follow_settings(gw.clone(), hooks));
     spawn_local(reports::send_reports(gw.clone(), socket.clone()));
-    spawn_local(reports::take_reports(gw.clone(), socket));
+    spawn_local(reports::receive_reports(gw.clone(), socket));
     spawn_local(reports::compare_lists(gw.clone()));
     spawn_local(watching::watch_operator(gw.clone()));
     spawn_local(watching::watch_workers(gw.clone()));
     spawn_local(lease::keep_registered(gw.clone()));
     spawn_local(registration::list_members(gw.clone()));
-    spawn_local(quarantine::load(gw.clone()));
+    spawn_local(quarantine_store::load(gw.clone()));
     spawn_local(jobs::start_items(gw.clone()));
     spawn_local(jobs::renew_start_leases(gw.clone()));
     spawn_local(jobs::adopt_orphans(gw.clone()));
     spawn_local(jobs::copy_progress(gw.clone()));
     let g = gw.clone();
-    every(SWEEP_EVERY, move || sweep(&g));
+    every(SWEEP_INTERVAL, move || sweep(&g));
     Ok(())
 }
 
-/// How long a caller's connection may stay without a request, as the operators
-/// have it.
+/// The idle timeout of callers' connections: the configuration's, if one is known.
 fn caller_idle(gw: &Gateway) -> Duration {
     let configuration = gw.configuration();
-    configuration.map_or(CALLER_IDLE, |c| c.limits.idle_time)
+    configuration.map_or(CALLER_IDLE_TIMEOUT, |c| c.limits.idle_time)
 }
 
 fn sweep(gw: &Gateway) {
@@ -156,7 +162,7 @@
     gw.workers.sweep();
     gw.peers.sweep();
     gw.members.borrow_mut().sweep(now);
-    note_isolation(gw, now);
+    update_isolation(gw, now);
     if gw.members.borrow_mut().has_lost_peer(now) {
         gw.jobs.borrow().orphans_due.notify_one();
     }
@@ -166,27 +172,30 @@
     gw.suspects.borrow_mut().sweep(now);
     gw.board.borrow_mut().evict_expired_peers(now);
     gw.board.borrow_mut().speeds.sweep(now);
-    let expired = gw.facts.borrow_mut().catalog.expire(now);
+    let expired = gw.cluster_state.borrow_mut().catalog.expire(now);
     if expired {
-        apply_workers(gw, "time to register again is over");
+        apply_workers(gw, "re-registration timeout");
     }
-    let outlived = gw.facts.borrow_mut().expire(now);
-    if outlived {
-        warn!(target: "facts", entry:% = gw.me(); "snapshot no longer believed");
-        apply_workers(gw, "snapshot no longer believed");
+    let snapshot_expired = gw.cluster_state.borrow_mut().expire(now);
+    if snapshot_expired {
+        warn!(target: "facts", entry:% = gw.me(); "snapshot expired");
+        apply_workers(gw, "snapshot expired");
     }
 }
 
-/// Notes whether few peers are heard, or most of them again.
-fn note_isolation(gw: &Gateway, now: Moment) {
+/// Records since when the daemon has been isolated from most peers. When the isolation
+/// ends and lasted longer than [`ISOLATED_AFTER`], ends the registration span and counts
+/// a reconnection.
+fn update_isolation(gw: &Gateway, now: Moment) {
     let isolated = !gw.members.borrow().hears_most(now);
     let since = gw.isolated_since.get();
     gw.isolated_since
         .set(isolated.then_some(since.unwrap_or(now)));
     if !isolated && since.is_some_and(|since| (since + ISOLATED_AFTER).is_past(now)) {
-        // Peers may have taken jobs over unheard, and workers have left.
-        gw.interrupt_tenure();
-        gw.rejoined.set(gw.rejoined.get() + 1);
+        // During the isolation peers may have taken over jobs of this daemon, and
+        // workers may have left.
+        gw.interrupt_registration_span();
+        gw.reconnections.set(gw.reconnections.get() + 1);
     }
 }
 
--- a/crates/bluebellreel_gateway/src/serve.rs
+++ b/crates/bluebellreel_gateway/src/serve.rs
@@ -1,7 +1,7 @@
-//! Telling callers' requests apart.
+//! Distinguishes the kinds of callers' requests and passes each to its handler.
 
 use crate::gateway::Gateway;
-use crate::in_progress::Begun;
+use crate::in_progress::InProgressGuard;
 use crate::online;
 use crate::request::Request;
 use crate::{answers, jobs};
@@ -19,55 +19,55 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// When a caller should return to a daemon that knows no configuration yet.
+/// `Retry-After` of answers from a daemon without a configuration.
 const RETRY_UNCONFIGURED: Duration = Duration::from_millis(500);
 
-/// When a caller should return to another daemon.
+/// `Retry-After` of refusals by a stopping daemon; the retry goes to another daemon.
 const RETRY_ELSEWHERE: Duration = Duration::from_millis(50);
 
-/// Answers a caller. While the daemon stops, every answer asks the caller to
-/// open its next connection elsewhere.
+/// Answers a caller. While the daemon stops, every answer has `Connection: close`, so
+/// that the caller's next request goes to another daemon.
 pub(crate) async fn answer(gw: Rc<Gateway>, req: http::Request<Incoming>) -> Response<Body> {
     let in_progress = gw.in_progress.begin(ingress::request_id(req.headers()));
-    let mut answer = answer_open(&gw, req).await;
+    let mut answer = answer_request(&gw, req).await;
     if gw.stopping.get() {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(header::CONNECTION, close);
     }
     answer.map(|body| match body {
         Body::Full(bytes) => Body::Full(bytes),
-        Body::Stream(pieces) => {
-            // The request is in progress until its last piece is out.
-            Body::stream(Held {
-                pieces,
-                _until_dropped: in_progress,
+        Body::Stream(chunks) => {
+            // The request counts as in progress until its last chunk is sent.
+            Body::stream(GuardedBody {
+                chunks,
+                _guard: in_progress,
             })
         }
     })
 }
 
-struct Held<S> {
-    pieces: S,
-    _until_dropped: Begun,
+struct GuardedBody<S> {
+    chunks: S,
+    _guard: InProgressGuard,
 }
 
-impl<S: futures::Stream + Unpin> futures::Stream for Held<S> {
+impl<S: futures::Stream + Unpin> futures::Stream for GuardedBody<S> {
     type Item = S::Item;
 
     fn poll_next(
         mut self: std::pin::Pin<&mut Self>,
         cx: &mut std::task::Context<'_>,
     ) -> std::task::Poll<Option<S::Item>> {
-        std::pin::Pin::new(&mut self.pieces).poll_next(cx)
+        std::pin::Pin::new(&mut self.chunks).poll_next(cx)
     }
 }
 
-async fn answer_open(gw: &Rc<Gateway>, req: http::Request<Incoming>) -> Response<Body> {
+async fn answer_request(gw: &Rc<Gateway>, req: http::Request<Incoming>) -> Response<Body> {
     if ingress::is_readiness(req.uri().path()) {
         return readiness(gw);
     }
     if gw.refusing.get() {
-        return refusal();
+        return refuse_stopping();
     }
     let Some(configuration) = gw.configuration() else {
         let reason = "no configuration yet";
@@ -83,8 +83,8 @@
     let Some(route) = configuration.route(ingress::host(&req), path).cloned() else {
         let id = ingress::request_id(req.headers());
         info!(target: "online", request = id, path, host = ingress::host(&req), version = configuration.version; "no route");
-        if gw.facts.borrow().is_from_snapshot() {
-            // It may be newer than the snapshot.
+        if gw.cluster_state.borrow().is_from_snapshot() {
+            // The route may be newer than the snapshot.
             let reason = "store away";
             return answers::retry_after(
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -98,13 +98,14 @@
     let patience = ingress::patience(req.headers()).unwrap_or(route.timeout);
     let deadline = received + patience.min(route.timeout);
     let (head, body) = req.into_parts();
-    let body = match body_of(&configuration, body, deadline).await {
+    let body = match read_request_body(&configuration, body, deadline).await {
         Ok(body) => body,
         Err(answer) => return answer,
     };
     if gw.refusing.get() {
-        // Its body came late in a stop: passed on now, it would be cut.
-        return refusal();
+        // The daemon began to refuse requests while this body was being received. A
+        // request sent to a worker now would be cut off by the end of the process.
+        return refuse_stopping();
     }
     if route.kind == RouteKind::Batch && head.method == Method::POST {
         let deadline = received + patience;
@@ -114,19 +115,19 @@
     online::answer(gw.clone(), request).await
 }
 
-/// Tells a caller that its request has not run, as this daemon ends.
-fn refusal() -> Response<Body> {
+/// The answer to a request that has not run because this daemon is stopping.
+fn refuse_stopping() -> Response<Body> {
     answers::retry_after(StatusCode::SERVICE_UNAVAILABLE, "stopping", RETRY_ELSEWHERE)
 }
 
-/// Bytes of a request's head, without what the protocol adds between its parts.
+/// Size of a request's head in bytes, without the separators that the protocol adds.
 fn head_bytes<B>(req: &http::Request<B>) -> usize {
     let headers = req.headers().iter();
     let fields: usize = headers.map(|(n, v)| n.as_str().len() + v.len()).sum();
     fields + req.uri().path().len() + req.uri().query().map_or(0, str::len)
 }
 
-async fn body_of(
+async fn read_request_body(
     configuration: &Configuration,
     body: Incoming,
     deadline: Instant,
@@ -135,7 +136,7 @@
     match read_body(body, configuration.limits.body_bytes, left).await {
         Ok(Some(body)) => Ok(body),
         Ok(None) => Err(answers::status(StatusCode::PAYLOAD_TOO_LARGE)),
-        // The body did not come: nothing was sent on.
+        // The body did not arrive, so nothing was sent to a worker.
         Err(_) => Err(answers::status(StatusCode::REQUEST_TIMEOUT)),
     }
 }
@@ -162,7 +163,7 @@
     }
 }
 
-/// Answers the balancer.
+/// Answers the balancer's readiness probe.
 pub(crate) fn readiness(gw: &Gateway) -> Response<Body> {
     answers::status(if gw.is_ready() {
         StatusCode::OK
--- a/crates/bluebellreel_gateway/src/store.rs
+++ b/crates/bluebellreel_gateway/src/store.rs
@@ -1,9 +1,8 @@
 //! Calls to the platform's store.
 //!
-//! A call without an answer is given up after a time and its connection never
-//! used again. A write without an answer may have taken effect, or may do so
-//! seconds later while its guards hold: [`StoreClient::commit`] repeats it
-//! unchanged until it is decided.
+//! A call without an answer times out, and its connection is never reused. A write
+//! without an answer may have taken effect, or may take effect seconds later while its
+//! guards hold: [`StoreClient::commit`] repeats it unchanged until its outcome is known.
 
 use bluebellreel_kv::{Commit, Compare, Key, KeyValue, KvError, Txn};
 use bluebellreel_net::{Pool, PoolLimits, Reuse, SendError};
@@ -18,72 +17,71 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Longest wait for an answer. The store answers in some 4 ms, fifty times as
-/// slowly on a bad day.
+/// Timeout of a call. The store answers in about 4 ms normally, and up to fifty times
+/// more slowly under adverse conditions.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest wait for a new connection.
+/// Timeout of connecting to the store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle time of connections.
-const CONNECTION_IDLE: Duration = Duration::from_secs(5);
-/// Idle connections kept.
+/// Idle timeout of connections to the store.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of idle connections.
 const MAX_IDLE: usize = 4;
-/// Pause before a refused or lost call is repeated.
+/// Pause before a rejected or lost call is repeated.
 const REPEAT_PAUSE: Duration = Duration::from_millis(150);
-/// Longest answer read.
-const ANSWER_BYTES: usize = 8 * 1024 * 1024;
-/// Time in which every straight call failed after which the store counts as
-/// lost. A single call may fail by a reset connection.
+/// Maximum size of an answer.
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// The store counts as lost once every direct call has failed for this time. A single
+/// call may fail because of a reset connection.
 const LOST_AFTER: Duration = Duration::from_millis(500);
-/// Time in which every straight call failed after which a success counts as
-/// the end of an outage. Leases lapse only in longer ones, but this daemon may
-/// have made its first call late in it.
-const OUTAGE_SHORTEST: Duration = Duration::from_millis(250);
-/// Time after the start in which a store that is there has answered: it takes
-/// some 4 ms, and a new daemon calls it at once.
-const FIRST_ANSWER_LONGEST: Duration = Duration::from_millis(300);
-/// How much longer than asked for a watch may take.
+/// Minimum time for which every direct call must have failed for this to count as an
+/// outage. Leases expire only in longer outages, but this daemon may have made its first
+/// call late in one.
+const MIN_OUTAGE: Duration = Duration::from_millis(250);
+/// Time after the start within which a reachable store has answered: an answer takes
+/// about 4 ms, and a new daemon calls the store at once.
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+/// How much longer than its requested duration a watch may take.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
 
-/// A time in which every straight call failed.
+/// A period in which every direct call failed.
 #[derive(Clone, Copy)]
 struct Outage {
     began: Instant,
     ended: Instant,
 }
 
-/// What a call brought: status and body.
+/// Status and body of an answer.
 pub(crate) type StoreAnswer = Result<(StatusCode, Bytes), KvError>;
-/// Makes a call through a peer; `None` if no peer reaches the store.
-pub(crate) type Detour =
+/// Makes a call through a peer; returns `None` if no peer reaches the store.
+pub(crate) type PeerProxy =
     Box<dyn Fn(Request<Bytes>, Duration) -> Option<LocalBoxFuture<'static, StoreAnswer>>>;
 
-/// Whether the store has dealt with a call.
-fn is_good(answer: &StoreAnswer) -> bool {
-    let turned_away = [
+/// Whether the store has processed a call.
+fn is_answered(answer: &StoreAnswer) -> bool {
+    let rejected = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
     ];
-    matches!(answer, Ok((status, _)) if !turned_away.contains(status))
+    matches!(answer, Ok((status, _)) if !rejected.contains(status))
 }
 
 /// A client of the store.
 ///
-/// The store may turn one daemon away and serve the others. Such a daemon
-/// makes its calls through a peer, and tries the straight way at each renewal
-/// of its lease.
+/// The store may reject one daemon's calls and serve the others. Such a daemon makes its
+/// calls through a peer, and tries a direct call at each renewal of its lease.
 pub(crate) struct StoreClient {
     pool: Pool,
     address: SocketAddr,
     calls: Cell<u64>,
     failures: Cell<u64>,
-    /// Since when every straight call has failed.
+    /// Since when every direct call has failed.
     failing_since: Cell<Option<Instant>>,
     started: Instant,
     last_outage: Cell<Option<Outage>>,
-    /// When a call succeeded last, either way.
+    /// When a call succeeded last, directly or through a peer.
     answered_at: Cell<Option<Instant>>,
-    detour: RefCell<Option<Detour>>,
-    /// Latencies of calls that were answered, but watches, which wait.
+    proxy: RefCell<Option<PeerProxy>>,
+    /// Latencies of answered calls except watches, whose answers are delayed.
     latency: Histogram,
 }
 
@@ -91,7 +89,7 @@
     pub(crate) fn new(address: SocketAddr, latency: Histogram) -> Self {
         let limits = PoolLimits {
             connect: CONNECT_TIMEOUT,
-            idle: CONNECTION_IDLE,
+            idle: IDLE_TIMEOUT,
             idle_per_address: MAX_IDLE,
         };
         Self {
@@ -103,51 +101,52 @@
             started: Instant::now(),
             last_outage: Cell::new(None),
             answered_at: Cell::new(None),
-            detour: RefCell::new(None),
+            proxy: RefCell::new(None),
             latency,
         }
     }
 
-    /// Sets the way through peers.
-    pub(crate) fn set_detour(&self, detour: Detour) {
-        *self.detour.borrow_mut() = Some(detour);
+    /// Sets the function that makes calls through peers.
+    pub(crate) fn set_peer_proxy(&self, proxy: PeerProxy) {
+        *self.proxy.borrow_mut() = Some(proxy);
     }
 
-    /// Calls made and calls that failed.
+    /// Number of calls made and number of calls that failed.
     pub(crate) fn counts(&self) -> (u64, u64) {
         (self.calls.get(), self.failures.get())
     }
 
-    /// Whether the store turns this daemon's own calls away.
+    /// Whether this daemon's direct calls have failed for longer than [`LOST_AFTER`].
     pub(crate) fn is_lost(&self) -> bool {
         let failing = self.failing_since.get();
         failing.is_some_and(|since| since.elapsed() > LOST_AFTER)
     }
 
-    /// How long every straight call has failed; none while calls succeed.
+    /// How long every direct call has failed; none while direct calls succeed.
     pub(crate) fn failing_for(&self) -> Option<Duration> {
         Some(self.failing_since.get()?.elapsed())
     }
 
-    /// Whether this daemon has looked for the store since its start, and nobody
-    /// has answered.
-    pub(crate) fn finds_nobody(&self) -> bool {
-        let looked = self.failures.get() > 0 || self.started.elapsed() > FIRST_ANSWER_LONGEST;
-        looked && self.answered_at.get().is_none()
+    /// Whether the store has had time to answer since this daemon's start, and no call
+    /// has succeeded.
+    pub(crate) fn has_never_answered(&self) -> bool {
+        let store_had_time =
+            self.failures.get() > 0 || self.started.elapsed() > FIRST_ANSWER_TIMEOUT;
+        store_had_time && self.answered_at.get().is_none()
     }
 
-    /// How long ago a call succeeded last, either way.
-    pub(crate) fn answered_ago(&self) -> Option<Duration> {
+    /// How long ago a call succeeded last, directly or through a peer.
+    pub(crate) fn since_last_answer(&self) -> Option<Duration> {
         Some(self.answered_at.get()?.elapsed())
     }
 
     /// How long ago the last outage ended.
-    pub(crate) fn regained_for(&self) -> Option<Duration> {
+    pub(crate) fn since_outage_end(&self) -> Option<Duration> {
         Some(self.last_outage.get()?.ended.elapsed())
     }
 
-    /// How long ago the last outage began, as far as this daemon noticed.
-    pub(crate) fn outage_began_ago(&self) -> Option<Duration> {
+    /// How long ago the last outage began, according to this daemon's calls.
+    pub(crate) fn since_outage_start(&self) -> Option<Duration> {
         Some(self.last_outage.get()?.began.elapsed())
     }
 
@@ -156,34 +155,39 @@
         if self.failing_since.get().is_some() {
             return Duration::ZERO;
         }
-        self.regained_for()
+        self.since_outage_end()
             .unwrap_or_else(|| self.started.elapsed())
     }
 
-    /// Makes a call by the way that is likely to succeed.
-    async fn call(&self, req: Request<Bytes>, longest: Duration) -> StoreAnswer {
-        let by_peer = self.is_lost();
-        self.call_by(by_peer, req, longest).await
+    /// Makes a call: through a peer while the store is lost, else directly.
+    async fn call(&self, req: Request<Bytes>, max_time: Duration) -> StoreAnswer {
+        let via_peer = self.is_lost();
+        self.call_by(via_peer, req, max_time).await
     }
 
-    /// Makes a call by way of a peer if that is asked for and one reaches the
-    /// store; else straight.
-    async fn call_by(&self, by_peer: bool, req: Request<Bytes>, longest: Duration) -> StoreAnswer {
+    /// Makes a call through a peer if `via_peer` is set and a peer reaches the store;
+    /// else directly.
+    async fn call_by(
+        &self,
+        via_peer: bool,
+        req: Request<Bytes>,
+        max_time: Duration,
+    ) -> StoreAnswer {
         self.calls.set(self.calls.get() + 1);
         let begun = Instant::now();
-        let detour = if by_peer {
-            let detour = self.detour.borrow();
-            detour.as_ref().and_then(|d| d(req.clone(), longest))
+        let proxy = if via_peer {
+            let proxy = self.proxy.borrow();
+            proxy.as_ref().and_then(|d| d(req.clone(), max_time))
         } else {
             None
         };
-        let answer = match detour {
-            Some(detour) => detour.await,
-            None => self.straight(req, longest).await,
+        let answer = match proxy {
+            Some(proxy) => proxy.await,
+            None => self.call_directly(req, max_time).await,
         };
-        if is_good(&answer) {
+        if is_answered(&answer) {
             self.answered_at.set(Some(Instant::now()));
-            if longest <= CALL_TIMEOUT {
+            if max_time <= CALL_TIMEOUT {
                 self.latency.observe(begun.elapsed().as_secs_f64());
             }
         } else {
@@ -193,7 +197,11 @@
     }
 
     /// Makes a call from this VM.
-    pub(crate) async fn straight(&self, mut req: Request<Bytes>, longest: Duration) -> StoreAnswer {
+    pub(crate) async fn call_directly(
+        &self,
+        mut req: Request<Bytes>,
+        max_time: Duration,
+    ) -> StoreAnswer {
         if let Ok(host) = header::HeaderValue::try_from(self.address.to_string()) {
             req.headers_mut().insert(header::HOST, host);
         }
@@ -206,19 +214,19 @@
                     SendError::Unsent(reason) => KvError::NotDone(reason),
                     SendError::Unknown(reason) => KvError::Unknown(reason),
                 })?;
-            let body = reply.body.whole(ANSWER_BYTES).await;
+            let body = reply.body.whole(MAX_ANSWER_BYTES).await;
             let body = body.map_err(|e| KvError::Unknown(e.to_string()))?;
             Ok((reply.head.status, body))
         };
-        let answer = timeout(longest, sent).await;
+        let answer = timeout(max_time, sent).await;
         let answer = answer.unwrap_or_else(|_| {
-            // Its kept connections may all have fallen silent.
+            // The idle connections to the store may all be dead.
             self.pool.drop_idle(self.address);
             Err(KvError::Unknown("no answer in time".into()))
         });
-        if is_good(&answer) {
+        if is_answered(&answer) {
             if let Some(began) = self.failing_since.take()
-                && began.elapsed() >= OUTAGE_SHORTEST
+                && began.elapsed() >= MIN_OUTAGE
             {
                 let ended = Instant::now();
                 self.last_outage.set(Some(Outage { began, ended }));
@@ -235,8 +243,8 @@
         store::read_answer(status, &body)
     }
 
-    /// Reads all keys that start with `prefix`, and the revision from which a
-    /// watch brings what changed since the first page.
+    /// Reads all keys that start with `prefix`. Also returns the revision of the first
+    /// page: a watch after it delivers every later change.
     pub(crate) async fn list(&self, prefix: &Key) -> Result<(Vec<KeyValue>, i64), KvError> {
         let mut all = Vec::new();
         let mut revision = None;
@@ -247,18 +255,18 @@
             let Page {
                 items,
                 truncated,
-                revision: as_of,
+                revision: page_revision,
             } = store::list_answer(status, &body)?;
-            let as_of = *revision.get_or_insert(as_of);
+            let page_revision = *revision.get_or_insert(page_revision);
             let last_page = !truncated || items.is_empty();
             all.extend(items);
             if last_page {
-                return Ok((all, as_of));
+                return Ok((all, page_revision));
             }
         }
     }
 
-    /// Waits for changes.
+    /// Waits up to `wait` for changes of keys that start with `prefix`.
     pub(crate) async fn watch(
         &self,
         prefix: &Key,
@@ -270,35 +278,35 @@
         store::watch_answer(status, &body)
     }
 
-    /// Whether guards hold; what the guarded keys hold if one does not.
+    /// Checks whether guards hold; returns the guarded keys' values if one does not.
     pub(crate) async fn check(
         &self,
         guards: Vec<Compare>,
-        by_peer: bool,
+        via_peer: bool,
     ) -> Result<TxnOutcome, KvError> {
         let txn = Txn {
             compares: guards,
             ..Txn::default()
         };
-        let call = self.call_by(by_peer, store::txn_call(&txn), CALL_TIMEOUT);
+        let call = self.call_by(via_peer, store::txn_call(&txn), CALL_TIMEOUT);
         let (status, body) = call.await?;
         store::txn_answer(status, &body)
     }
 
-    /// Asks for a lease.
+    /// Creates a lease.
     pub(crate) async fn lease(&self, ttl: Duration) -> Result<Lease, KvError> {
         let (status, body) = self.call(store::lease_call(ttl), CALL_TIMEOUT).await?;
         store::lease_answer(status, &body)
     }
 
-    /// Renews a lease; whether it still runs. This call always tries the
-    /// straight way first, and so finds out when it is open again: calls that
-    /// somebody waits for do not.
+    /// Renews a lease. Returns whether it was still alive. Renewals always try a direct
+    /// call first, and thereby detect when the store accepts direct calls again. Other
+    /// calls do not, since a caller may be waiting for them.
     pub(crate) async fn renew(&self, lease: i64) -> Result<bool, KvError> {
         let mut answer = self
             .call_by(false, store::renew_call(lease), CALL_TIMEOUT)
             .await;
-        if !is_good(&answer) {
+        if !is_answered(&answer) {
             answer = self
                 .call_by(true, store::renew_call(lease), CALL_TIMEOUT)
                 .await;
@@ -307,47 +315,48 @@
         store::renew_answer(status)
     }
 
-    /// Gives a lease back.
+    /// Revokes a lease.
     pub(crate) async fn release(&self, lease: i64) -> Result<(), KvError> {
         self.call(store::release_call(lease), CALL_TIMEOUT).await?;
         Ok(())
     }
 
-    /// Carries a write out, repeating it unchanged until it is decided or
-    /// `until` has come.
+    /// Makes a write, repeating it unchanged until its outcome is known or `until` is
+    /// reached.
     ///
-    /// A guard that fails after a try whose answer was lost may have been
-    /// overtaken by that very try: [`Commit::Beaten`] hands out what the
-    /// guarded keys hold, for the caller to tell its own write by its content.
+    /// If an attempt's answer was lost and a guard fails at the next attempt, the
+    /// first one may itself have changed the guarded key: [`Commit::Beaten`] returns
+    /// the guarded keys' values, so that the caller can recognise its own write.
     pub(crate) async fn commit(&self, txn: &Txn, until: Instant) -> Commit {
-        let mut in_doubt = None;
-        let mut by_peer = self.is_lost();
+        let mut unknown_reason = None;
+        let mut via_peer = self.is_lost();
         loop {
-            let call = self.call_by(by_peer, store::txn_call(txn), CALL_TIMEOUT);
-            let tried = match call.await {
+            let call = self.call_by(via_peer, store::txn_call(txn), CALL_TIMEOUT);
+            let attempt = match call.await {
                 Ok((status, body)) => store::txn_answer(status, &body),
                 Err(e) => Err(e),
             };
-            let reason = match tried {
+            let reason = match attempt {
                 Ok(TxnOutcome::Done(revision)) => return Commit::Applied { revision },
                 Ok(TxnOutcome::Conflict(items)) => return Commit::Beaten(items),
                 Ok(TxnOutcome::NoLease) => return Commit::NotDone("the lease has ended".into()),
                 Err(KvError::Refused(reason)) => return Commit::NotDone(reason),
                 Err(KvError::NotDone(reason)) => reason,
                 Err(KvError::Unknown(reason)) => {
-                    in_doubt = Some(reason.clone());
+                    unknown_reason = Some(reason.clone());
                     reason
                 }
             };
             if Instant::now() + REPEAT_PAUSE >= until {
-                return match in_doubt {
+                return match unknown_reason {
                     Some(reason) => Commit::Unknown(reason),
                     None => Commit::NotDone(reason),
                 };
             }
-            // The other way may be open, and is tried at once.
-            by_peer = !by_peer;
-            if !by_peer {
+            // The other route, direct or through a peer, is tried at once, with a
+            // pause only after both have failed.
+            via_peer = !via_peer;
+            if !via_peer {
                 sleep(REPEAT_PAUSE).await;
             }
         }
--- a/crates/bluebellreel_gateway/src/ticket.rs
+++ b/crates/bluebellreel_gateway/src/ticket.rs
@@ -1,4 +1,4 @@
-//! A run's place at its worker, given back however the run ends.
+//! Registers runs at workers, and deregisters them however they end.
 
 use crate::gateway::Gateway;
 use bluebellreel_dispatch::{Class, Ticket};
@@ -7,15 +7,15 @@
 use std::time::Duration;
 
 /// Counts one run at a worker until it is dropped.
-pub(crate) struct Place {
+pub(crate) struct RunGuard {
     gw: Rc<Gateway>,
     ticket: Ticket,
 }
 
-impl Place {
-    /// Takes a place, and reports it to peers at once, so that none takes the same
-    /// slot.
-    pub(crate) fn take(gw: &Rc<Gateway>, worker: &WorkerName, class: Class) -> Self {
+impl RunGuard {
+    /// Registers a run, and reports it to peers at once so that none of them uses the
+    /// same slot.
+    pub(crate) fn acquire(gw: &Rc<Gateway>, worker: &WorkerName, class: Class) -> Self {
         let ticket = gw.board.borrow_mut().start(worker, class);
         gw.report_due.notify_one();
         Self {
@@ -32,26 +32,26 @@
         &self.ticket
     }
 
-    /// The run has given an event or a whole answer.
+    /// Records that the run has delivered an event or a complete answer.
     pub(crate) fn succeeded(&self) {
         let now = self.gw.now();
         self.gw.board.borrow_mut().succeeded(&self.ticket, now);
     }
 
-    /// The run has failed in a way that speaks against its worker.
+    /// Records that the run has failed in a way that suggests a fault of its worker.
     pub(crate) fn failed(&self) {
         let now = self.gw.now();
         self.gw.board.borrow_mut().failed(&self.ticket, now);
     }
 
-    /// The worker has failed at a batch item.
+    /// Records that the worker has failed to run a batch item.
     pub(crate) fn failed_item(&self) {
         let now = self.gw.now();
         self.gw.board.borrow_mut().failed_item(&self.ticket, now);
     }
 }
 
-impl Drop for Place {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         self.gw.board.borrow_mut().end(&self.ticket);
         self.gw.report_due.notify_one();
@@ -59,13 +59,13 @@
     }
 }
 
-/// How long a run may still bring something once its worker is known to have
-/// started again. The worker may have done so before the run was sent: its entry
-/// comes some hundred milliseconds after its first answers, and events come some
-/// 30 ms apart.
-pub(crate) const AFTER_RESTART: Duration = Duration::from_millis(150);
+/// How long a run may still deliver something after its worker is known to have
+/// restarted. The worker may have restarted before the run was sent: its entry in the
+/// store appears a few hundred milliseconds after it begins to answer, and events arrive
+/// about 30 ms apart.
+pub(crate) const RESTART_GRACE: Duration = Duration::from_millis(150);
 
-/// Ends once a run's worker is known to have started again under its id.
+/// Completes once a run's worker is known to have restarted under the same id.
 pub(crate) async fn worker_restarted(gw: &Gateway, ticket: &Ticket) {
     loop {
         let restarted = gw.worker_restarted.notified();
--- a/crates/bluebellreel_gateway/src/watching.rs
+++ b/crates/bluebellreel_gateway/src/watching.rs
@@ -1,8 +1,8 @@
-//! Following the store: what operators write, and which workers there are.
+//! Watches the store for operators' changes and for workers.
 //!
-//! A watch costs a call for each change, so only two daemons watch; the others
-//! take over what those report (see `reports`). A daemon that the store turns
-//! away says so and is passed over. One that hears nobody watches by itself.
+//! A watch costs a call per change, so only two daemons watch; the others fetch the
+//! changes from them (see `reports`). A daemon whose calls the store rejects reports that
+//! and is not elected as a watcher. A daemon that receives no reports watches by itself.
 
 use crate::gateway::Gateway;
 use crate::millis::millis;
@@ -18,32 +18,33 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Longest wait of one watch. A connection that has silently died brings
-/// nothing, nor does a watch that the store has lost; what was missed shows
-/// within this time. Operators expect a change in force within two seconds.
-const WATCH_WAIT: Duration = Duration::from_millis(1500);
-/// Pause after a failed call.
-const RETRY: Duration = Duration::from_millis(300);
-/// Time between checks of a daemon that does not watch whether it should.
-const CHECK_EVERY: Duration = Duration::from_millis(250);
-/// How long a worker that is missing after an outage may take to register
-/// again: the platform says about two seconds.
-const REGISTER_AGAIN_LONGEST: Duration = Duration::from_millis(2500);
-/// Time for which the store must have served a peer to have been there all
-/// along: longer than daemons take to notice the end of an outage.
-const SERVED_ALL_ALONG: Duration = Duration::from_secs(6);
-/// In what units peers tell how long the store has served them.
+/// Duration of one watch. A watch on a silently broken connection, or one that the store
+/// has lost, delivers nothing; the changes it missed are noticed within this time.
+/// Operators expect a change to be in force within two seconds.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Pause before a failed call is repeated.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Interval at which a daemon that does not watch checks whether it should.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How long a worker that is missing after an outage may take to register again: the
+/// platform specifies about two seconds.
+const REREGISTRATION_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A store that has served a peer without interruption for this long has had no recent
+/// outage. It is longer than daemons take to notice the end of an outage.
+const CONTINUOUS_SERVICE: Duration = Duration::from_secs(6);
+/// The unit in which peers report how long the store has served them.
 const SERVED_UNIT: Duration = Duration::from_secs(1);
-/// How long the answer to a request to empty a VM is repeated.
-const REPORT_EMPTY_LONGEST: Duration = Duration::from_secs(30);
+/// How long the write that reports a VM as empty is retried.
+const REPORT_EMPTY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Whether this daemon is one of those that watch.
+/// Whether this daemon is one of the elected watchers.
 fn is_watcher(gw: &Gateway) -> bool {
     let members = gw.members.borrow();
     members.is_watcher(gw.me(), !gw.store.is_lost(), gw.now())
 }
 
-/// Keeps the configuration current, and answers requests to empty VMs.
+/// Follows the operators' prefix: keeps the configuration current, and answers requests
+/// to empty VMs.
 pub(crate) async fn watch_operator(gw: Rc<Gateway>) {
     follow(&gw, Key::from(keys::OPERATOR), &OPERATOR).await;
 }
@@ -53,23 +54,23 @@
     follow(&gw, Key::from(keys::WORKERS), &WORKERS).await;
 }
 
-/// What is done with a prefix.
-struct Subject {
-    /// Revision up to which everything is known.
+/// The operations by which a watched prefix is processed.
+struct WatchHandler {
+    /// Returns the revision up to which all changes are known.
     seen: fn(&Gateway) -> i64,
-    /// Takes the complete list.
+    /// Processes a complete list of the prefix.
     listed: fn(&Rc<Gateway>, &[KeyValue], i64),
-    /// Takes one change; whether it matters to what follows.
+    /// Processes one change. Returns whether `apply` is needed.
     changed: fn(&Rc<Gateway>, WatchEvent) -> bool,
-    /// Brings what mattered into force, once for all changes of an answer:
-    /// with thousands of workers, once for each would take seconds.
-    settle: fn(&Gateway),
-    /// Everything up to a revision was handed out.
+    /// Applies changes, once for all changes of an answer: with thousands of workers,
+    /// applying each one separately would take seconds.
+    apply: fn(&Gateway),
+    /// Records that all changes up to a revision were processed.
     advance_to: fn(&Gateway, i64),
 }
 
-const OPERATOR: Subject = Subject {
-    seen: |gw| gw.facts.borrow().operator_seen,
+const OPERATOR: WatchHandler = WatchHandler {
+    seen: |gw| gw.cluster_state.borrow().operator_seen,
     listed: |gw, all, revision| {
         for kv in all {
             operator_wrote(gw, kv);
@@ -82,72 +83,73 @@
         }
         false
     },
-    settle: |_| {},
+    apply: |_| {},
     advance_to: operator_seen_to,
 };
 
-const WORKERS: Subject = Subject {
-    seen: |gw| gw.facts.borrow().catalog.revision(),
+const WORKERS: WatchHandler = WatchHandler {
+    seen: |gw| gw.cluster_state.borrow().catalog.revision(),
     listed: workers_listed,
     changed: |gw, event| worker_changed(gw, event),
-    settle: |gw| {
+    apply: |gw| {
         apply_workers(gw, "store");
         gw.report_due.notify_one();
     },
-    advance_to: |gw, revision| gw.facts.borrow_mut().catalog.advance_to(revision),
+    advance_to: |gw, revision| gw.cluster_state.borrow_mut().catalog.advance_to(revision),
 };
 
 fn operator_seen_to(gw: &Gateway, revision: i64) {
-    let mut facts = gw.facts.borrow_mut();
-    facts.confirmed_by_store();
-    facts.operator_seen = facts.operator_seen.max(revision);
+    let mut cluster_state = gw.cluster_state.borrow_mut();
+    cluster_state.confirmed_by_store();
+    cluster_state.operator_seen = cluster_state.operator_seen.max(revision);
 }
 
 fn operator_wrote(gw: &Rc<Gateway>, kv: &KeyValue) {
     if kv.key.as_str() == keys::CONFIGURATION {
-        let mut facts = gw.facts.borrow_mut();
-        facts.configure(kv.revision, &kv.value, "store", gw.now());
+        let mut cluster_state = gw.cluster_state.borrow_mut();
+        cluster_state.configure(kv.revision, &kv.value, "store", gw.now());
         gw.report_due.notify_one();
     } else if let Some(vm) = keys::vm_to_empty(kv.key.as_str()) {
         tokio::task::spawn_local(report_empty(gw.clone(), vm.to_owned()));
     }
 }
 
-/// VMs with a disk hold nothing of ours, so one that is to be emptied is empty
-/// at once. Each watching daemon writes the same; one write suffices.
+/// Reports a VM as empty. VMs with a disk hold no data of this system, so one that is to
+/// be emptied is empty at once. Each watching daemon makes the same write; one suffices.
 async fn report_empty(gw: Rc<Gateway>, vm: String) {
     let key = Key::from(keys::vm_status(&vm));
     let txn = Txn::create(key, keys::vm_is_empty().to_vec());
     let outcome = gw
         .store
-        .commit(&txn, Instant::now() + REPORT_EMPTY_LONGEST)
+        .commit(&txn, Instant::now() + REPORT_EMPTY_TIMEOUT)
         .await;
     info!(target: "facts", vm = vm.as_str(), outcome:? = outcome; "VM reported empty");
 }
 
-/// Until when workers that are missing are kept; none but after an outage.
+/// Until when missing workers are kept: workers are kept only after an outage of the
+/// store, until they have had time to register again.
 ///
-/// A store that has served a peer all along was not away, it was cut off from
-/// this daemon: entries did not lapse, and a worker that is missing leaves.
+/// If the store has served a peer without interruption, it was only unreachable from this
+/// daemon: entries did not expire, so a missing worker has left.
 fn keep_missing_until(gw: &Gateway) -> Option<Moment> {
-    let left = REGISTER_AGAIN_LONGEST.checked_sub(gw.store.regained_for()?)?;
-    // An outage of the store ends for a peer after it began here. One that was served
-    // before that met none, however short a time it has been there.
-    let all_along = (gw.store.outage_began_ago()? + SERVED_UNIT).min(SERVED_ALL_ALONG);
-    if gw.members.borrow().is_served_for(all_along, gw.now()) {
+    let left = REREGISTRATION_TIMEOUT.checked_sub(gw.store.since_outage_end()?)?;
+    // An outage of the store ends for a peer after it has begun for this daemon. A peer
+    // that was served since before then had no outage, even if it started recently.
+    let min_served = (gw.store.since_outage_start()? + SERVED_UNIT).min(CONTINUOUS_SERVICE);
+    if gw.members.borrow().is_served_for(min_served, gw.now()) {
         return None;
     }
     Some(gw.now() + left)
 }
 
 fn worker_changed(gw: &Gateway, event: WatchEvent) -> bool {
-    let mut facts = gw.facts.borrow_mut();
+    let mut cluster_state = gw.cluster_state.borrow_mut();
     match event {
         WatchEvent::Put(kv) => {
             let Some((id, record)) = read_worker(gw, &kv) else {
                 return false;
             };
-            facts.catalog.take(kv.revision, &id, record)
+            cluster_state.catalog.take(kv.revision, &id, record)
         }
         WatchEvent::Deleted { key, revision } => {
             let Some(id) = keys::worker_id(key.as_str()) else {
@@ -157,8 +159,8 @@
             info!(target: "facts", worker = id, revision, kept = keep_until.is_some(); "worker no longer listed");
             let id = WorkerName::from(id);
             match keep_until {
-                Some(until) => facts.catalog.mark_missing(revision, &id, until),
-                None => facts.catalog.remove(revision, &id),
+                Some(until) => cluster_state.catalog.mark_missing(revision, &id, until),
+                None => cluster_state.catalog.remove(revision, &id),
             }
         }
     }
@@ -174,8 +176,8 @@
     info!(target: "facts", workers = workers.count(), revision; "workers read");
     let keep_until = keep_missing_until(gw);
     let changed = {
-        let mut facts = gw.facts.borrow_mut();
-        facts.catalog.replace(revision, list, keep_until)
+        let mut cluster_state = gw.cluster_state.borrow_mut();
+        cluster_state.catalog.replace(revision, list, keep_until)
     };
     if changed {
         apply_workers(gw, "store");
@@ -183,15 +185,14 @@
     }
 }
 
-/// What stands at a worker's place: its id, and the worker if the entry names
-/// one that could be used.
+/// Parses a worker's entry: its id, and its record if that is valid.
 fn read_worker(gw: &Gateway, kv: &KeyValue) -> Option<(WorkerName, Option<WorkerRecord>)> {
     let id = keys::worker_id(kv.key.as_str())?;
     let record = match decode_worker(id, &kv.value) {
         Ok(record) => Some(record),
         Err(e) => {
             if gw.note_unreadable(kv) {
-                warn!(target: "facts", worker = id, revision = kv.revision, error:% = e; "worker not taken");
+                warn!(target: "facts", worker = id, revision = kv.revision, error:% = e; "worker rejected");
             }
             None
         }
@@ -199,19 +200,21 @@
     Some((WorkerName::from(id), record))
 }
 
-/// Time without what a peer knows after which a daemon that does not watch
-/// looks for itself. Peers answer within some milliseconds; one of another
-/// version, or behind a cut, may never do so.
-const STALE_LONGEST: Duration = Duration::from_secs(1);
+/// How long a daemon that does not watch may lack changes that a peer knows, before it
+/// reads the store itself. Peers answer requests for changes within a few milliseconds;
+/// one of another version, or one that is unreachable, may never answer.
+const MAX_STALENESS: Duration = Duration::from_secs(1);
 
-/// Whether a peer has known more than this daemon for too long. `since` holds
-/// since when one does.
+/// Whether a peer has known more than this daemon for longer than [`MAX_STALENESS`].
+/// `since` holds when that began.
 fn is_stale(gw: &Gateway, since: &Cell<Option<Moment>>) -> bool {
     let now = gw.now();
     let lacks = {
-        let facts = gw.facts.borrow();
+        let cluster_state = gw.cluster_state.borrow();
         let members = gw.members.borrow();
-        members.heard(now).any(|(_, p)| facts.lacks(p.revisions))
+        members
+            .heard(now)
+            .any(|(_, p)| cluster_state.lacks(p.revisions))
     };
     if !lacks {
         since.set(None);
@@ -219,14 +222,15 @@
     }
     let begun = since.get().unwrap_or(now);
     since.set(Some(begun));
-    (begun + STALE_LONGEST).is_past(now)
+    (begun + MAX_STALENESS).is_past(now)
 }
 
-/// Time after which a daemon that has become a watcher lists, once. It may know no more
-/// than its predecessor told, which keeps workers that are missing after an outage.
-const LIST_AS_SUCCESSOR: Duration = Duration::from_secs(3);
+/// Delay after which a daemon that has become a watcher lists the prefix once. It may know
+/// only what its predecessor reported, which keeps workers that are missing after an
+/// outage.
+const SUCCESSOR_LIST_DELAY: Duration = Duration::from_secs(3);
 
-/// When a daemon that watches for the others lists, though no watch failed.
+/// Decides when a new watcher lists the prefix although no watch has failed.
 #[derive(Default)]
 struct Succession {
     began: Option<Moment>,
@@ -234,106 +238,107 @@
 }
 
 impl Succession {
-    /// Whether it lists now, given whether it watches.
+    /// Whether the daemon should list now. `watches` is whether it is a watcher.
     fn is_list_due(&mut self, watches: bool, now: Moment) -> bool {
         if !watches {
             *self = Self::default();
             return false;
         }
         let began = *self.began.get_or_insert(now);
-        !self.has_listed && (began + LIST_AS_SUCCESSOR).is_past(now)
+        !self.has_listed && (began + SUCCESSOR_LIST_DELAY).is_past(now)
     }
 }
 
-/// Lists a prefix and follows its changes for ever.
+/// Lists a prefix and watches its changes, forever.
 ///
-/// After a gap in the history, and after a watch that failed, it lists again at
-/// once: a watch opened while the store drops its history may bring nothing and
-/// wait its time out, and callers of a new route would get 404 for as long.
-async fn follow(gw: &Rc<Gateway>, prefix: Key, subject: &Subject) {
-    let failing = Cell::new(None::<Moment>);
-    let behind = Cell::new(None::<Moment>);
+/// After a gap in the history or a failed watch it lists again at once: a watch that is
+/// opened while the store drops its history may deliver nothing until it times out, and
+/// callers of a new route would get 404 in the meantime.
+async fn follow(gw: &Rc<Gateway>, prefix: Key, handler: &WatchHandler) {
+    let failing_since = Cell::new(None::<Moment>);
+    let stale_since = Cell::new(None::<Moment>);
     let mut must_list = true;
-    let mut rejoined = 0;
+    let mut reconnections = 0;
     let mut succession = Succession::default();
     loop {
-        // Guard: workers may have left while this daemon was cut off. The peers that
-        // knew may have gone as well, and those that started since do not know.
-        let relist = gw.rejoined.get() != std::mem::replace(&mut rejoined, gw.rejoined.get());
+        // Workers may have left while this daemon was isolated. The peers that noticed
+        // may be gone as well, and those that have started since do not know of it.
+        let relist =
+            gw.reconnections.get() != std::mem::replace(&mut reconnections, gw.reconnections.get());
         must_list |= relist;
-        // What a snapshot says is to be confirmed by the store, by each daemon
-        // itself: its peers may have nothing that it lacks, and say nothing.
-        let by_store = !gw.facts.borrow().is_from_snapshot();
-        let known = by_store && (subject.seen)(gw) > 0;
-        let leads = is_watcher(gw);
-        must_list |= succession.is_list_due(leads, gw.now());
-        if known && !relist && !leads && !is_stale(gw, &behind) {
-            // What a peer brings meanwhile is complete up to its revision.
+        // State from a snapshot must be confirmed by the store, by each daemon itself:
+        // if its peers know nothing that it lacks, it fetches nothing from them.
+        let is_confirmed = !gw.cluster_state.borrow().is_from_snapshot();
+        let known = is_confirmed && (handler.seen)(gw) > 0;
+        let is_elected = is_watcher(gw);
+        must_list |= succession.is_list_due(is_elected, gw.now());
+        if known && !relist && !is_elected && !is_stale(gw, &stale_since) {
+            // State fetched from a peer meanwhile is complete up to its revision.
             must_list = false;
-            sleep(CHECK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
             continue;
         }
         if must_list || !known {
             match gw.store.list(&prefix).await {
                 Ok((all, revision)) => {
-                    works(gw, &prefix, &failing);
-                    (subject.listed)(gw, &all, revision);
+                    note_recovery(gw, &prefix, &failing_since);
+                    (handler.listed)(gw, &all, revision);
                     must_list = false;
                     succession.has_listed = true;
                 }
                 Err(e) => {
-                    failed(gw, &prefix, &failing, &e);
-                    sleep(RETRY).await;
+                    note_failure(gw, &prefix, &failing_since, &e);
+                    sleep(RETRY_PAUSE).await;
                     continue;
                 }
             }
         }
-        let after = (subject.seen)(gw);
-        let watch = gw.store.watch(&prefix, after, WATCH_WAIT);
+        let after = (handler.seen)(gw);
+        let watch = gw.store.watch(&prefix, after, WATCH_TIMEOUT);
         let watched = tokio::select! {
             watched = watch => watched,
-            // The other prefix's watch has met the gap.
-            () = gw.history_gone.notified() => {
+            // The watch of the other prefix has found a gap in the history.
+            () = gw.history_compacted.notified() => {
                 must_list = true;
                 continue;
             }
         };
         match watched {
             Ok(Watched::Changes(changes)) => {
-                works(gw, &prefix, &failing);
-                let mut matters = false;
+                note_recovery(gw, &prefix, &failing_since);
+                let mut needs_apply = false;
                 for event in changes.events {
-                    matters |= (subject.changed)(gw, event);
+                    needs_apply |= (handler.changed)(gw, event);
                 }
-                if matters {
-                    (subject.settle)(gw);
+                if needs_apply {
+                    (handler.apply)(gw);
                 }
-                (subject.advance_to)(gw, changes.revision);
+                (handler.advance_to)(gw, changes.revision);
             }
             Ok(Watched::HistoryGone) => {
-                info!(target: "facts", prefix:% = prefix, after; "history gone, listing again");
-                gw.history_gone.notify_waiters();
+                info!(target: "facts", prefix:% = prefix, after; "history compacted, listing again");
+                gw.history_compacted.notify_waiters();
                 must_list = true;
             }
             Err(e) => {
-                failed(gw, &prefix, &failing, &e);
+                note_failure(gw, &prefix, &failing_since, &e);
                 must_list = true;
-                sleep(RETRY).await;
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-fn failed(gw: &Gateway, prefix: &Key, failing: &Cell<Option<Moment>>, e: &KvError) {
-    if failing.get().is_none() {
-        failing.set(Some(gw.now()));
+fn note_failure(gw: &Gateway, prefix: &Key, failing_since: &Cell<Option<Moment>>, e: &KvError) {
+    if failing_since.get().is_none() {
+        failing_since.set(Some(gw.now()));
         warn!(target: "facts", prefix:% = prefix, error:% = e; "store lost");
     }
 }
 
-/// Notes that the store answers.
-fn works(gw: &Gateway, prefix: &Key, failing: &Cell<Option<Moment>>) {
-    let Some(since) = failing.take() else {
+/// Logs that the store answers again, if calls had failed before.
+fn note_recovery(gw: &Gateway, prefix: &Key, failing_since: &Cell<Option<Moment>>) {
+    let Some(since) = failing_since.take() else {
         return;
     };
     let lasted = gw.now().since(since);
--- a/crates/bluebellreel_gateway/src/workers.rs
+++ b/crates/bluebellreel_gateway/src/workers.rs
@@ -1,4 +1,4 @@
-//! Applying what is known of workers to the board.
+//! Applies the known list of workers to the board.
 
 use crate::gateway::Gateway;
 use crate::jobs::preempt_batch_runs;
@@ -6,12 +6,13 @@
 use bluebellreel_types::WorkerName;
 use log::info;
 
-/// Applies changed workers to the board, whichever source they came from.
+/// Applies changes of the workers' list to the board, and logs them with the source
+/// that they came from.
 pub(crate) fn apply_workers(gw: &Gateway, source: &str) {
-    let facts = gw.facts.borrow();
-    let revision = facts.catalog.newest();
-    let changes = gw.board.borrow_mut().apply_catalog(&facts.catalog);
-    drop(facts);
+    let cluster_state = gw.cluster_state.borrow();
+    let revision = cluster_state.catalog.newest();
+    let changes = gw.board.borrow_mut().apply_catalog(&cluster_state.catalog);
+    drop(cluster_state);
     for (worker, change) in changes {
         match change {
             WorkerChange::Listed(state) => {
@@ -19,7 +20,7 @@
             }
             WorkerChange::Restarted(state) => {
                 info!(target: "facts", worker:% = worker, state:? = state, revision, source; "worker started again");
-                drop_former_life(gw, &worker);
+                drop_stale_connections(gw, &worker);
             }
             WorkerChange::Left => {
                 info!(target: "facts", worker:% = worker, revision, source; "worker gone");
@@ -30,9 +31,9 @@
     preempt_batch_runs(gw);
 }
 
-/// Drops the connections to a worker's former life, which lead nowhere, and wakes the
-/// runs that wait there.
-fn drop_former_life(gw: &Gateway, worker: &WorkerName) {
+/// Drops the idle connections to a worker's previous incarnation, which are dead, and
+/// wakes the runs that wait for an answer from it.
+fn drop_stale_connections(gw: &Gateway, worker: &WorkerName) {
     let address = gw
         .board
         .borrow()
