--- a/crates/bluebellreel_side/src/run.rs
+++ b/crates/bluebellreel_side/src/run.rs
@@ -7,7 +7,7 @@
 use crate::parts::{BackendOrder, Parts};
 use crate::rim;
 use crate::stop::{Look, Stop, Verdict};
-use bluebellreel_admission::{Admission, AdmissionLimits, Lean};
+use bluebellreel_admission::{Admission, AdmissionLimits, Priority};
 use bluebellreel_http::HttpServer;
 use bluebellreel_rpc::{SideCommand, SideNotice, run_side};
 use bluebellreel_settings::{SidePriority, SideSettings};
@@ -135,8 +135,8 @@
         queue_bytes: settings.queue_bytes,
         inter_token_target: settings.inter_token_target,
         lean: match settings.priority {
-            SidePriority::Throughput => Lean::Throughput,
-            SidePriority::Tail => Lean::Tail,
+            SidePriority::Throughput => Priority::Throughput,
+            SidePriority::Tail => Priority::Tail,
         },
         ..AdmissionLimits::default()
     }
