--- a/crates/bluebellreel_admission/src/batch_window.rs
+++ b/crates/bluebellreel_admission/src/batch_window.rs
@@ -6,7 +6,7 @@
 //! to keep is learned: a little above the best that this engine has shown, and
 //! never above the target of the settings.
 
-use crate::Lean;
+use crate::Priority;
 use bluebellreel_types::Moment;
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 pub struct BatchWindow {
     full: u32,
     beside_online: u32,
-    lean: Lean,
+    priority: Priority,
     best: Duration,
     forget_at: Moment,
     grow_at: Moment,
@@ -35,11 +35,11 @@
 impl BatchWindow {
     /// Starts with the whole window open.
     #[must_use]
-    pub fn new(full: u32, lean: Lean) -> Self {
+    pub fn new(full: u32, priority: Priority) -> Self {
         Self {
             full,
             beside_online: full / FIRST_SHARE,
-            lean,
+            priority,
             best: Duration::ZERO,
             forget_at: Moment(0),
             grow_at: Moment(0),
@@ -81,9 +81,9 @@
     /// The pace above which batch has to give way: what the deployment lets
     /// online pay for batch, in hundredths of the best pace.
     fn limit(&self) -> Duration {
-        let hundredths = match self.lean {
-            Lean::Throughput => 4,
-            Lean::Tail => 2,
+        let hundredths = match self.priority {
+            Priority::Throughput => 4,
+            Priority::Tail => 2,
         };
         self.best + self.best * hundredths / 100
     }
@@ -92,9 +92,9 @@
         if !self.cut_at.is_past(now) {
             return;
         }
-        let (kept, of) = match self.lean {
-            Lean::Throughput => (3, 4),
-            Lean::Tail => (1, 2),
+        let (kept, of) = match self.priority {
+            Priority::Throughput => (3, 4),
+            Priority::Tail => (1, 2),
         };
         self.beside_online = self.beside_online * kept / of;
         self.cut_at = now + CUT_PERIOD;
@@ -117,7 +117,7 @@
     const BEST: Duration = Duration::from_millis(10);
 
     fn window() -> BatchWindow {
-        let mut window = BatchWindow::new(32, Lean::Tail);
+        let mut window = BatchWindow::new(32, Priority::Tail);
         window.note_online_pace(BEST, BEST * 4, Moment(0));
         window
     }
--- a/crates/bluebellreel_admission/src/lib.rs
+++ b/crates/bluebellreel_admission/src/lib.rs
@@ -39,7 +39,7 @@
 pub use batch_window::BatchWindow;
 pub use event::{Effect, EngineEnd, Event};
 pub use ledger::{Ledger, LedgerEntry};
-pub use limits::{AdmissionLimits, Lean};
+pub use limits::{AdmissionLimits, Priority};
 pub use online_queue::{OnlineQueue, Queued};
 pub use pace::Pace;
 pub use start_pace::StartPace;
--- a/crates/bluebellreel_admission/src/limits.rs
+++ b/crates/bluebellreel_admission/src/limits.rs
@@ -4,7 +4,7 @@
 
 /// Which of the two measures a deployment puts first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Lean {
+pub enum Priority {
     /// Batch throughput first (the rental service).
     Throughput,
     /// The online tail first (the booking desk).
@@ -29,7 +29,7 @@
     /// Time between tokens that online streams should keep.
     pub inter_token_target: Duration,
     /// Which measure goes first.
-    pub lean: Lean,
+    pub priority: Priority,
 }
 
 impl Default for AdmissionLimits {
@@ -42,7 +42,7 @@
             ledger_bytes: 32 << 20,
             ledger_keep: Duration::from_mins(1),
             inter_token_target: Duration::from_millis(34),
-            lean: Lean::Throughput,
+            priority: Priority::Throughput,
         }
     }
 }
--- a/crates/bluebellreel_admission/src/state.rs
+++ b/crates/bluebellreel_admission/src/state.rs
@@ -68,7 +68,7 @@
     pub fn new(incarnation: Incarnation, limits: AdmissionLimits) -> Self {
         Self {
             incarnation,
-            batch_window: BatchWindow::new(limits.window, limits.lean),
+            batch_window: BatchWindow::new(limits.window, limits.priority),
             limits,
             running: BTreeMap::new(),
             queue: OnlineQueue::default(),
--- a/crates/bluebellreel_chunk/src/error.rs
+++ b/crates/bluebellreel_chunk/src/error.rs
@@ -11,7 +11,7 @@
     /// The volume is being moved, or was moved: the writer's view is old.
     Moved,
     /// A name that is none.
-    BadName,
+    InvalidName,
     /// The system's error.
     Io(io::Error),
 }
@@ -21,7 +21,7 @@
         match self {
             Self::Full => f.write_str("the disk is full"),
             Self::Moved => f.write_str("the volume is being moved"),
-            Self::BadName => f.write_str("not a chunk's name"),
+            Self::InvalidName => f.write_str("not a chunk's name"),
             Self::Io(e) => write!(f, "the disk failed: {e}"),
         }
     }
--- a/crates/bluebellreel_chunk/src/lib.rs
+++ b/crates/bluebellreel_chunk/src/lib.rs
@@ -25,4 +25,4 @@
 pub use error::StoreError;
 pub use name::{ChunkFolder, DiskId, VolumeId};
 pub use store::{ChunkName, ChunkStore, StoreLimits};
-pub use volume::{DiskSeat, VolumeRecord, copy_target, holders_for, is_writable};
+pub use volume::{DiskStatus, VolumeRecord, copy_target, holders_for, is_writable};
--- a/crates/bluebellreel_chunk/src/store.rs
+++ b/crates/bluebellreel_chunk/src/store.rs
@@ -137,7 +137,7 @@
 
     fn keep(&self, folder: &ChunkFolder, bytes: &[u8]) -> Result<String, StoreError> {
         let digest = content_digest(bytes);
-        let path = folder.path_in(&self.root).ok_or(StoreError::BadName)?;
+        let path = folder.path_in(&self.root).ok_or(StoreError::InvalidName)?;
         let name = path.join(&digest);
         if name.exists() {
             return Ok(digest);
@@ -180,9 +180,9 @@
     /// Gives the system's error.
     pub fn read(&self, folder: &ChunkFolder, digest: &str) -> Result<Option<Vec<u8>>, StoreError> {
         if !is_plain(digest) || digest.len() != DIGEST_LENGTH {
-            return Err(StoreError::BadName);
+            return Err(StoreError::InvalidName);
         }
-        let path = folder.path_in(&self.root).ok_or(StoreError::BadName)?;
+        let path = folder.path_in(&self.root).ok_or(StoreError::InvalidName)?;
         let name = path.join(digest);
         let bytes = match fs::read(&name) {
             Ok(bytes) => bytes,
@@ -246,7 +246,7 @@
     ///
     /// Gives the system's error.
     pub fn remove(&self, folder: &ChunkFolder) -> Result<(), StoreError> {
-        let path = folder.path_in(&self.root).ok_or(StoreError::BadName)?;
+        let path = folder.path_in(&self.root).ok_or(StoreError::InvalidName)?;
         let mut freed = 0;
         for name in names_in(&path)? {
             freed += fs::metadata(path.join(name))?.len();
--- a/crates/bluebellreel_chunk/src/volume.rs
+++ b/crates/bluebellreel_chunk/src/volume.rs
@@ -34,7 +34,7 @@
 
 /// A disk as others see it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DiskSeat {
+pub struct DiskStatus {
     /// The daemon before it.
     pub address: SocketAddr,
     /// Where it stands.
@@ -50,12 +50,12 @@
 /// The best live disk for a volume that is not excluded.
 fn best(
     volume: VolumeId,
-    disks: &BTreeMap<DiskId, DiskSeat>,
-    fits: impl Fn(&DiskId, &DiskSeat) -> bool,
+    disks: &BTreeMap<DiskId, DiskStatus>,
+    fits: impl Fn(&DiskId, &DiskStatus) -> bool,
 ) -> Option<&DiskId> {
     disks
         .iter()
-        .filter(|(id, seat)| seat.gone_since.is_none() && fits(id, seat))
+        .filter(|(id, disk_status)| disk_status.gone_since.is_none() && fits(id, disk_status))
         .max_by_key(|(id, _)| rank(volume, id))
         .map(|(id, _)| id)
 }
@@ -63,20 +63,22 @@
 /// Holders for a new volume: two live disks in two data centres, ranked by the
 /// volume so that volumes spread over all disks. None with too few disks.
 #[must_use]
-pub fn holders_for(volume: VolumeId, disks: &BTreeMap<DiskId, DiskSeat>) -> Option<[DiskId; 2]> {
+pub fn holders_for(volume: VolumeId, disks: &BTreeMap<DiskId, DiskStatus>) -> Option<[DiskId; 2]> {
     let first = best(volume, disks, |_, _| true)?;
     let here = &disks[first].data_centre;
-    let second = best(volume, disks, |_, seat| seat.data_centre != *here)?;
+    let second = best(volume, disks, |_, disk_status| {
+        disk_status.data_centre != *here
+    })?;
     Some([first.clone(), second.clone()])
 }
 
 /// Whether a volume takes writes: both holders are there.
 #[must_use]
-pub fn is_writable(record: &VolumeRecord, disks: &BTreeMap<DiskId, DiskSeat>) -> bool {
+pub fn is_writable(record: &VolumeRecord, disks: &BTreeMap<DiskId, DiskStatus>) -> bool {
     let live = |id| {
         disks
             .get(id)
-            .is_some_and(|seat: &DiskSeat| seat.gone_since.is_none())
+            .is_some_and(|disk_status: &DiskStatus| disk_status.gone_since.is_none())
     };
     record.holders.iter().all(live)
 }
@@ -86,7 +88,7 @@
 #[must_use]
 pub fn copy_target(
     record: &VolumeRecord,
-    disks: &BTreeMap<DiskId, DiskSeat>,
+    disks: &BTreeMap<DiskId, DiskStatus>,
     me: &DiskId,
     grace: Duration,
     now: Moment,
@@ -104,8 +106,8 @@
         return None;
     }
     let here = &disks.get(me)?.data_centre;
-    let to = best(record.id, disks, |id, seat| {
-        id != me && seat.data_centre != *here
+    let to = best(record.id, disks, |id, disk_status| {
+        id != me && disk_status.data_centre != *here
     })?;
     Some((partner.clone(), to.clone()))
 }
--- a/crates/bluebellreel_chunk/tests/store.rs
+++ b/crates/bluebellreel_chunk/tests/store.rs
@@ -107,8 +107,8 @@
     for bad in ["..", "a/b", "", "a\0"] {
         let place = ChunkFolder::new(VolumeId(1), bad, "upload");
         let written = store.write(&place, 1, b"x");
-        assert!(matches!(written, Err(StoreError::BadName)), "{bad:?}");
+        assert!(matches!(written, Err(StoreError::InvalidName)), "{bad:?}");
     }
     let read = store.read(&folder(1), "../disk-id");
-    assert!(matches!(read, Err(StoreError::BadName)));
+    assert!(matches!(read, Err(StoreError::InvalidName)));
 }
--- a/crates/bluebellreel_chunk/tests/volumes.rs
+++ b/crates/bluebellreel_chunk/tests/volumes.rs
@@ -1,7 +1,7 @@
 //! Who holds a volume, under any course of VMs that leave and come.
 
 use bluebellreel_chunk::{
-    DiskId, DiskSeat, VolumeId, VolumeRecord, copy_target, holders_for, is_writable,
+    DiskId, DiskStatus, VolumeId, VolumeRecord, copy_target, holders_for, is_writable,
 };
 use bluebellreel_types::{DataCentre, Moment};
 use proptest::prelude::*;
@@ -17,17 +17,17 @@
     DiskId(Arc::from(format!("disk-{number}")))
 }
 
-fn seat(number: usize) -> DiskSeat {
-    DiskSeat {
+fn disk_status(number: usize) -> DiskStatus {
+    DiskStatus {
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
         data_centre: DataCentre::from(format!("dc-{}", number % 3)),
         gone_since: None,
     }
 }
 
-fn seats(count: usize) -> BTreeMap<DiskId, DiskSeat> {
+fn disk_statuses(count: usize) -> BTreeMap<DiskId, DiskStatus> {
     (0..count)
-        .map(|number| (disk(number), seat(number)))
+        .map(|number| (disk(number), disk_status(number)))
         .collect()
 }
 
@@ -38,7 +38,7 @@
 
 #[test]
 fn volumes_spread_over_all_disks_in_two_data_centres_each() {
-    let disks = seats(6);
+    let disks = disk_statuses(6);
     let mut held: BTreeMap<DiskId, u32> = BTreeMap::new();
     for number in 0..64 {
         let [one, other] = holders_for(VolumeId(number), &disks).expect("enough disks");
@@ -51,20 +51,20 @@
 
 #[test]
 fn one_data_centre_is_not_enough() {
-    let mut disks = seats(2);
-    for seat in disks.values_mut() {
-        seat.data_centre = DataCentre::from("Sligo");
+    let mut disks = disk_statuses(2);
+    for disk_status in disks.values_mut() {
+        disk_status.data_centre = DataCentre::from("Sligo");
     }
     assert_eq!(holders_for(VolumeId(1), &disks), None);
 }
 
 #[test]
 fn only_the_holder_that_is_left_copies_and_only_after_a_while() {
-    let mut disks = seats(3);
+    let mut disks = disk_statuses(3);
     let volume = record([disk(0), disk(1)]);
     let gone = Moment(0) + Duration::from_secs(100);
-    if let Some(seat) = disks.get_mut(&disk(1)) {
-        seat.gone_since = Some(gone);
+    if let Some(disk_status) = disks.get_mut(&disk(1)) {
+        disk_status.gone_since = Some(gone);
     }
     let at = |me: usize, now| copy_target(&volume, &disks, &disk(me), GRACE, now);
     assert!(!is_writable(&volume, &disks));
@@ -88,13 +88,13 @@
     };
     let steps = proptest::collection::vec((0_usize..5, any::<bool>()), 0..60);
     let run = TestRunner::new(config).run(&steps, |steps| {
-        let mut disks = seats(5);
+        let mut disks = disk_statuses(5);
         let mut volume = record(holders_for(VolumeId(1), &disks).expect("enough disks"));
         let mut now = Moment(1_000_000);
         for (number, leaves) in steps {
             now = now + GRACE;
-            if let Some(seat) = disks.get_mut(&disk(number)) {
-                seat.gone_since = leaves.then_some(now);
+            if let Some(disk_status) = disks.get_mut(&disk(number)) {
+                disk_status.gone_since = leaves.then_some(now);
             }
             now = now + GRACE;
             for me in 0..5 {
--- a/crates/bluebellreel_claim/src/lib.rs
+++ b/crates/bluebellreel_claim/src/lib.rs
@@ -15,4 +15,4 @@
 mod resolve;
 
 pub use record::{ClaimRecord, ClaimState};
-pub use resolve::{Resend, decide, state_after_verdict};
+pub use resolve::{ResendAction, resend_action, state_after_verdict};
--- a/crates/bluebellreel_claim/src/record.rs
+++ b/crates/bluebellreel_claim/src/record.rs
@@ -67,7 +67,7 @@
 
     /// The record with another state.
     #[must_use]
-    pub fn in_state(&self, state: ClaimState) -> Self {
+    pub fn with_state(&self, state: ClaimState) -> Self {
         Self {
             state,
             ..self.clone()
--- a/crates/bluebellreel_claim/src/resolve.rs
+++ b/crates/bluebellreel_claim/src/resolve.rs
@@ -6,7 +6,7 @@
 
 /// What a resend of a claimed call may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Resend {
+pub enum ResendAction {
     /// The first one surely did not run: this one may.
     MayRun,
     /// The caller is told what is recorded.
@@ -17,12 +17,12 @@
 
 /// Decides what a resend may do.
 #[must_use]
-pub fn decide(state: &ClaimState) -> Resend {
+pub fn resend_action(state: &ClaimState) -> ResendAction {
     match state {
-        ClaimState::NotRun => Resend::MayRun,
-        ClaimState::Pending => Resend::AskSide,
+        ClaimState::NotRun => ResendAction::MayRun,
+        ClaimState::Pending => ResendAction::AskSide,
         ClaimState::Completed { .. } | ClaimState::Rejected { .. } | ClaimState::Unknown => {
-            Resend::ReadRecorded
+            ResendAction::ReadRecorded
         }
     }
 }
--- a/crates/bluebellreel_entry/src/data/access.rs
+++ b/crates/bluebellreel_entry/src/data/access.rs
@@ -243,8 +243,11 @@
 
     fn address_of(&self, disk: &DiskId) -> Option<SocketAddr> {
         let places = self.places.read().ok()?;
-        let seat = places.disks.get(disk)?;
-        seat.gone_since.is_none().then_some(seat.address)
+        let disk_status = places.disks.get(disk)?;
+        disk_status
+            .gone_since
+            .is_none()
+            .then_some(disk_status.address)
     }
 
     /// The volume's holders that are there, but for this daemon's own disk.
--- a/crates/bluebellreel_entry/src/data/keeper.rs
+++ b/crates/bluebellreel_entry/src/data/keeper.rs
@@ -97,7 +97,7 @@
     let live = places
         .disks
         .values()
-        .filter(|seat| seat.gone_since.is_none());
+        .filter(|status| status.gone_since.is_none());
     let live = u32::try_from(live.count()).ok()?;
     let wanted = (0..live * VOLUMES_PER_DISK).map(VolumeId);
     let missing = wanted.filter(|id| !places.volumes.contains_key(id));
@@ -146,10 +146,10 @@
 }
 
 fn copy_all(data: &ChunkAccess, own: &ChunkStore, moving: &Move) -> bool {
-    let seat = data
+    let status = data
         .places()
         .and_then(|places| places.disks.get(&moving.to).cloned());
-    let Some(seat) = seat else { return false };
+    let Some(status) = status else { return false };
     let id = moving.volume.record.id;
     let chunks = match own.chunks_of(id) {
         Ok(chunks) => chunks,
@@ -158,7 +158,9 @@
             return false;
         }
     };
-    let all = chunks.iter().all(|chunk| data.copy_to(seat.address, chunk));
+    let all = chunks
+        .iter()
+        .all(|chunk| data.copy_to(status.address, chunk));
     if !all {
         log::warn!(target: "data", volume:% = id, to:% = moving.to; "A volume could not be copied yet.");
     }
--- a/crates/bluebellreel_entry/src/data/places.rs
+++ b/crates/bluebellreel_entry/src/data/places.rs
@@ -1,7 +1,7 @@
 //! What a daemon knows of volumes and disks.
 
 use crate::platform::EntryRecord;
-use bluebellreel_chunk::{DiskId, DiskSeat, VolumeId, VolumeRecord, is_writable};
+use bluebellreel_chunk::{DiskId, DiskStatus, VolumeId, VolumeRecord, is_writable};
 use bluebellreel_types::{EntryName, Moment};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Places {
     pub(crate) volumes: BTreeMap<VolumeId, KnownVolume>,
-    pub(crate) disks: BTreeMap<DiskId, DiskSeat>,
+    pub(crate) disks: BTreeMap<DiskId, DiskStatus>,
     daemons: BTreeMap<EntryName, DiskId>,
     full_until: BTreeMap<DiskId, Moment>,
 }
@@ -57,12 +57,12 @@
         }
         if let Some(disk) = &record.disk {
             self.daemons.insert(record.name.clone(), disk.clone());
-            let seat = DiskSeat {
+            let disk_status = DiskStatus {
                 address: record.address,
                 data_centre: record.data_centre.clone(),
                 gone_since: None,
             };
-            self.disks.insert(disk.clone(), seat);
+            self.disks.insert(disk.clone(), disk_status);
         }
     }
 
@@ -74,8 +74,8 @@
     }
 
     fn note_disk_gone(&mut self, disk: &DiskId, now: Moment) {
-        if let Some(seat) = self.disks.get_mut(disk) {
-            seat.gone_since.get_or_insert(now);
+        if let Some(disk_status) = self.disks.get_mut(disk) {
+            disk_status.gone_since.get_or_insert(now);
         }
     }
 
@@ -88,12 +88,12 @@
             .cloned()
             .collect();
         for disk in unseen {
-            let seat = DiskSeat {
+            let disk_status = DiskStatus {
                 address: SocketAddr::from(([0, 0, 0, 0], 0)),
                 data_centre: "".into(),
                 gone_since: Some(now),
             };
-            self.disks.insert(disk, seat);
+            self.disks.insert(disk, disk_status);
         }
     }
 
@@ -122,8 +122,8 @@
         let mut summary = VolumesSummary::default();
         for known in self.volumes.values() {
             let live = |disk| {
-                let seat = self.disks.get(disk);
-                seat.is_some_and(|seat: &DiskSeat| seat.gone_since.is_none())
+                let disk_status = self.disks.get(disk);
+                disk_status.is_some_and(|disk_status: &DiskStatus| disk_status.gone_since.is_none())
             };
             summary.volumes += 1;
             match known
--- a/crates/bluebellreel_entry/src/fleet/part.rs
+++ b/crates/bluebellreel_entry/src/fleet/part.rs
@@ -3,7 +3,7 @@
 use crate::fleet::messages::{DrainOrder, FleetMessage, FleetSummary};
 use crate::parts::Parts;
 use bluebellreel_fleet::{
-    AcceptedManifest, Applied, LoadOrder, LoadedModel, Manifest, Matcher, WorkerView,
+    AcceptedManifest, AppliedManifest, LoadOrder, LoadedModel, Manifest, Matcher, WorkerView,
 };
 use bluebellreel_rpc::{EntryCommand, EntryNotice};
 use bluebellreel_types::{
@@ -36,7 +36,7 @@
 /// Brings manifests into force.
 pub(crate) struct FleetPart {
     parts: Parts,
-    applied: Applied,
+    applied: AppliedManifest,
     shared: SharedManifest,
     workers: BTreeMap<WorkerName, KnownWorker>,
     drains: BTreeMap<WorkerName, DrainOrder>,
@@ -62,7 +62,7 @@
     pub(crate) fn new(parts: Parts, shared: SharedManifest) -> Self {
         Self {
             parts,
-            applied: Applied::default(),
+            applied: AppliedManifest::default(),
             shared,
             workers: BTreeMap::new(),
             drains: BTreeMap::new(),
--- a/crates/bluebellreel_entry/src/http/requests.rs
+++ b/crates/bluebellreel_entry/src/http/requests.rs
@@ -113,7 +113,7 @@
     let Some(state) = state else {
         return record;
     };
-    let settled = record.in_state(state);
+    let settled = record.with_state(state);
     if !record_state(kv, &settled, revision, kv.now() + RECORD_TIME) {
         return record;
     }
--- a/crates/bluebellreel_entry/src/jobs/part.rs
+++ b/crates/bluebellreel_entry/src/jobs/part.rs
@@ -9,7 +9,9 @@
 use crate::message::Message;
 use crate::parts::Parts;
 use crate::platform::EntryRecord;
-use bluebellreel_job::{Board, BoardLimits, ItemEnd, ItemLease, JobEffect, JobRecord, OwnedJob};
+use bluebellreel_job::{
+    ItemEnd, ItemLease, JobEffect, JobRecord, JobScheduler, OwnedJob, SchedulerLimits,
+};
 use bluebellreel_rpc::{EntryCommand, EntryNotice};
 use bluebellreel_types::{
     Class, Dispatch, EntryName, Incarnation, JobId, ModelName, Moment, TraceContext, WorkerName,
@@ -37,7 +39,7 @@
 /// Owns jobs.
 pub(crate) struct JobsPart {
     parts: Parts,
-    board: Board,
+    scheduler: JobScheduler,
     index: JobIndex,
     pullers: BTreeMap<WorkerName, Puller>,
     claim_seqs: HashMap<JobId, u64>,
@@ -52,7 +54,7 @@
     pub(crate) fn new(parts: Parts) -> Self {
         Self {
             parts,
-            board: Board::new(BoardLimits::default()),
+            scheduler: JobScheduler::new(SchedulerLimits::default()),
             index: JobIndex::default(),
             pullers: BTreeMap::new(),
             claim_seqs: HashMap::new(),
@@ -77,12 +79,12 @@
         self.offer_all(now);
         if self.tidy_at.is_past(now) {
             self.tidy_at = now + TIDY_PERIOD;
-            self.board.tidy(now);
+            self.scheduler.remove_stale_entries(now);
         }
         let metrics = &self.parts.metrics;
-        let owned = i64::try_from(self.board.jobs.len()).unwrap_or(i64::MAX);
+        let owned = i64::try_from(self.scheduler.jobs.len()).unwrap_or(i64::MAX);
         metrics.jobs_owned.set(owned);
-        let waiting = self.board.unrecorded_bytes();
+        let waiting = self.scheduler.unrecorded_bytes();
         let waiting = i64::try_from(waiting).unwrap_or(i64::MAX);
         metrics.unrecorded_bytes.set(waiting);
     }
@@ -94,14 +96,14 @@
     /// Hands out nothing new from now on.
     pub(crate) fn stop(&mut self) {
         self.stopping = true;
-        for job in self.board.jobs.values_mut() {
+        for job in self.scheduler.jobs.values_mut() {
             job.hand_over();
         }
     }
 
     /// Whether all that is out has come back and been recorded.
     pub(crate) fn is_idle(&self) -> bool {
-        self.board.jobs.values().all(OwnedJob::is_handed_over)
+        self.scheduler.jobs.values().all(OwnedJob::is_handed_over)
     }
 
     /// Models and services that waiting items need.
@@ -109,12 +111,12 @@
         if self.stopping {
             return BTreeSet::new();
         }
-        self.board.waiting_models()
+        self.scheduler.waiting_models()
     }
 
     /// Workers that hold items of this daemon's jobs.
     pub(crate) fn busy_workers(&self) -> BTreeSet<WorkerName> {
-        self.board.holders()
+        self.scheduler.holders()
     }
 
     pub(crate) fn on_entry_seen(&mut self, record: EntryRecord) {
@@ -140,7 +142,7 @@
             }
             EntryNotice::Lost(worker) => {
                 if self.pullers.remove(&worker).is_some() {
-                    for job in self.board.jobs.values_mut() {
+                    for job in self.scheduler.jobs.values_mut() {
                         job.lose_worker(&worker, now);
                     }
                 }
@@ -157,12 +159,12 @@
             } => self.pull(&worker, room, answer, now),
             EntryNotice::Reports { reports, .. } => {
                 for report in reports {
-                    self.board.report(report.attempt, report.end, now);
+                    self.scheduler.report(report.attempt, report.end, now);
                 }
                 self.poll_all(now);
             }
             EntryNotice::Verdict { attempt, verdict } => {
-                for job in self.board.jobs.values_mut() {
+                for job in self.scheduler.jobs.values_mut() {
                     job.note_verdict(attempt, verdict.clone(), now);
                 }
             }
@@ -205,7 +207,7 @@
             JobsMessage::Closed { id, epoch, write } => {
                 if write == JobWrite::Done {
                     log::info!(target: "jobs", job:% = id; "Job ended.");
-                    self.board.jobs.remove(&id);
+                    self.scheduler.jobs.remove(&id);
                 } else {
                     self.note_write(&id, epoch, write, now, |_| ());
                 }
@@ -243,7 +245,7 @@
     }
 
     fn owned(&mut self, id: &JobId, epoch: u64) -> Option<&mut OwnedJob> {
-        let job = self.board.jobs.get_mut(id)?;
+        let job = self.scheduler.jobs.get_mut(id)?;
         (job.record.epoch == epoch).then_some(job)
     }
 
@@ -267,7 +269,7 @@
 
     fn poll_all(&mut self, now: Moment) {
         let mut todo = Vec::new();
-        for (id, job) in &mut self.board.jobs {
+        for (id, job) in &mut self.scheduler.jobs {
             let effects = job.poll(now);
             if !effects.is_empty() {
                 todo.push((id.clone(), job.record.clone(), job.revision, effects));
@@ -327,7 +329,7 @@
             JobEffect::Withdraw { worker, attempts } => {
                 self.parts.send(EntryCommand::Withdraw { worker, attempts });
             }
-            JobEffect::Ask {
+            JobEffect::QueryAttempt {
                 worker,
                 incarnation,
                 attempt,
@@ -364,8 +366,8 @@
                 self.parts.send(EntryCommand::Cancel { worker, attempt });
             }
             Some(_) => {
-                if let Some(job) = self.board.jobs.get_mut(id) {
-                    job.note_untellable(attempt, now);
+                if let Some(job) = self.scheduler.jobs.get_mut(id) {
+                    job.note_outcome_lost(attempt, now);
                 }
             }
             None => {}
@@ -378,7 +380,7 @@
             .jobs
             .values()
             .filter(|job| job.record.deadline.is_past(now));
-        let owned = self.board.jobs.values().map(|job| OwnedSummary {
+        let owned = self.scheduler.jobs.values().map(|job| OwnedSummary {
             id: job.record.id.clone(),
             team: job.record.team.clone(),
             items: job.record.items,
@@ -392,7 +394,7 @@
             owned: owned.collect(),
             orphaned: self.index.orphaned(),
             late: late.count(),
-            unrecorded_bytes: self.board.unrecorded_bytes(),
+            unrecorded_bytes: self.scheduler.unrecorded_bytes(),
         }
     }
 }
--- a/crates/bluebellreel_entry/src/jobs/part/handout.rs
+++ b/crates/bluebellreel_entry/src/jobs/part/handout.rs
@@ -4,19 +4,19 @@
 use crate::jobs::messages::{ClaimedPart, JobWrite, JobsMessage, PendingPull};
 use crate::jobs::store;
 use crate::message::Message;
-use bluebellreel_job::Handout;
+use bluebellreel_job::JobLeases;
 use bluebellreel_rpc::{EntryCommand, PullAnswer};
 use bluebellreel_types::{Dispatch, Moment, WorkerName};
 
 impl JobsPart {
     pub(super) fn pull(&mut self, worker: &WorkerName, room: u32, answer: PullAnswer, now: Moment) {
-        let handouts = match self.pullers.get_mut(worker) {
+        let leased_jobs = match self.pullers.get_mut(worker) {
             Some(puller) if !self.stopping => {
                 puller.offered = 0;
                 puller.offer_at = now;
                 let room = usize::try_from(room).unwrap_or(0);
                 let run = puller.incarnation;
-                self.board.pull(room, worker, run, &puller.models, now)
+                self.scheduler.pull(room, worker, run, &puller.models, now)
             }
             _ => Vec::new(),
         };
@@ -30,9 +30,9 @@
             ready: Vec::new(),
             claimed: Vec::new(),
         };
-        for Handout { job, leases } in handouts {
+        for JobLeases { job, leases } in leased_jobs {
             let dispatches = leases.iter().map(|lease| dispatch_of(lease, run)).collect();
-            if self.board.jobs[&job].repeatable {
+            if self.scheduler.jobs[&job].repeatable {
                 pull.ready.extend(dispatches);
             } else {
                 pull.claimed.push(ClaimedPart { job, dispatches });
@@ -51,7 +51,7 @@
     pub(super) fn write_claims(&mut self, pull: PendingPull) {
         let mut writes = Vec::new();
         for part in &pull.claimed {
-            let Some(job) = self.board.jobs.get(&part.job) else {
+            let Some(job) = self.scheduler.jobs.get(&part.job) else {
                 continue;
             };
             let seq = self.claim_seqs.entry(part.job.clone()).or_default();
@@ -85,7 +85,7 @@
             }
         }
         // A job may have been cancelled, or taken over, while the claims were written.
-        let jobs = &self.board.jobs;
+        let jobs = &self.scheduler.jobs;
         let is_held = |d: &Dispatch| jobs.values().any(|job| job.holds(d.attempt.request));
         pull.ready.retain(is_held);
         answer_pull(pull);
@@ -94,7 +94,7 @@
     /// The claim's fate is open, but nothing was sent: the items stay claimed
     /// by attempts that will never run, and are claimed anew later.
     pub(super) fn release(&mut self, part: &ClaimedPart) {
-        if let Some(job) = self.board.jobs.get_mut(&part.job) {
+        if let Some(job) = self.scheduler.jobs.get_mut(&part.job) {
             for dispatch in &part.dispatches {
                 job.release(dispatch.attempt);
             }
@@ -107,7 +107,7 @@
             return;
         }
         for (worker, puller) in &mut self.pullers {
-            let waiting = self.board.waiting(&puller.models);
+            let waiting = self.scheduler.waiting(&puller.models);
             let rises = puller.offered == 0 && waiting > 0;
             if !(rises || waiting > 0 && puller.offer_at.is_past(now)) {
                 continue;
--- a/crates/bluebellreel_entry/src/jobs/part/ownership.rs
+++ b/crates/bluebellreel_entry/src/jobs/part/ownership.rs
@@ -18,7 +18,7 @@
         let me = self.parts.settings.name.clone();
         let run = self.parts.run;
         let holds = |id: &JobId| {
-            let is_open = self.board.jobs.contains_key(id);
+            let is_open = self.scheduler.jobs.contains_key(id);
             is_open || self.opening.contains(id) || self.reopen_at.contains_key(id)
         };
         for (record, revision) in self.index.due((&me, run), holds, now) {
@@ -107,11 +107,11 @@
             &opened.recorded,
             &opened.claims,
         );
-        self.board.jobs.insert(id, job);
+        self.scheduler.jobs.insert(id, job);
     }
 
     pub(super) fn drop_job(&mut self, id: &JobId) {
-        let Some(mut job) = self.board.jobs.remove(id) else {
+        let Some(mut job) = self.scheduler.jobs.remove(id) else {
             return;
         };
         log::info!(target: "jobs", job:% = id; "Job is no longer ours.");
@@ -172,7 +172,7 @@
         let id = record.id.clone();
         self.index.put(record, revision);
         let outdated = self
-            .board
+            .scheduler
             .jobs
             .get(&id)
             .is_some_and(|job| job.revision < revision);
--- a/crates/bluebellreel_experiment/src/scenario.rs
+++ b/crates/bluebellreel_experiment/src/scenario.rs
@@ -1,6 +1,6 @@
 //! What an experiment does.
 
-use bluebellreel_admission::Lean;
+use bluebellreel_admission::Priority;
 use bluebellreel_standins::EngineCosts;
 use bluebellreel_types::Moment;
 use serde::Deserialize;
@@ -188,7 +188,7 @@
     /// Its name.
     pub name: String,
     /// Which measure goes first.
-    pub lean: Lean,
+    pub priority: Priority,
     /// How long it lasts.
     pub length: Duration,
     /// Seed of all that is random.
@@ -242,9 +242,9 @@
 
     fn try_from(text: &str) -> Result<Self, String> {
         let raw: RawScenario = toml::from_str(text).map_err(|e| e.message().to_owned())?;
-        let (lean, workers, online_per_worker) = match raw.deployment.as_str() {
-            "rental" => (Lean::Throughput, 12, 48),
-            "booking-desk" => (Lean::Tail, 9, 32),
+        let (priority, workers, online_per_worker) = match raw.deployment.as_str() {
+            "rental" => (Priority::Throughput, 12, 48),
+            "booking-desk" => (Priority::Tail, 9, 32),
             other => return Err(format!("deployment: {other:?} is none of ours")),
         };
         if raw.seconds <= 0.0 || raw.seconds > LONGEST_S {
@@ -264,7 +264,7 @@
         };
         Ok(Self {
             name: raw.name,
-            lean,
+            priority,
             length: Duration::from_secs_f64(raw.seconds),
             seed: raw.seed,
             workers: if raw.workers == 0 {
--- a/crates/bluebellreel_fleet/src/generation.rs
+++ b/crates/bluebellreel_fleet/src/generation.rs
@@ -20,11 +20,11 @@
 /// or a message that was delayed may bring an older manifest after a newer one.
 /// Only a higher generation is ever applied.
 #[derive(Clone, Debug, Default)]
-pub struct Applied {
+pub struct AppliedManifest {
     current: Option<AcceptedManifest>,
 }
 
-impl Applied {
+impl AppliedManifest {
     /// The manifest in force.
     #[must_use]
     pub fn current(&self) -> Option<&AcceptedManifest> {
@@ -63,7 +63,7 @@
     /// comes back and offers what it still has. The change must not revert.
     #[test]
     fn older_generation_never_comes_back() {
-        let mut applied = Applied::default();
+        let mut applied = AppliedManifest::default();
         assert!(applied.offer(accepted(7)));
         assert!(!applied.offer(accepted(6)));
         assert!(!applied.offer(accepted(7)));
--- a/crates/bluebellreel_fleet/src/lib.rs
+++ b/crates/bluebellreel_fleet/src/lib.rs
@@ -14,6 +14,6 @@
 mod manifest;
 mod matcher;
 
-pub use generation::{AcceptedManifest, Applied};
+pub use generation::{AcceptedManifest, AppliedManifest};
 pub use manifest::{Manifest, ManifestError, ModelSpec, RepeatableCall, ServiceSpec, TeamSpec};
 pub use matcher::{LoadOrder, LoadedModel, Matcher, WorkerView};
--- a/crates/bluebellreel_job/benches/handout.rs
+++ b/crates/bluebellreel_job/benches/handout.rs
@@ -1,8 +1,8 @@
 //! What a job owner's decisions cost: items handed out, reported and recorded.
 
 use bluebellreel_job::{
-    Board, BoardLimits, ChunkRef, JobCounts, JobEffect, JobLimits, JobRecord, JobState, JobTarget,
-    OwnedJob,
+    ChunkRef, JobCounts, JobEffect, JobLimits, JobRecord, JobScheduler, JobState, JobTarget,
+    OwnedJob, SchedulerLimits,
 };
 use bluebellreel_types::{
     AttemptEnd, EntryName, Incarnation, JobId, ModelName, Moment, TeamName, WorkerName,
@@ -66,16 +66,16 @@
     }
 }
 
-fn board(jobs: usize) -> Board {
-    let mut board = Board::new(BoardLimits::default());
+fn scheduler(jobs: usize) -> JobScheduler {
+    let mut scheduler = JobScheduler::new(SchedulerLimits::default());
     for number in 0..jobs {
         let record = record(number);
         let id = record.id.clone();
         let mut job = OwnedJob::open(record, 1, true, JobLimits::default(), &[], &[]);
         carry_out(&mut job, Moment(1));
-        board.jobs.insert(id, job);
+        scheduler.jobs.insert(id, job);
     }
-    board
+    scheduler
 }
 
 fn completed() -> AttemptEnd {
@@ -91,16 +91,16 @@
     let models = BTreeSet::from([ModelName::from("m")]);
     let worker = WorkerName::from("w");
     for jobs in [1, 13, 130] {
-        let mut fresh = board(jobs);
+        let mut fresh = scheduler(jobs);
         let mut now = Moment(1);
         group.bench_function(BenchmarkId::from_parameter(jobs), |b| {
             b.iter(|| {
                 now = now + Duration::from_micros(10);
-                let handouts = fresh.pull(ROOM, &worker, Incarnation(1), &models, now);
-                if handouts.is_empty() {
-                    fresh = board(jobs);
+                let leased_jobs = fresh.pull(ROOM, &worker, Incarnation(1), &models, now);
+                if leased_jobs.is_empty() {
+                    fresh = scheduler(jobs);
                 }
-                for lease in handouts.iter().flat_map(|handout| &handout.leases) {
+                for lease in leased_jobs.iter().flat_map(|handout| &handout.leases) {
                     fresh.report(lease.attempt, completed(), now);
                 }
                 for job in fresh.jobs.values_mut() {
--- a/crates/bluebellreel_job/src/lib.rs
+++ b/crates/bluebellreel_job/src/lib.rs
@@ -20,14 +20,13 @@
 //! assert_eq!(input.items.len(), 1);
 //! ```
 
-mod board;
 mod input;
 mod lease;
 mod owned;
 mod record;
+mod scheduler;
 mod share;
 
-pub use board::{Board, BoardLimits, Handout};
 pub use input::{InputChunk, InputError, InputItem, InputReader, JobInput, JobTarget, custom_ids};
 pub use lease::{ItemLease, LeaseState};
 pub use owned::{JobEffect, JobLimits, OwnedJob};
@@ -35,4 +34,5 @@
     ChunkRef, ClaimChunk, ClaimedItem, HeldChunk, ItemEnd, ItemResult, JobCounts, JobRecord,
     JobState, ResultChunk,
 };
+pub use scheduler::{JobLeases, JobScheduler, SchedulerLimits};
 pub use share::TeamShares;
--- a/crates/bluebellreel_job/src/owned.rs
+++ b/crates/bluebellreel_job/src/owned.rs
@@ -92,7 +92,7 @@
         attempts: Vec<AttemptId>,
     },
     /// Ask a side process what became of an unrepeatable attempt.
-    Ask {
+    QueryAttempt {
         /// The worker.
         worker: WorkerName,
         /// The run of its side process.
--- a/crates/bluebellreel_job/src/owned/poll.rs
+++ b/crates/bluebellreel_job/src/owned/poll.rs
@@ -52,7 +52,7 @@
         }
         self.ask_at = now + ASK_PAUSE;
         for (request, lease) in self.leases.iter().filter(|(_, lease)| lease.in_doubt) {
-            effects.push(JobEffect::Ask {
+            effects.push(JobEffect::QueryAttempt {
                 worker: lease.worker.clone(),
                 incarnation: lease.incarnation,
                 attempt: AttemptId {
--- a/crates/bluebellreel_job/src/owned/report.rs
+++ b/crates/bluebellreel_job/src/owned/report.rs
@@ -183,7 +183,7 @@
         let may_be_forgotten = (lease.until + NEVER_SEEN_BELIEVED).is_past(now);
         match verdict {
             AttemptVerdict::Running => {}
-            AttemptVerdict::NeverSeen if may_be_forgotten => self.note_untellable(attempt, now),
+            AttemptVerdict::NeverSeen if may_be_forgotten => self.note_outcome_lost(attempt, now),
             AttemptVerdict::NeverSeen => {
                 let end = AttemptEnd::NotRun(NotRunReason::Cancelled);
                 self.report(attempt, end, now);
@@ -193,7 +193,7 @@
     }
 
     /// The run of the side process that could have told is over for good.
-    pub fn note_untellable(&mut self, attempt: AttemptId, now: Moment) {
+    pub fn note_outcome_lost(&mut self, attempt: AttemptId, now: Moment) {
         let Some(lease) = self.leases.remove(&attempt.request) else {
             return;
         };
--- a/crates/bluebellreel_job/src/board.rs
+++ b/crates/bluebellreel_job/src/scheduler.rs
@@ -8,7 +8,7 @@
 
 /// Bounds over all owned jobs.
 #[derive(Clone, Debug)]
-pub struct BoardLimits {
+pub struct SchedulerLimits {
     /// Bytes of results that may wait to be recorded; past it no item goes
     /// out, so that an outage of the key-value service fills no memory.
     pub unrecorded_bytes: usize,
@@ -16,7 +16,7 @@
     pub pull: usize,
 }
 
-impl Default for BoardLimits {
+impl Default for SchedulerLimits {
     fn default() -> Self {
         Self {
             unrecorded_bytes: 32 << 20,
@@ -27,7 +27,7 @@
 
 /// One job's items handed out together.
 #[derive(Clone, Debug)]
-pub struct Handout {
+pub struct JobLeases {
     /// The job.
     pub job: JobId,
     /// The items.
@@ -36,18 +36,18 @@
 
 /// The owned jobs.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct JobScheduler {
     /// By id.
     pub jobs: BTreeMap<JobId, OwnedJob>,
-    limits: BoardLimits,
+    limits: SchedulerLimits,
     shares: TeamShares,
     holder_of: HashMap<RequestId, JobId>,
 }
 
-impl Board {
+impl JobScheduler {
     /// An empty board.
     #[must_use]
-    pub fn new(limits: BoardLimits) -> Self {
+    pub fn new(limits: SchedulerLimits) -> Self {
         Self {
             limits,
             ..Self::default()
@@ -98,10 +98,10 @@
         incarnation: Incarnation,
         models: &BTreeSet<ModelName>,
         now: Moment,
-    ) -> Vec<Handout> {
-        let mut handouts = Vec::new();
+    ) -> Vec<JobLeases> {
+        let mut leased_jobs = Vec::new();
         if self.unrecorded_bytes() >= self.limits.unrecorded_bytes {
-            return handouts;
+            return leased_jobs;
         }
         let mut left = room.min(self.limits.pull);
         let mut exhausted = BTreeSet::new();
@@ -128,9 +128,9 @@
             for lease in &leases {
                 self.holder_of.insert(lease.attempt.request, id.clone());
             }
-            handouts.push(Handout { job: id, leases });
+            leased_jobs.push(JobLeases { job: id, leases });
         }
-        handouts
+        leased_jobs
     }
 
     fn held_by(&self, worker: &WorkerName) -> usize {
@@ -173,7 +173,7 @@
     }
 
     /// Forgets what is no longer needed.
-    pub fn tidy(&mut self, now: Moment) {
+    pub fn remove_stale_entries(&mut self, now: Moment) {
         self.shares.forget_idle(now);
         let jobs = &self.jobs;
         self.holder_of
--- a/crates/bluebellreel_job/tests/owned.rs
+++ b/crates/bluebellreel_job/tests/owned.rs
@@ -96,7 +96,7 @@
                 JobEffect::Withdraw { attempts, .. } => {
                     self.out.retain(|(_, l)| !attempts.contains(&l.attempt));
                 }
-                JobEffect::Ask { .. } => {}
+                JobEffect::QueryAttempt { .. } => {}
             }
         }
     }
--- a/crates/bluebellreel_side/src/run.rs
+++ b/crates/bluebellreel_side/src/run.rs
@@ -7,7 +7,7 @@
 use crate::parts::{BackendOrder, Parts};
 use crate::rim;
 use crate::stop::{Look, Stop, Verdict};
-use bluebellreel_admission::{Admission, AdmissionLimits, Lean};
+use bluebellreel_admission::{Admission, AdmissionLimits, Priority};
 use bluebellreel_http::HttpServer;
 use bluebellreel_rpc::{SideCommand, SideNotice, run_side};
 use bluebellreel_settings::{SideLean, SideSettings};
@@ -134,9 +134,9 @@
         queue_count: settings.queue_count,
         queue_bytes: settings.queue_bytes,
         inter_token_target: settings.inter_token_target,
-        lean: match settings.lean {
-            SideLean::Throughput => Lean::Throughput,
-            SideLean::Tail => Lean::Tail,
+        priority: match settings.lean {
+            SideLean::Throughput => Priority::Throughput,
+            SideLean::Tail => Priority::Tail,
         },
         ..AdmissionLimits::default()
     }
