--- a/crates/bluebellreel_admission/benches/course.rs
+++ b/crates/bluebellreel_admission/benches/course.rs
@@ -1,4 +1,4 @@
-//! What the side process's decisions cost: an online request from its arrival to its end.
+//! Cost of the side process's admission decisions: an online request from its arrival to its end.
 
 use bluebellreel_admission::{Admission, AdmissionLimits, EngineEnd, Event, step};
 use bluebellreel_types::{
@@ -41,7 +41,7 @@
     step(side, Event::Arrived { entry, dispatch }, now).len()
 }
 
-/// One request's arrival, tokens and end; the effects that it had.
+/// Plays one request's arrival, tokens and end; returns the number of effects.
 fn run_through(side: &mut Admission, number: u64, now: Moment) -> usize {
     let attempt = dispatch(number, now).attempt;
     let mut effects = arrive(side, number, now);
@@ -60,7 +60,7 @@
     effects + step(side, Event::EngineEnded { attempt, end }, now).len()
 }
 
-fn online_course(criterion: &mut Criterion) {
+fn online_request(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("online request of 8 tokens");
     for others in [0_u64, 30, 300] {
         let limits = AdmissionLimits {
@@ -85,5 +85,5 @@
     group.finish();
 }
 
-criterion_group!(benches, online_course);
+criterion_group!(benches, online_request);
 criterion_main!(benches);
--- a/crates/bluebellreel_admission/src/admit.rs
+++ b/crates/bluebellreel_admission/src/admit.rs
@@ -1,10 +1,10 @@
-//! Which attempts are taken, and when they start at the engine.
+//! Admission of attempts, and their start at the engine.
 
-use crate::settle::{open, refuse_queued, remember_end};
+use crate::lifecycle::{record_end, record_open, refuse_queued};
 use crate::{Admission, Effect, LedgerEntry, Queued, Running};
 use bluebellreel_types::{AttemptEnd, Class, Dispatch, EntryName, Moment, NotRunReason};
 
-pub(crate) fn arrive(
+pub(crate) fn admit(
     state: &mut Admission,
     entry: EntryName,
     dispatch: Box<Dispatch>,
@@ -18,7 +18,7 @@
             effects.push(Effect::SendEnd { attempt, end });
             return;
         }
-        // A doubled dispatch: the first one's answer is on its way.
+        // A duplicate dispatch: the first one's answer will follow.
         Some(LedgerEntry::Open) => return,
         Some(LedgerEntry::Ended(end)) => {
             let end = end.clone();
@@ -29,18 +29,19 @@
     }
     if let Some(reason) = refusal(state, &dispatch, now) {
         let end = AttemptEnd::NotRun(reason);
-        remember_end(state, &dispatch, &end);
+        record_end(state, &dispatch, &end);
         effects.push(Effect::SendEnd { attempt, end });
         return;
     }
-    open(state, &dispatch);
+    record_open(state, &dispatch);
     state.queue.push(Queued { entry, dispatch });
 }
 
-/// Why an attempt cannot be taken, if it cannot.
+/// The reason to refuse an attempt, or none if it is admitted.
 pub(crate) fn refusal(state: &Admission, dispatch: &Dispatch, now: Moment) -> Option<NotRunReason> {
-    // A dispatch delayed past a restart was decided on against a process that
-    // no longer exists; its entry may have told the caller "unknown" already.
+    // The entry daemon addressed this dispatch to an earlier incarnation of this
+    // side process and it was delayed past the restart. The entry daemon may already
+    // have answered its caller with "unknown".
     if dispatch.side != state.incarnation {
         return Some(NotRunReason::StaleIncarnation);
     }
@@ -72,8 +73,9 @@
     None
 }
 
-/// Starts waiting online attempts while the window has places. A place held
-/// by batch counts as free: the batch attempt is cancelled in the same step.
+/// Starts queued online attempts while the window has free slots. A slot held
+/// by a batch attempt counts as free, since that attempt is cancelled in the
+/// same step.
 pub(crate) fn start_queued(state: &mut Admission, now: Moment, effects: &mut Vec<Effect>) {
     while state.count(Class::Online) < state.limits.window {
         let Some(queued) = state.queue.pop() else {
@@ -96,8 +98,8 @@
 ) {
     let attempt = dispatch.attempt;
     effects.push(Effect::StartEngine(dispatch.clone()));
-    // A batch item that gave way before goes on from its text; its answer is
-    // all of it, not only what this attempt adds.
+    // A batch item that was preempted before resumes from the text generated so
+    // far. Its answer is the whole text, not only what this attempt adds.
     let text = match dispatch.class {
         Class::Batch => dispatch.resume.to_string(),
         Class::Online => String::new(),
--- a/crates/bluebellreel_admission/src/batch.rs
+++ b/crates/bluebellreel_admission/src/batch.rs
@@ -1,14 +1,15 @@
-//! Batch items: asked for, taken in, and put aside for online work.
+//! Pulling batch items, receiving them, and preempting them for online work.
 
 use crate::admit::{refusal, start};
-use crate::settle::{open, stop};
+use crate::lifecycle::{record_open, stop};
 use crate::{Admission, Effect, LedgerEntry, Running};
 use bluebellreel_types::{
     AttemptEnd, BatchReport, BrokenReason, Class, Dispatch, EntryName, Moment, NotRunReason,
 };
 
-/// Cancels batch attempts over their share, least progress first.
-pub(crate) fn yield_batch(state: &mut Admission, effects: &mut Vec<Effect>) {
+/// Cancels the batch attempts in excess of the batch share, those with the
+/// fewest generated tokens first.
+pub(crate) fn preempt_batch(state: &mut Admission, effects: &mut Vec<Effect>) {
     let allowed = if state.leaving {
         0
     } else {
@@ -19,7 +20,7 @@
         let least = state
             .running
             .iter()
-            .filter(|(_, r)| can_yield(r))
+            .filter(|(_, r)| can_preempt(r))
             .min_by_key(|(_, r)| r.tokens)
             .map(|(attempt, _)| *attempt);
         let Some(attempt) = least else { return };
@@ -28,16 +29,17 @@
     }
 }
 
-/// A call that may not be repeated is never preempted: it would end in doubt.
-pub(crate) fn can_yield(running: &Running) -> bool {
+/// Whether an attempt may be preempted. A call that may not be repeated never
+/// is, since its outcome would then be unknown.
+pub(crate) fn can_preempt(running: &Running) -> bool {
     running.dispatch.class == Class::Batch
         && running.stopping.is_none()
         && running.dispatch.work.repeatable
 }
 
-/// Asks the next entry in turn when there is room for batch.
-pub(crate) fn ask_for_batch(state: &mut Admission, now: Moment, effects: &mut Vec<Effect>) {
-    if state.leaving || !state.hold_batch_until.is_past(now) {
+/// Pulls from the next entry daemon in turn if there is room for batch items.
+pub(crate) fn pull_batch(state: &mut Admission, now: Moment, effects: &mut Vec<Effect>) {
+    if state.leaving || !state.batch_paused_until.is_past(now) {
         return;
     }
     let held = state.count(Class::Batch) + state.pulling.values().sum::<u32>();
@@ -46,8 +48,8 @@
         .allowed(state.online())
         .saturating_sub(held);
     let online = state.online() > 0;
-    let step = state.pace.step();
-    let room = room.min(state.starts.allowed(step, online, now));
+    let step = state.timings.step();
+    let room = room.min(state.batch_starts.allowed(step, online, now));
     if room == 0 {
         return;
     }
@@ -55,16 +57,16 @@
         return;
     };
     let room = room.min(state.offers[&entry]);
-    state.starts.take(room);
+    state.batch_starts.take(room);
     state.pulling.insert(entry.clone(), room);
-    state.last_asked = Some(entry.clone());
+    state.last_pulled = Some(entry.clone());
     effects.push(Effect::Pull { entry, room });
 }
 
 pub(crate) fn next_offer(state: &Admission) -> Option<EntryName> {
     let ready =
         |entry: &&EntryName| state.offers[*entry] > 0 && !state.pulling.contains_key(*entry);
-    let after = |entry: &&EntryName| state.last_asked.as_ref().is_none_or(|last| *entry > last);
+    let after = |entry: &&EntryName| state.last_pulled.as_ref().is_none_or(|last| *entry > last);
     state
         .offers
         .keys()
@@ -74,7 +76,7 @@
         .cloned()
 }
 
-pub(crate) fn take_items(
+pub(crate) fn receive_items(
     state: &mut Admission,
     entry: &EntryName,
     items: Vec<Dispatch>,
@@ -84,7 +86,8 @@
     let asked = state.pulling.remove(entry).unwrap_or(0);
     let taken = u32::try_from(items.len()).unwrap_or(u32::MAX);
     if let Some(offer) = state.offers.get_mut(entry) {
-        // Fewer than asked: the entry has none left until its next offer.
+        // Fewer than requested: the entry daemon has no items left until its next
+        // offer.
         *offer = if taken < asked {
             0
         } else {
@@ -92,11 +95,11 @@
         };
     }
     for item in items {
-        take_item(state, entry, Box::new(item), now, effects);
+        receive_item(state, entry, Box::new(item), now, effects);
     }
 }
 
-pub(crate) fn take_item(
+pub(crate) fn receive_item(
     state: &mut Admission,
     entry: &EntryName,
     dispatch: Box<Dispatch>,
@@ -124,6 +127,6 @@
         effects.push(Effect::Report { entry, report });
         return;
     }
-    open(state, &dispatch);
+    record_open(state, &dispatch);
     start(state, entry.clone(), dispatch, now, effects);
 }
--- a/crates/bluebellreel_admission/src/pace.rs
+++ b/crates/bluebellreel_admission/src/engine_timings.rs
@@ -1,35 +1,36 @@
-//! The engine's pace, measured from what it delivers.
+//! Latencies of the engine, measured from the tokens that it delivers.
 
 use std::time::Duration;
 
-/// Weight of a new sample in the running means: one part in this many.
-const SMOOTHING: u64 = 8;
+/// A new sample has a weight of one divided by this in the running means.
+const SMOOTHING_DIVISOR: u64 = 8;
 
-/// Running means of the engine's times, in µs; zero before a measurement.
+/// Running means of the engine's latencies, in µs; zero before a measurement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Pace {
+pub struct EngineTimings {
     inter_token: u64,
     first_token: u64,
     step: u64,
 }
 
-impl Pace {
-    /// Notes the time between two tokens of one stream.
+impl EngineTimings {
+    /// Records the time between two tokens of one online stream.
     pub fn note_inter_token(&mut self, span: Duration) {
         self.inter_token = smoothed(self.inter_token, span);
     }
 
-    /// Notes the time from a start at the engine to its first token.
+    /// Records the time from the start of an attempt at the engine to its first
+    /// token.
     pub fn note_first_token(&mut self, span: Duration) {
         self.first_token = smoothed(self.first_token, span);
     }
 
-    /// Notes the time between two tokens of any stream: an engine's step.
+    /// Records the time between two tokens of any stream, which is one engine step.
     pub fn note_step(&mut self, span: Duration) {
         self.step = smoothed(self.step, span);
     }
 
-    /// Mean time of an engine's step; zero before the first measurement.
+    /// Mean time of an engine step; zero before the first measurement.
     #[must_use]
     pub fn step(&self) -> Duration {
         Duration::from_micros(self.step)
@@ -49,9 +50,9 @@
 }
 
 fn smoothed(mean: u64, span: Duration) -> u64 {
-    let sample = u64::try_from(span.as_micros()).unwrap_or(u64::MAX / SMOOTHING);
+    let sample = u64::try_from(span.as_micros()).unwrap_or(u64::MAX / SMOOTHING_DIVISOR);
     if mean == 0 {
         return sample;
     }
-    (mean * (SMOOTHING - 1) + sample) / SMOOTHING
+    (mean * (SMOOTHING_DIVISOR - 1) + sample) / SMOOTHING_DIVISOR
 }
--- a/crates/bluebellreel_admission/src/event.rs
+++ b/crates/bluebellreel_admission/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a side process, and what it decides to do.
+//! Inputs and outputs of [`crate::step`].
 
 use bluebellreel_types::{
     AttemptEnd, AttemptId, AttemptVerdict, BatchReport, Dispatch, EntryName, ModelVersion,
@@ -8,25 +8,25 @@
 /// How the backend server ended an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineEnd {
-    /// The answer is whole.
+    /// The answer is complete.
     Completed {
         /// HTTP status.
         status: u16,
-        /// Body of a plain call's answer, empty for streams.
+        /// Body of a plain service's answer; empty for streams.
         body: Arc<[u8]>,
     },
-    /// The connection was refused: nothing was sent.
+    /// The connection was refused, so the request was not sent.
     Unreachable,
-    /// The backend server said that it admits nothing now.
+    /// The backend server answered that it accepts no requests at present.
     Busy,
-    /// The backend server refused the work itself.
+    /// The backend server rejected the request as invalid.
     Rejected {
         /// HTTP status.
         status: u16,
-        /// Its reason.
+        /// The backend server's reason.
         message: Arc<str>,
     },
-    /// The stream ended early.
+    /// The stream ended before the answer was complete.
     Broken,
 }
 
@@ -35,96 +35,97 @@
 pub enum Event {
     /// An online attempt has arrived.
     Arrived {
-        /// Who sent it.
+        /// The entry daemon that sent it.
         entry: EntryName,
         /// The attempt.
         dispatch: Box<Dispatch>,
     },
-    /// An entry has batch items waiting.
+    /// An entry daemon has batch items waiting.
     Offered {
-        /// The entry.
+        /// The entry daemon.
         entry: EntryName,
-        /// How many.
+        /// Number of waiting items.
         waiting: u32,
     },
-    /// Answer to a pull; empty when the entry has none left.
+    /// Answer to a pull; empty if the entry daemon has no items left.
     Pulled {
-        /// The entry.
+        /// The entry daemon.
         entry: EntryName,
         /// The items.
         items: Vec<Dispatch>,
     },
-    /// An entry's connection is gone.
+    /// The connection to an entry daemon was lost.
     EntryLost(EntryName),
     /// The engine generated text.
     EngineText {
-        /// For this attempt.
+        /// The attempt that the text belongs to.
         attempt: AttemptId,
         /// The text.
         text: Arc<str>,
-        /// Tokens in it.
+        /// Number of tokens in the text.
         tokens: u32,
     },
-    /// The engine is done with an attempt.
+    /// An attempt ended at the engine.
     EngineEnded {
         /// The attempt.
         attempt: AttemptId,
         /// How it ended.
         end: EngineEnd,
     },
-    /// An entry asks to put an end to an attempt.
+    /// An entry daemon asks to cancel an attempt, or for its outcome.
     CancelAsked {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Batch items are to stop without a report.
+    /// The owner withdrew these batch items: they are cancelled and their ends are
+    /// not reported.
     Withdrawn(Vec<AttemptId>),
-    /// The models that the backend server serves have changed.
+    /// The set of models that the backend server serves has changed.
     ModelsChanged(Vec<ModelVersion>),
-    /// The worker is to leave.
+    /// The worker is to be drained.
     DrainAsked,
-    /// The worker stays after all (a later order).
-    DrainLifted,
-    /// Time has passed.
+    /// A later order cancelled the drain.
+    DrainCancelled,
+    /// Periodic timer: expires queued and running attempts and ledger entries.
     Ticked,
 }
 
-/// What the side process is to do.
+/// An action for the side process to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send the attempt to the engine.
     StartEngine(Box<Dispatch>),
     /// Cancel the attempt at the engine.
     CancelEngine(AttemptId),
-    /// Send text on to the entry.
+    /// Forward generated text to the entry daemon.
     SendPart {
         /// The attempt.
         attempt: AttemptId,
         /// The text.
         text: Arc<str>,
     },
-    /// Tell the entry that an online attempt has ended.
+    /// Report the end of an online attempt to its entry daemon.
     SendEnd {
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// How the attempt ended.
         end: AttemptEnd,
     },
-    /// Ask an entry for batch items.
+    /// Request batch items from an entry daemon.
     Pull {
-        /// The entry.
+        /// The entry daemon.
         entry: EntryName,
-        /// How many.
+        /// Maximum number of items.
         room: u32,
     },
-    /// Tell an entry that a batch item has ended.
+    /// Report the end of a batch item to its owner.
     Report {
-        /// The entry.
+        /// The entry daemon that owns the item's job.
         entry: EntryName,
-        /// The end.
+        /// The attempt and how it ended.
         report: BatchReport,
     },
-    /// Answer a cancel.
+    /// Answer a cancellation.
     SendVerdict {
         /// The attempt.
         attempt: AttemptId,
--- a/crates/bluebellreel_admission/src/ledger.rs
+++ b/crates/bluebellreel_admission/src/ledger.rs
@@ -1,26 +1,26 @@
-//! Outcomes that the side process remembers.
+//! Recent attempts and their outcomes.
 //!
-//! Guards against a call that runs twice: an attempt that was put an end to
-//! before it was seen leaves a tombstone, so that a dispatch delayed on its way
-//! is refused when it comes at last, and "not run" stays true. An ended attempt
-//! is remembered, so that an entry that lost the answer can still read it.
+//! The ledger prevents a call from running twice. Cancelling an attempt that has
+//! not arrived yet leaves a tombstone, so that its delayed dispatch is refused
+//! when it arrives and the answer "not run" stays true. Ended attempts are kept,
+//! so that an entry daemon that lost the answer can still read it.
 
 use bluebellreel_types::{AttemptEnd, AttemptId, BrokenReason, Moment};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What is known of one attempt.
+/// The state of one attempt in the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LedgerEntry {
-    /// Put an end to before it was seen.
+    /// Cancelled before it arrived.
     Tombstone,
     /// Admitted: queued or at the engine.
     Open,
-    /// Ended this way.
+    /// Ended, with its outcome.
     Ended(AttemptEnd),
 }
 
-/// Attempts by id, forgotten some time after their deadline.
+/// Attempts by id, each evicted some time after its deadline.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Ledger {
     entries: BTreeMap<AttemptId, (LedgerEntry, Moment)>,
@@ -28,7 +28,7 @@
     bytes: usize,
 }
 
-/// Bytes of the answer that an entry keeps.
+/// Size of the answer text that an entry holds.
 fn text_bytes(entry: &LedgerEntry) -> usize {
     match entry {
         LedgerEntry::Ended(AttemptEnd::Completed { body, .. }) => body.len(),
@@ -38,13 +38,13 @@
 }
 
 impl Ledger {
-    /// What is known of an attempt.
+    /// The entry of an attempt.
     #[must_use]
     pub fn get(&self, attempt: AttemptId) -> Option<&LedgerEntry> {
         self.entries.get(&attempt).map(|(entry, _)| entry)
     }
 
-    /// Notes an attempt until `expiry`.
+    /// Inserts or replaces an attempt's entry, kept until `expiry`.
     pub fn put(&mut self, attempt: AttemptId, entry: LedgerEntry, expiry: Moment) {
         self.remove(attempt);
         self.bytes += text_bytes(&entry);
@@ -52,7 +52,7 @@
         self.by_expiry.insert((expiry, attempt));
     }
 
-    /// Forgets an attempt.
+    /// Removes an attempt's entry.
     pub fn remove(&mut self, attempt: AttemptId) {
         if let Some((entry, expiry)) = self.entries.remove(&attempt) {
             self.bytes -= text_bytes(&entry);
@@ -60,11 +60,11 @@
         }
     }
 
-    /// Lets answers go, those that expire first before others, until at most
-    /// `most` bytes are kept. That such a call ran is still told: as one that
-    /// broke off, so that nobody takes an empty answer for the whole.
-    pub fn strip_texts(&mut self, most: usize) {
-        if self.bytes <= most {
+    /// Drops answers, those that expire first before others, until at most
+    /// `max_bytes` are kept. Such a call is still known to have run: it is recorded
+    /// as broken off, so that an empty answer is not taken for the complete one.
+    pub fn drop_texts(&mut self, max_bytes: usize) {
+        if self.bytes <= max_bytes {
             return;
         }
         for (_, attempt) in &self.by_expiry {
@@ -78,14 +78,14 @@
                 *entry = LedgerEntry::Ended(AttemptEnd::Broken { reason, partial });
                 self.bytes -= bytes;
             }
-            if self.bytes <= most {
+            if self.bytes <= max_bytes {
                 return;
             }
         }
     }
 
-    /// Forgets ended attempts whose expiry has come.
-    pub fn forget_expired(&mut self, now: Moment) {
+    /// Evicts the entries whose expiry has passed.
+    pub fn evict_expired(&mut self, now: Moment) {
         while let Some(&(expiry, attempt)) = self.by_expiry.first() {
             if !expiry.is_past(now) {
                 return;
@@ -94,13 +94,13 @@
         }
     }
 
-    /// Attempts remembered.
+    /// Number of attempts in the ledger.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether the ledger is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
@@ -127,26 +127,27 @@
         })
     }
 
-    /// Answers of an hour would fill the process. Of the oldest only that they
-    /// ran is kept: never nothing, or "not run" would be told of them.
+    /// The answers of an hour would fill the process's memory, so the oldest are
+    /// dropped. Their entries must stay: without them, callers would get "not run"
+    /// for calls that ran.
     #[test]
-    fn old_answers_go_but_not_that_they_ran() {
+    fn dropped_answers_still_count_as_run() {
         let mut ledger = Ledger::default();
         ledger.put(attempt(1), answer("old"), Moment(1));
         ledger.put(attempt(2), answer("new"), Moment(2));
-        ledger.strip_texts(4);
+        ledger.drop_texts(4);
         let old = ledger.get(attempt(1));
-        let is_told = matches!(
+        let is_recorded = matches!(
             old,
             Some(LedgerEntry::Ended(AttemptEnd::Broken {
                 reason: BrokenReason::Forgotten,
                 ..
             }))
         );
-        assert!(is_told, "{old:?}");
+        assert!(is_recorded, "{old:?}");
         assert_eq!(ledger.get(attempt(2)), Some(&answer("new")));
         ledger.remove(attempt(2));
-        ledger.strip_texts(0);
+        ledger.drop_texts(0);
         assert_eq!(ledger.len(), 1);
     }
 }
--- a/crates/bluebellreel_admission/src/lib.rs
+++ b/crates/bluebellreel_admission/src/lib.rs
@@ -1,17 +1,18 @@
-//! Admission decisions of the side process, the only sender to its backend
+//! Admission control of the side process, the only client of its backend
 //! server.
 //!
-//! The engine knows no priorities and admits requests as they come, so the
-//! side process keeps what it has admitted small. Online work always goes
-//! before batch work; batch work is pulled only when there is room and is
-//! cancelled at the engine at once when online work needs its place.
+//! The engine has no priorities and runs requests in order of arrival, so the
+//! side process bounds the number of requests at the engine. Online work always
+//! goes before batch work. Batch work is pulled only while there is room and is
+//! cancelled at the engine as soon as online work needs its slot.
 //!
-//! [`step`] is the whole of it: it takes the state, one event and the present
-//! moment, and returns effects for the caller to carry out. No I/O, no clock.
+//! [`step`] is the only entry point: it takes the state, one event and the
+//! current time, and returns effects for the caller to carry out. The crate does
+//! no I/O and reads no clock.
 //!
-//! Each file takes only from those before it: `limits`, `pace`, `start_pace`,
-//! `batch_window`, `ledger`, `online_queue`; `state`, `event`; `settle`,
-//! `admit`, `batch`; `step`.
+//! Each module depends only on the modules before it: `limits`,
+//! `engine_timings`, `start_limiter`, `batch_window`, `ledger`, `online_queue`;
+//! `state`, `event`; `lifecycle`, `admit`, `batch`; `step`.
 //!
 //! ```
 //! use bluebellreel_admission::*;
@@ -26,22 +27,22 @@
 mod admit;
 mod batch;
 mod batch_window;
+mod engine_timings;
 mod event;
 mod ledger;
+mod lifecycle;
 mod limits;
 mod online_queue;
-mod pace;
-mod settle;
-mod start_pace;
+mod start_limiter;
 mod state;
 mod step;
 
 pub use batch_window::BatchWindow;
+pub use engine_timings::EngineTimings;
 pub use event::{Effect, EngineEnd, Event};
 pub use ledger::{Ledger, LedgerEntry};
 pub use limits::{AdmissionLimits, Priority};
 pub use online_queue::{OnlineQueue, Queued};
-pub use pace::Pace;
-pub use start_pace::StartPace;
+pub use start_limiter::BatchStartLimiter;
 pub use state::{Admission, Running};
 pub use step::step;
--- a/crates/bluebellreel_admission/src/settle.rs
+++ b/crates/bluebellreel_admission/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! What is remembered of attempts, and how they are put an end to.
+//! Recording attempts in the ledger, and ending them.
 
 use crate::{Admission, Effect, LedgerEntry, Queued};
 use bluebellreel_types::{
@@ -7,14 +7,14 @@
 };
 use std::sync::Arc;
 
-pub(crate) fn open(state: &mut Admission, dispatch: &Dispatch) {
+pub(crate) fn record_open(state: &mut Admission, dispatch: &Dispatch) {
     let expiry = expiry_of(state, dispatch);
     state
         .ledger
         .put(dispatch.attempt, LedgerEntry::Open, expiry);
 }
 
-pub(crate) fn remember_end(state: &mut Admission, dispatch: &Dispatch, end: &AttemptEnd) {
+pub(crate) fn record_end(state: &mut Admission, dispatch: &Dispatch, end: &AttemptEnd) {
     let expiry = expiry_of(state, dispatch);
     let entry = if dispatch.work.repeatable {
         LedgerEntry::Ended(without_text(end))
@@ -22,23 +22,25 @@
         LedgerEntry::Ended(end.clone())
     };
     state.ledger.put(dispatch.attempt, entry, expiry);
-    state.ledger.strip_texts(state.limits.ledger_bytes);
+    state.ledger.drop_texts(state.limits.ledger_bytes);
 }
 
-/// Until when an attempt is remembered. One that may not be repeated must not
-/// be forgotten as long as somebody believes "never seen": its caller would be
-/// told "not run" of a call that ran, and send it again.
+/// When the ledger may evict an attempt. The entry of an attempt that may not
+/// be repeated must outlive the time in which other processes accept the verdict
+/// "never seen" for it. Otherwise its caller would get "not run" for a call that
+/// ran, and would send it again.
 pub(crate) fn expiry_of(state: &Admission, dispatch: &Dispatch) -> Moment {
     let keep = if dispatch.work.repeatable {
-        state.limits.ledger_keep
+        state.limits.ledger_retention
     } else {
         OUTCOME_KEPT
     };
     dispatch.deadline + keep
 }
 
-/// The end of repeatable work without its text: nobody reads it here again,
-/// and the ledger's memory belongs to calls that may not be repeated.
+/// The end of a repeatable attempt without its text. The text is not read from
+/// the ledger again, and the ledger's memory is reserved for calls that may not
+/// be repeated.
 pub(crate) fn without_text(end: &AttemptEnd) -> AttemptEnd {
     match end {
         AttemptEnd::Completed { status, tokens, .. } => AttemptEnd::Completed {
@@ -61,7 +63,7 @@
     effects: &mut Vec<Effect>,
 ) {
     let end = AttemptEnd::NotRun(reason);
-    remember_end(state, &queued.dispatch, &end);
+    record_end(state, &queued.dispatch, &end);
     let attempt = queued.dispatch.attempt;
     effects.push(Effect::SendEnd { attempt, end });
 }
@@ -88,7 +90,7 @@
 ) {
     let queued = state
         .queue
-        .take_out(|queued| queued.dispatch.attempt == attempt);
+        .remove_matching(|queued| queued.dispatch.attempt == attempt);
     for queued in queued {
         refuse_queued(state, &queued, NotRunReason::Cancelled, effects);
     }
@@ -108,8 +110,9 @@
     effects.push(Effect::SendVerdict { attempt, verdict });
 }
 
-/// Stops an attempt unless it may not be repeated: cut in the middle, such a
-/// call would end in doubt, so it runs on and its end is kept to be read.
+/// Cancels a running attempt if it is repeatable. The outcome of a cancelled
+/// call that may not be repeated would be unknown, so such a call runs to its
+/// end and the ledger keeps its outcome.
 pub(crate) fn stop_repeatable(
     state: &mut Admission,
     attempt: AttemptId,
--- a/crates/bluebellreel_admission/src/limits.rs
+++ b/crates/bluebellreel_admission/src/limits.rs
@@ -2,33 +2,35 @@
 
 use std::time::Duration;
 
-/// Which of the two measures a deployment puts first.
+/// Whether a deployment favours batch throughput or online tail latency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Priority {
-    /// Batch throughput first (the rental service).
+    /// Batch throughput goes first (the rental service).
     Throughput,
-    /// The online tail first (the booking desk).
+    /// Online tail latency goes first (the booking desk).
     Tail,
 }
 
-/// Bounds and targets, from the settings.
+/// Bounds and targets of admission, from the settings.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AdmissionLimits {
-    /// Most attempts at the engine at one time, both classes together.
+    /// Maximum number of attempts at the engine at one time, online and batch
+    /// together.
     pub window: u32,
-    /// Most online attempts that wait.
+    /// Maximum number of queued online attempts.
     pub queue_count: usize,
-    /// Most bytes of online attempts that wait.
+    /// Maximum total body size of queued online attempts, in bytes.
     pub queue_bytes: usize,
-    /// Most attempts remembered after their end.
+    /// Maximum number of attempts in the ledger; when it is full, new attempts are
+    /// refused.
     pub ledger_count: usize,
-    /// Most bytes of answers remembered with them.
+    /// Maximum total size of the answers kept in the ledger, in bytes.
     pub ledger_bytes: usize,
-    /// How long an attempt that may be repeated is remembered past its deadline.
-    pub ledger_keep: Duration,
-    /// Time between tokens that online streams should keep.
+    /// How long the ledger keeps a repeatable attempt after its deadline.
+    pub ledger_retention: Duration,
+    /// Target for the time between two tokens of an online stream.
     pub inter_token_target: Duration,
-    /// Which measure goes first.
+    /// Whether batch throughput or online tail latency goes first.
     pub priority: Priority,
 }
 
@@ -40,7 +42,7 @@
             queue_bytes: 8 << 20,
             ledger_count: 131_072,
             ledger_bytes: 32 << 20,
-            ledger_keep: Duration::from_mins(1),
+            ledger_retention: Duration::from_mins(1),
             inter_token_target: Duration::from_millis(34),
             priority: Priority::Throughput,
         }
--- a/crates/bluebellreel_admission/src/online_queue.rs
+++ b/crates/bluebellreel_admission/src/online_queue.rs
@@ -1,18 +1,19 @@
-//! Online attempts that wait for a place at the engine.
+//! Online attempts that wait for a slot at the engine.
 
 use bluebellreel_types::{Dispatch, EntryName, Moment};
 use std::collections::VecDeque;
 
-/// One waiting attempt.
+/// One queued attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Queued {
-    /// Who sent it.
+    /// The entry daemon that sent it.
     pub entry: EntryName,
     /// The attempt.
     pub dispatch: Box<Dispatch>,
 }
 
-/// A queue bounded in count and bytes, served in order of arrival.
+/// A FIFO queue that tracks its size in attempts, bytes and tokens; admission
+/// bounds it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct OnlineQueue {
     waiting: VecDeque<Queued>,
@@ -21,38 +22,38 @@
 }
 
 impl OnlineQueue {
-    /// Attempts waiting.
+    /// Number of queued attempts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Bytes of work waiting.
+    /// Total size of the queued request bodies.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Tokens that the waiting attempts will generate.
+    /// Number of tokens that the queued attempts will generate.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Adds an attempt at the end.
+    /// Appends an attempt.
     pub fn push(&mut self, queued: Queued) {
         self.bytes += queued.dispatch.work.body.len();
         self.tokens += u64::from(queued.dispatch.work.tokens);
         self.waiting.push_back(queued);
     }
 
-    /// Takes the first attempt.
+    /// Removes the first attempt.
     pub fn pop(&mut self) -> Option<Queued> {
         let queued = self.waiting.pop_front()?;
         self.bytes -= queued.dispatch.work.body.len();
@@ -60,8 +61,8 @@
         Some(queued)
     }
 
-    /// Takes out the attempts that `unwanted` picks.
-    pub fn take_out(&mut self, unwanted: impl Fn(&Queued) -> bool) -> Vec<Queued> {
+    /// Removes and returns the attempts that match `unwanted`.
+    pub fn remove_matching(&mut self, unwanted: impl Fn(&Queued) -> bool) -> Vec<Queued> {
         let mut taken = Vec::new();
         if !self.waiting.iter().any(&unwanted) {
             return taken;
@@ -78,8 +79,8 @@
         taken
     }
 
-    /// Takes out the attempts whose deadline has passed.
-    pub fn take_expired(&mut self, now: Moment) -> Vec<Queued> {
-        self.take_out(|queued| queued.dispatch.deadline.is_past(now))
+    /// Removes and returns the attempts whose deadline has passed.
+    pub fn remove_expired(&mut self, now: Moment) -> Vec<Queued> {
+        self.remove_matching(|queued| queued.dispatch.deadline.is_past(now))
     }
 }
--- a/crates/bluebellreel_admission/src/step.rs
+++ b/crates/bluebellreel_admission/src/step.rs
@@ -1,8 +1,8 @@
-//! The decisions: one event in, effects out.
+//! The transition function: one event in, effects out.
 
-use crate::admit::{arrive, start_queued};
-use crate::batch::{ask_for_batch, take_items, yield_batch};
-use crate::settle::{cancel, refuse_queued, remember_end, stop, withdraw};
+use crate::admit::{admit, start_queued};
+use crate::batch::{preempt_batch, pull_batch, receive_items};
+use crate::lifecycle::{cancel, record_end, refuse_queued, stop, withdraw};
 use crate::{Admission, Effect, EngineEnd, Event, Running};
 use bluebellreel_types::{
     AttemptEnd, AttemptId, BatchReport, BrokenReason, Class, EntryName, Moment, NotRunReason,
@@ -10,20 +10,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause before batch is asked for again after the backend server took none.
-const BATCH_HOLD: Duration = Duration::from_millis(500);
+/// How long no batch items are pulled after the backend server was unreachable
+/// or busy.
+const BATCH_PAUSE: Duration = Duration::from_millis(500);
 
-/// Takes in one event and says what to do.
+/// Applies one event to the state and returns the effects to carry out.
 #[must_use]
 pub fn step(state: &mut Admission, event: Event, now: Moment) -> Vec<Effect> {
     let mut effects = Vec::new();
     match event {
-        Event::Arrived { entry, dispatch } => arrive(state, entry, dispatch, now, &mut effects),
+        Event::Arrived { entry, dispatch } => admit(state, entry, dispatch, now, &mut effects),
         Event::Offered { entry, waiting } => {
             state.offers.insert(entry, waiting);
         }
-        Event::Pulled { entry, items } => take_items(state, &entry, items, now, &mut effects),
-        Event::EntryLost(entry) => lose_entry(state, &entry, &mut effects),
+        Event::Pulled { entry, items } => receive_items(state, &entry, items, now, &mut effects),
+        Event::EntryLost(entry) => handle_entry_loss(state, &entry, &mut effects),
         Event::EngineText {
             attempt,
             text,
@@ -37,31 +38,31 @@
             state.loaded = loaded;
         }
         Event::DrainAsked => drain(state, &mut effects),
-        Event::DrainLifted => state.leaving = false,
+        Event::DrainCancelled => state.leaving = false,
         Event::Ticked => expire(state, now, &mut effects),
     }
     start_queued(state, now, &mut effects);
-    yield_batch(state, &mut effects);
-    ask_for_batch(state, now, &mut effects);
+    preempt_batch(state, &mut effects);
+    pull_batch(state, now, &mut effects);
     effects
 }
 
-/// An entry that is gone can take no answers: its repeatable work is stopped
-/// so that it does not hold places; what may not be repeated runs to its end,
-/// and the ledger keeps the outcome.
-fn lose_entry(state: &mut Admission, entry: &EntryName, effects: &mut Vec<Effect>) {
+/// Handles a lost entry daemon, which can receive no answers. Its repeatable
+/// attempts are cancelled to free their slots. Attempts that may not be repeated
+/// run to their end, and the ledger keeps their outcomes.
+fn handle_entry_loss(state: &mut Admission, entry: &EntryName, effects: &mut Vec<Effect>) {
     state.offers.remove(entry);
     state.pulling.remove(entry);
-    let lost: Vec<AttemptId> = state
+    let lost_attempts: Vec<AttemptId> = state
         .running
         .iter()
         .filter(|(_, r)| r.entry == *entry && r.dispatch.work.repeatable)
         .map(|(attempt, _)| *attempt)
         .collect();
-    for attempt in lost {
+    for attempt in lost_attempts {
         stop(state, attempt, BrokenReason::Cancelled, effects);
     }
-    for queued in state.queue.take_out(|queued| queued.entry == *entry) {
+    for queued in state.queue.remove_matching(|queued| queued.entry == *entry) {
         refuse_queued(state, &queued, NotRunReason::Cancelled, effects);
     }
 }
@@ -81,27 +82,32 @@
         return;
     }
     running.tokens += tokens;
-    let before = running.last_token_at.replace(now);
-    if let Some(before) = before {
-        state.pace.note_step(now.since(before) / tokens.max(1));
+    let previous_at = running.last_token_at.replace(now);
+    if let Some(previous_at) = previous_at {
+        state
+            .timings
+            .note_step(now.since(previous_at) / tokens.max(1));
     }
-    // Text of a call that may not be repeated is kept, so that its outcome can
-    // still be read here when the entry that waits for it is lost.
+    // The text of a call that may not be repeated is kept, so that its outcome can
+    // still be read from this side process if the entry daemon that waits for it is
+    // lost.
     if running.dispatch.class == Class::Batch || !running.dispatch.work.repeatable {
         running.text.push_str(&text);
     }
     if running.dispatch.class == Class::Batch {
         return;
     }
-    match before {
-        Some(before) => {
-            let span = now.since(before) / tokens.max(1);
-            state.pace.note_inter_token(span);
-            let mean = state.pace.inter_token();
+    match previous_at {
+        Some(previous_at) => {
+            let span = now.since(previous_at) / tokens.max(1);
+            state.timings.note_inter_token(span);
+            let mean = state.timings.inter_token();
             let target = state.limits.inter_token_target;
             state.batch_window.note_online_pace(mean, target, now);
         }
-        None => state.pace.note_first_token(now.since(running.started_at)),
+        None => state
+            .timings
+            .note_first_token(now.since(running.started_at)),
     }
     effects.push(Effect::SendPart { attempt, text });
 }
@@ -116,13 +122,13 @@
     let Some(running) = state.running.remove(&attempt) else {
         return;
     };
-    // Guards against a loop of pulls and returns while the backend server is
-    // away: items would go to and fro as fast as messages do.
+    // Without this pause, items would be pulled and returned in a tight loop while
+    // the backend server is unreachable or busy.
     if matches!(end, EngineEnd::Unreachable | EngineEnd::Busy) {
-        state.hold_batch_until = now + BATCH_HOLD;
+        state.batch_paused_until = now + BATCH_PAUSE;
     }
     let end = attempt_end(&running, end, now);
-    remember_end(state, &running.dispatch, &end);
+    record_end(state, &running.dispatch, &end);
     if running.unreported {
         return;
     }
@@ -161,25 +167,25 @@
     }
 }
 
-/// Leaving: nothing new; batch goes back to its owners at once; online work
-/// that was admitted finishes.
+/// Drains the worker: no new work is accepted, batch items are returned to their
+/// owners at once, and admitted online work runs to its end.
 fn drain(state: &mut Admission, effects: &mut Vec<Effect>) {
     state.leaving = true;
-    yield_batch(state, effects);
+    preempt_batch(state, effects);
 }
 
 fn expire(state: &mut Admission, now: Moment, effects: &mut Vec<Effect>) {
-    for queued in state.queue.take_expired(now) {
+    for queued in state.queue.remove_expired(now) {
         refuse_queued(state, &queued, NotRunReason::Expired, effects);
     }
-    let late: Vec<AttemptId> = state
+    let expired: Vec<AttemptId> = state
         .running
         .iter()
         .filter(|(_, r)| r.dispatch.deadline.is_past(now) && r.dispatch.work.repeatable)
         .map(|(attempt, _)| *attempt)
         .collect();
-    for attempt in late {
+    for attempt in expired {
         stop(state, attempt, BrokenReason::Expired, effects);
     }
-    state.ledger.forget_expired(now);
+    state.ledger.evict_expired(now);
 }
--- a/crates/bluebellreel_admission/tests/admission.rs
+++ b/crates/bluebellreel_admission/tests/admission.rs
@@ -1,4 +1,4 @@
-//! What a side process lets through to its engine.
+//! What a side process admits to its engine.
 
 use bluebellreel_admission::{Admission, AdmissionLimits, Effect, EngineEnd, Event, step};
 use bluebellreel_types::{
@@ -53,15 +53,15 @@
     step(side, Event::Arrived { entry, dispatch }, NOW)
 }
 
-/// An event whose effects do not matter to the test.
-fn happen(side: &mut Admission, event: Event, now: Moment) {
+/// Applies an event whose effects do not matter to the test.
+fn apply(side: &mut Admission, event: Event, now: Moment) {
     drop(step(side, event, now));
 }
 
 fn fill_with_batch(side: &mut Admission, count: u64) {
     let entry = EntryName::from("e");
     let waiting = 1_000;
-    happen(
+    apply(
         side,
         Event::Offered {
             entry: entry.clone(),
@@ -72,7 +72,7 @@
     let items = (100..100 + count)
         .map(|number| dispatch(number, Class::Batch))
         .collect();
-    happen(side, Event::Pulled { entry, items }, NOW);
+    apply(side, Event::Pulled { entry, items }, NOW);
 }
 
 fn not_run(effects: &[Effect]) -> Option<NotRunReason> {
@@ -85,9 +85,9 @@
     })
 }
 
-/// The window is full of return notes when a family stands at the counter. The
-/// question goes to the engine in the same step as one note is cancelled: the
-/// one that loses least.
+/// An online request arrives while batch items fill the window. It must go to the
+/// engine in the same step in which one batch item is cancelled, namely the one
+/// with the least progress.
 #[test]
 fn online_takes_the_place_of_batch_at_once() {
     let mut side = side(4);
@@ -98,7 +98,7 @@
         tokens,
     };
     for (number, tokens) in [(100, 5), (101, 1), (102, 7), (103, 3)] {
-        happen(&mut side, text(number, tokens), NOW);
+        apply(&mut side, text(number, tokens), NOW);
     }
     let effects = arrive(&mut side, dispatch(1, Class::Online));
     let started = effects
@@ -122,8 +122,8 @@
     assert_eq!(&**partial, "word ", "its progress is kept");
 }
 
-/// A note gave way twice. Its answer is all of its text, not only what the
-/// last engine added.
+/// A batch item was preempted twice. Its answer must be the whole text, not only
+/// what the last engine added.
 #[test]
 fn resumed_item_answers_with_all_of_its_text() {
     let mut side = side(4);
@@ -131,7 +131,7 @@
     let mut item = dispatch(100, Class::Batch);
     item.resume = Arc::from("one two ");
     let waiting = 1;
-    happen(
+    apply(
         &mut side,
         Event::Offered {
             entry: entry.clone(),
@@ -140,11 +140,11 @@
         NOW,
     );
     let items = vec![item];
-    happen(&mut side, Event::Pulled { entry, items }, NOW);
+    apply(&mut side, Event::Pulled { entry, items }, NOW);
     let attempt = id(100);
     let text = Arc::from("three ");
     let tokens = 1;
-    happen(
+    apply(
         &mut side,
         Event::EngineText {
             attempt,
@@ -167,10 +167,10 @@
     assert_eq!(&**body, b"one two three ");
 }
 
-/// An entry asks about an attempt that has not come yet and hears "never
-/// seen". The attempt comes after all, delayed on its way: it must not run.
+/// An entry daemon cancels an attempt that has not arrived yet and gets the
+/// verdict "never seen". The delayed attempt arrives later and must not run.
 #[test]
-fn attempt_asked_about_before_it_came_is_refused() {
+fn attempt_cancelled_before_it_arrived_is_refused() {
     let mut side = side(4);
     let attempt = id(1);
     let effects = step(&mut side, Event::CancelAsked { attempt }, NOW);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn doubled_dispatch_runs_once() {
+fn duplicate_dispatch_runs_once() {
     let mut side = side(4);
     arrive(&mut side, dispatch(1, Class::Online));
     assert!(arrive(&mut side, dispatch(1, Class::Online)).is_empty());
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn dispatch_for_an_earlier_run_is_refused() {
+fn dispatch_for_an_earlier_incarnation_is_refused() {
     let mut side = side(4);
     let mut stray = dispatch(1, Class::Online);
     stray.side = Incarnation(9);
@@ -209,11 +209,11 @@
     assert_eq!(not_run(&effects), Some(NotRunReason::Overloaded));
 }
 
-/// A worker is drained: admitted questions finish, notes go back to their
-/// owner, nothing new is taken.
+/// While a worker drains, admitted online requests finish, batch items return to
+/// their owner, and no new work is accepted.
 #[test]
 fn drained_worker_finishes_online_and_returns_batch() {
-    // Wide enough that batch has a share beside online work.
+    // Wide enough that batch has a share alongside online work.
     let mut side = side(32);
     arrive(&mut side, dispatch(1, Class::Online));
     fill_with_batch(&mut side, 2);
@@ -228,7 +228,7 @@
     assert!(effects.is_empty(), "{effects:?}");
 }
 
-/// Work whose deadline has passed in the queue never reaches the engine.
+/// Work whose deadline passes in the queue must not reach the engine.
 #[test]
 fn expired_work_is_dropped_before_it_is_sent() {
     let mut side = side(1);
@@ -239,10 +239,10 @@
     assert_eq!(not_run(&effects), Some(NotRunReason::Expired));
 }
 
-/// The engine is away. Notes must not go to and fro between the owner and the
-/// side process as fast as messages do: nothing is asked for during a pause.
+/// The engine is unreachable. Batch items must not be pulled and returned in a
+/// tight loop, so nothing is pulled during a pause.
 #[test]
-fn no_batch_is_pulled_while_the_engine_is_away() {
+fn no_batch_is_pulled_while_the_engine_is_unreachable() {
     let mut side = side(4);
     fill_with_batch(&mut side, 1);
     let attempt = id(100);
