--- a/crates/bluebellreel_job/benches/handout.rs
+++ b/crates/bluebellreel_job/benches/handout.rs
@@ -1,4 +1,4 @@
-//! What a job owner's decisions cost: items handed out, reported and recorded.
+//! Cost of a job owner's decisions: leasing, reporting and recording items.
 
 use bluebellreel_job::{
     ChunkRef, JobCounts, JobEffect, JobLimits, JobRecord, JobScheduler, JobState, JobTarget,
@@ -53,7 +53,7 @@
     }
 }
 
-fn carry_out(job: &mut OwnedJob, now: Moment) {
+fn apply_effects(job: &mut OwnedJob, now: Moment) {
     for effect in job.poll(now) {
         match effect {
             JobEffect::LoadChunk(chunk) => {
@@ -72,7 +72,7 @@
         let record = record(number);
         let id = record.id.clone();
         let mut job = OwnedJob::open(record, 1, true, JobLimits::default(), &[], &[]);
-        carry_out(&mut job, Moment(1));
+        apply_effects(&mut job, Moment(1));
         scheduler.jobs.insert(id, job);
     }
     scheduler
@@ -91,20 +91,20 @@
     let models = BTreeSet::from([ModelName::from("m")]);
     let worker = WorkerName::from("w");
     for jobs in [1, 13, 130] {
-        let mut fresh = scheduler(jobs);
+        let mut jobs_scheduler = scheduler(jobs);
         let mut now = Moment(1);
         group.bench_function(BenchmarkId::from_parameter(jobs), |b| {
             b.iter(|| {
                 now = now + Duration::from_micros(10);
-                let leased_jobs = fresh.pull(ROOM, &worker, Incarnation(1), &models, now);
+                let leased_jobs = jobs_scheduler.pull(ROOM, &worker, Incarnation(1), &models, now);
                 if leased_jobs.is_empty() {
-                    fresh = scheduler(jobs);
+                    jobs_scheduler = scheduler(jobs);
                 }
                 for lease in leased_jobs.iter().flat_map(|handout| &handout.leases) {
-                    fresh.report(lease.attempt, completed(), now);
+                    jobs_scheduler.report(lease.attempt, completed(), now);
                 }
-                for job in fresh.jobs.values_mut() {
-                    carry_out(job, now);
+                for job in jobs_scheduler.jobs.values_mut() {
+                    apply_effects(job, now);
                 }
             });
         });
--- a/crates/bluebellreel_job/src/input.rs
+++ b/crates/bluebellreel_job/src/input.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a job's JSONL body.
+//! Parsing and validation of a job's JSONL body.
 
 use bluebellreel_types::{ChatBody, ModelName, TeamName, Work, WorkKind};
 use serde::{Deserialize, Serialize};
@@ -7,19 +7,20 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Path of chat completions in a line's `url`.
+/// The `url` of a line for chat completions.
 const CHAT_URL: &str = "/v1/chat/completions";
-/// Start of plain service paths in a line's `url`.
+/// Prefix of the `url` of a line for a plain service.
 const SERVICES_URL: &str = "/services/";
-/// Longest `custom_id`, in bytes.
-const LONGEST_CUSTOM_ID: usize = 256;
-/// Longest line, in bytes: with its write id it must fit the key-value
-/// service's largest value.
-const LONGEST_LINE: usize = 512 << 10;
-/// Bytes of lines stored together.
+/// Maximum length of a `custom_id`.
+const MAX_CUSTOM_ID_BYTES: usize = 256;
+/// Maximum length of a line. Together with its write id, a line must fit into the
+/// largest value that the key-value service accepts.
+const MAX_LINE_BYTES: usize = 512 << 10;
+/// Size of a chunk of lines stored together; exceeded only by a chunk of a single
+/// line.
 const CHUNK_BYTES: usize = 384 << 10;
 
-/// What all items of a job ask: one model or one plain service.
+/// The target of all items of a job: one model or one plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobTarget {
@@ -48,22 +49,22 @@
     body: &'a RawValue,
 }
 
-/// One line of a job, checked.
+/// One validated line of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InputItem {
-    /// The caller's name for it, unique in the job.
+    /// The caller's id for the item, unique in the job.
     pub custom_id: Arc<str>,
-    /// What it asks.
+    /// The kind of request.
     pub kind: WorkKind,
-    /// Body to send.
+    /// The request body to send.
     pub body: Arc<[u8]>,
-    /// Tokens to generate at the most; one for a plain call.
+    /// Maximum number of tokens to generate; one for a call to a plain service.
     pub tokens: u32,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
 }
 
-/// A line that is refused.
+/// A line that was refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InputError {
     /// The line's number, from 1.
@@ -78,24 +79,25 @@
     }
 }
 
-/// A job's body, checked.
+/// A validated job body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobInput {
-    /// What its items ask.
+    /// The model or service that its items call.
     pub target: JobTarget,
-    /// Its items.
+    /// The items, in order.
     pub items: Vec<InputItem>,
 }
 
 impl JobInput {
-    /// Reads a whole body of at most `most` lines.
+    /// Parses a whole body of at most `max_items` items.
     ///
     /// # Errors
     ///
-    /// Gives the first line that is malformed, too long, repeats a `custom_id`
-    /// or asks another model than the lines before it.
-    pub fn read(body: &[u8], most: usize) -> Result<Self, InputError> {
-        let mut reader = InputReader::new(most);
+    /// Returns the first line that is malformed or too long, repeats a
+    /// `custom_id`, names another model or service than the lines before it, or
+    /// exceeds the number of items.
+    pub fn read(body: &[u8], max_items: usize) -> Result<Self, InputError> {
+        let mut reader = InputReader::new(max_items);
         let mut chunks = reader.push(body)?;
         let (target, last) = reader.finish()?;
         chunks.extend(last);
@@ -108,110 +110,110 @@
     }
 }
 
-/// Some lines of a job that are stored together.
+/// Consecutive lines of a job that are stored together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InputChunk {
     /// Index of its first item.
     pub first: u32,
-    /// Items in it.
+    /// Number of items in the chunk.
     pub items: u32,
     /// The lines.
     pub bytes: Vec<u8>,
 }
 
-/// Reads a job's body piece by piece, in memory bounded by one chunk and the
-/// names of the items.
+/// Parses a job's body incrementally. Memory use is bounded by one chunk, one
+/// line and the `custom_id`s of the items.
 #[derive(Debug)]
 pub struct InputReader {
-    most: usize,
+    max_items: usize,
     target: Option<JobTarget>,
-    seen: HashSet<Arc<str>>,
-    rest: Vec<u8>,
+    custom_ids_seen: HashSet<Arc<str>>,
+    partial_line: Vec<u8>,
     line: usize,
     chunk: InputChunk,
 }
 
 impl InputReader {
-    /// A reader of at most `most` items.
+    /// A reader of at most `max_items` items.
     #[must_use]
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_items: usize) -> Self {
         Self {
-            most,
+            max_items,
             target: None,
-            seen: HashSet::new(),
-            rest: Vec::new(),
+            custom_ids_seen: HashSet::new(),
+            partial_line: Vec::new(),
             line: 0,
             chunk: InputChunk::starting_at(0),
         }
     }
 
-    /// Items read so far.
+    /// Number of items read so far.
     #[must_use]
     pub fn items(&self) -> u32 {
         self.chunk.first + self.chunk.items
     }
 
-    /// Takes a piece of the body in; gives the chunks that are full.
+    /// Parses the next piece of the body and returns the chunks that are now full.
     ///
     /// # Errors
     ///
-    /// Gives the first line that is refused.
+    /// Returns the first line that is refused.
     pub fn push(&mut self, piece: &[u8]) -> Result<Vec<InputChunk>, InputError> {
         let mut full = Vec::new();
         let mut piece = piece;
         while let Some(end) = piece.iter().position(|byte| *byte == b'\n') {
-            let mut line = std::mem::take(&mut self.rest);
+            let mut line = std::mem::take(&mut self.partial_line);
             line.extend_from_slice(&piece[..end]);
             piece = &piece[end + 1..];
-            full.extend(self.take_line(&line)?);
+            full.extend(self.push_line(&line)?);
         }
-        self.rest.extend_from_slice(piece);
-        if self.rest.len() > LONGEST_LINE {
-            return Err(self.fail(format!("longer than {LONGEST_LINE} bytes")));
+        self.partial_line.extend_from_slice(piece);
+        if self.partial_line.len() > MAX_LINE_BYTES {
+            return Err(self.refusal(format!("longer than {MAX_LINE_BYTES} bytes")));
         }
         Ok(full)
     }
 
-    /// Takes the last line in; what the items ask, and the last chunk.
+    /// Parses the last line and returns the target of the items and the last chunk.
     ///
     /// # Errors
     ///
-    /// Gives the line that is refused, or that there was none.
+    /// Fails if the last line is refused or the body contains no items.
     pub fn finish(&mut self) -> Result<(JobTarget, Option<InputChunk>), InputError> {
-        let rest = std::mem::take(&mut self.rest);
-        let mut last = self.take_line(&rest)?;
+        let partial_line = std::mem::take(&mut self.partial_line);
+        let mut last = self.push_line(&partial_line)?;
         if last.is_none() && self.chunk.items > 0 {
             let next = InputChunk::starting_at(self.items());
             last = Some(std::mem::replace(&mut self.chunk, next));
         }
         match self.target.clone() {
             Some(target) => Ok((target, last)),
-            None => Err(self.fail("no items".into())),
+            None => Err(self.refusal("no items".into())),
         }
     }
 
-    fn fail(&self, reason: String) -> InputError {
+    fn refusal(&self, reason: String) -> InputError {
         let line = self.line.max(1);
         InputError { line, reason }
     }
 
-    fn take_line(&mut self, line: &[u8]) -> Result<Option<InputChunk>, InputError> {
+    fn push_line(&mut self, line: &[u8]) -> Result<Option<InputChunk>, InputError> {
         self.line += 1;
         if line.trim_ascii().is_empty() {
             return Ok(None);
         }
-        if line.len() > LONGEST_LINE {
-            return Err(self.fail(format!("longer than {LONGEST_LINE} bytes")));
+        if line.len() > MAX_LINE_BYTES {
+            return Err(self.refusal(format!("longer than {MAX_LINE_BYTES} bytes")));
         }
-        let (asked, item) = read_line(line).map_err(|reason| self.fail(reason))?;
-        if self.target.get_or_insert_with(|| asked.clone()) != &asked {
-            return Err(self.fail("all lines must ask the same model or service".into()));
+        let (line_target, item) = read_line(line).map_err(|reason| self.refusal(reason))?;
+        if self.target.get_or_insert_with(|| line_target.clone()) != &line_target {
+            return Err(self.refusal("all lines must name the same model or service".into()));
         }
-        if self.items() as usize >= self.most {
-            return Err(self.fail(format!("more than {} items", self.most)));
+        if self.items() as usize >= self.max_items {
+            return Err(self.refusal(format!("more than {} items", self.max_items)));
         }
-        if !self.seen.insert(item.custom_id.clone()) {
-            return Err(self.fail(format!("custom_id {} stands twice", item.custom_id)));
+        if !self.custom_ids_seen.insert(item.custom_id.clone()) {
+            return Err(self.refusal(format!("duplicate custom_id {}", item.custom_id)));
         }
         let mut full = None;
         if self.chunk.items > 0 && self.chunk.bytes.len() + line.len() > CHUNK_BYTES {
@@ -235,18 +237,20 @@
     }
 }
 
-/// Lines with their numbers, blank ones left out.
+/// The lines that are not blank, with their numbers from 1.
 pub(crate) fn numbered_lines(body: &[u8]) -> impl Iterator<Item = (usize, &[u8])> {
     (1..)
         .zip(body.split(|byte| *byte == b'\n'))
         .filter(|(_, line)| !line.trim_ascii().is_empty())
 }
 
-/// Reads one line.
+/// Parses one line.
 pub(crate) fn read_line(text: &[u8]) -> Result<(JobTarget, InputItem), String> {
     let raw: RawLine = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-    if raw.custom_id.is_empty() || raw.custom_id.len() > LONGEST_CUSTOM_ID {
-        return Err(format!("custom_id: must be 1 to {LONGEST_CUSTOM_ID} bytes"));
+    if raw.custom_id.is_empty() || raw.custom_id.len() > MAX_CUSTOM_ID_BYTES {
+        return Err(format!(
+            "custom_id: must be 1 to {MAX_CUSTOM_ID_BYTES} bytes"
+        ));
     }
     let custom_id = Arc::from(raw.custom_id);
     let body = raw.body.get().as_bytes();
@@ -284,11 +288,12 @@
     Ok((JobTarget::Service(ModelName::from(service)), item))
 }
 
-/// The names of the items in some stored lines, in their order.
+/// The `custom_id`s of the items in a stored chunk, in order.
 ///
 /// # Errors
 ///
-/// Gives the reason when the lines are not the ones that were accepted.
+/// Returns the reason if a line cannot be parsed, which means that the bytes are
+/// not those that were accepted.
 pub fn custom_ids(bytes: &[u8]) -> Result<Vec<Arc<str>>, String> {
     numbered_lines(bytes)
         .map(|(_, line)| Ok(read_line(line)?.1.custom_id))
@@ -296,8 +301,8 @@
 }
 
 impl InputItem {
-    /// The unit of work that the item is. A service call carries a key of its
-    /// own, so that the service, too, can tell a repetition.
+    /// The request to send for the item. A service call carries its own idempotency
+    /// key, so that the service can detect a repetition as well.
     #[must_use]
     pub fn work(&self, target: &JobTarget, team: &TeamName, key: &str, repeatable: bool) -> Work {
         Work {
@@ -324,9 +329,12 @@
     }
 
     #[test]
-    fn refuses_doubled_ids_mixed_models_and_too_many() {
-        let doubled = format!("{}\n{}", line("a", "m"), line("a", "m"));
-        assert_eq!(JobInput::read(doubled.as_bytes(), 9).unwrap_err().line, 2);
+    fn refuses_duplicate_ids_mixed_models_and_too_many_items() {
+        let duplicated = format!("{}\n{}", line("a", "m"), line("a", "m"));
+        assert_eq!(
+            JobInput::read(duplicated.as_bytes(), 9).unwrap_err().line,
+            2
+        );
         let mixed = format!("{}\n\n{}", line("a", "m"), line("b", "n"));
         assert_eq!(JobInput::read(mixed.as_bytes(), 9).unwrap_err().line, 3);
         let many = format!("{}\n{}", line("a", "m"), line("b", "m"));
--- a/crates/bluebellreel_job/src/lib.rs
+++ b/crates/bluebellreel_job/src/lib.rs
@@ -1,14 +1,14 @@
-//! Batch jobs: records, items, ownership and the order of their work.
+//! Batch jobs: records, items, ownership and scheduling.
 //!
-//! A job's record lives in the platform's key-value service and names its
-//! owner and an epoch that grows with every change of owner. The owner keeps
-//! an [`OwnedJob`] in memory, hands its items out in leases to sides that pull
+//! A job's record is stored in the platform's key-value service and names its
+//! owner and an epoch that increases with every change of owner. The owner keeps
+//! an [`OwnedJob`] in memory, leases its items to the side processes that pull
 //! them, and records results in groups. Every write compares the record's
-//! revision, so that an owner that was paused while another took over can
-//! change nothing.
+//! revision, so that an owner that was paused while another one took over cannot
+//! change anything.
 //!
-//! All of it is plain state and functions over it; the entry daemon does the
-//! reading and writing.
+//! This crate holds state and pure transitions only; the entry daemon reads and
+//! writes the key-value service.
 //!
 //! ```
 //! use bluebellreel_job::JobInput;
--- a/crates/bluebellreel_job/src/owned.rs
+++ b/crates/bluebellreel_job/src/owned.rs
@@ -1,4 +1,4 @@
-//! A job as its owner sees it.
+//! The owner's state of a job.
 
 mod handout;
 mod poll;
@@ -13,32 +13,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bounds of one owned job.
+/// Limits of one owned job.
 #[derive(Clone, Debug)]
 pub struct JobLimits {
-    /// Attempts that count before an item is given up.
-    pub attempts: u8,
-    /// Failed attempts after which an item is tried alone.
-    pub alone_after: u8,
-    /// Results that are written together.
+    /// Number of failed attempts after which an item is recorded as failed.
+    pub max_failures: u8,
+    /// Number of failed attempts after which an item is leased only to a worker
+    /// that holds no other item.
+    pub isolate_after: u8,
+    /// Number of results in a full group; groups are written together.
     pub group_items: usize,
-    /// Bytes of results that are written together.
+    /// Size in bytes of a full group of results.
     pub group_bytes: usize,
-    /// Longest time a result waits to be written.
+    /// Maximum time that a result waits for its group to fill.
     pub group_wait: Duration,
-    /// How long a lease lasts.
+    /// Duration of a lease.
     pub lease: Duration,
-    /// Input chunks held in memory.
+    /// Maximum number of input chunks in memory.
     pub chunks: usize,
-    /// Progress kept for resumption, in items.
+    /// Maximum number of items whose partial text is kept for resumption.
     pub partials: usize,
 }
 
 impl Default for JobLimits {
     fn default() -> Self {
         Self {
-            attempts: 4,
-            alone_after: 2,
+            max_failures: 4,
+            isolate_after: 2,
             group_items: 128,
             group_bytes: 192 << 10,
             group_wait: Duration::from_secs(5),
@@ -49,7 +50,7 @@
     }
 }
 
-/// Where one item stands.
+/// The state of one item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ItemState {
     Waiting,
@@ -64,48 +65,48 @@
     attempts: u16,
 }
 
-/// What the owner is to do.
+/// An action for the owner to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobEffect {
-    /// Read an input chunk.
+    /// Read the input chunk with this index.
     LoadChunk(u32),
     /// Write results under this sequence number; call
     /// [`OwnedJob::note_recorded`] or [`OwnedJob::note_record_failed`] after.
     Record {
-        /// Numbers the writes of this epoch.
+        /// Sequence number of the write within this epoch.
         seq: u64,
         /// The results.
         results: Arc<[ItemResult]>,
     },
-    /// Write the job's end.
+    /// Record the end of the job.
     Close {
-        /// Its state.
+        /// The job's final state.
         state: JobState,
-        /// Its items by their end.
+        /// Numbers of ended items, by outcome.
         counts: JobCounts,
     },
-    /// Stop these attempts wherever they are.
+    /// Cancel these attempts at the worker that holds them.
     Withdraw {
-        /// The worker that holds them.
+        /// The worker.
         worker: WorkerName,
         /// The attempts.
         attempts: Vec<AttemptId>,
     },
-    /// Ask a side process what became of an unrepeatable attempt.
+    /// Query a side process for the outcome of an attempt that may not be repeated.
     QueryAttempt {
         /// The worker.
         worker: WorkerName,
-        /// The run of its side process.
+        /// The incarnation of its side process.
         incarnation: Incarnation,
         /// The attempt.
         attempt: AttemptId,
     },
 }
 
-/// A job that this daemon owns.
+/// The state of a job that this daemon owns.
 #[derive(Clone, Debug)]
 pub struct OwnedJob {
-    /// Its record as last written.
+    /// The job's record as last written.
     pub record: JobRecord,
     /// The record's revision in the key-value service.
     pub revision: i64,
@@ -113,9 +114,9 @@
     pub repeatable: bool,
     limits: JobLimits,
     items: Vec<Item>,
-    next_fresh: u32,
-    again: VecDeque<u32>,
-    alone: VecDeque<u32>,
+    next_new: u32,
+    retry_queue: VecDeque<u32>,
+    isolated: VecDeque<u32>,
     leases: HashMap<RequestId, LeaseState>,
     chunks: BTreeMap<u32, Arc<[InputItem]>>,
     loading: Option<u32>,
@@ -130,18 +131,18 @@
     counts: JobCounts,
     closing: bool,
     handing_over: bool,
-    ask_at: Moment,
+    next_query_at: Moment,
 }
 
-/// Bytes that a result takes beside its text.
+/// Estimated size in bytes of a result without its text and `custom_id`.
 const RESULT_OVERHEAD: usize = 64;
-/// Pause after a write that failed.
-const WRITE_PAUSE: Duration = Duration::from_millis(500);
-/// Pause between two questions about attempts in doubt.
-const ASK_PAUSE: Duration = Duration::from_millis(500);
+/// Delay before a failed read or write is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Interval between two queries for the attempts in doubt.
+const QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
 impl OwnedJob {
-    /// Takes a job on, with the results and claims already recorded.
+    /// Takes over a job, with the results and claims already recorded.
     #[must_use]
     pub fn open(
         record: JobRecord,
@@ -162,9 +163,9 @@
             revision,
             repeatable,
             limits,
-            next_fresh: 0,
-            again: VecDeque::new(),
-            alone: VecDeque::new(),
+            next_new: 0,
+            retry_queue: VecDeque::new(),
+            isolated: VecDeque::new(),
             leases: HashMap::new(),
             chunks: BTreeMap::new(),
             loading: None,
@@ -179,7 +180,7 @@
             counts: JobCounts::default(),
             closing: false,
             handing_over: false,
-            ask_at: Moment(0),
+            next_query_at: Moment(0),
         };
         for (index, succeeded) in recorded {
             job.mark_ended(*index, *succeeded);
@@ -188,8 +189,9 @@
         job
     }
 
-    /// A claim without a result is of a call that an earlier owner sent, or
-    /// was about to send: it is in doubt until its side process has spoken.
+    /// Marks the items with a claim but without a result as in doubt. An earlier
+    /// owner sent such a call or was about to send it, so the item waits for the
+    /// verdict of its side process.
     fn adopt_claims(&mut self, claims: &[ClaimedItem]) {
         let mut latest: BTreeMap<u32, &ClaimedItem> = BTreeMap::new();
         for claim in claims {
@@ -210,7 +212,7 @@
                 number: claim.attempt.number,
                 worker: claim.worker.clone(),
                 incarnation: claim.incarnation,
-                until: claim.deadline,
+                expires_at: claim.deadline,
                 in_doubt: true,
             };
             self.leases.insert(claim.attempt.request, lease);
@@ -231,68 +233,68 @@
         }
     }
 
-    /// Items by their end so far.
+    /// Numbers of items ended so far, by outcome.
     #[must_use]
     pub fn counts(&self) -> JobCounts {
         self.counts
     }
 
-    /// Items out with workers.
+    /// Number of leased items, including those in doubt.
     #[must_use]
     pub fn leased(&self) -> usize {
         self.leases.len()
     }
 
-    /// Prepares for another owner: results are recorded as soon as the last
-    /// item that is out has come back, instead of waiting for a full group.
+    /// Prepares the handover to another owner: once the last leased item has been
+    /// returned, results are recorded at once instead of waiting for a full group.
     pub fn hand_over(&mut self) {
         self.handing_over = true;
     }
 
-    /// Whether another owner would find all that happened here. Items in doubt
-    /// are recorded as claims, which the next owner settles.
+    /// Whether everything that the next owner needs is recorded. Items in doubt are
+    /// recorded as claims, which the next owner resolves.
     #[must_use]
     pub fn is_handed_over(&self) -> bool {
-        !self.has_items_out() && self.unrecorded() == 0
+        !self.has_items_leased() && self.unrecorded() == 0
     }
 
-    /// Whether items are out that are still expected back.
-    fn has_items_out(&self) -> bool {
+    /// Whether any leased item is still expected to be returned.
+    fn has_items_leased(&self) -> bool {
         self.leases.values().any(|lease| !lease.in_doubt)
     }
 
-    /// Workers that items are out with, once for each item.
+    /// The workers that hold leases, once per leased item.
     pub fn holders(&self) -> impl Iterator<Item = &WorkerName> {
         self.leases.values().map(|lease| &lease.worker)
     }
 
-    /// Items out with one worker.
+    /// Number of items leased to one worker.
     #[must_use]
     pub fn held_by(&self, worker: &WorkerName) -> usize {
         let held = self.leases.values().filter(|l| l.worker == *worker);
         held.count()
     }
 
-    /// Whether a request's lease is out.
+    /// Whether a request is leased.
     #[must_use]
     pub fn holds(&self, request: RequestId) -> bool {
         self.leases.contains_key(&request)
     }
 
-    /// Items that wait to be handed out.
+    /// Number of items that wait to be leased.
     #[must_use]
     pub fn waiting(&self) -> u32 {
         let busy = u32::try_from(self.leases.len()).unwrap_or(u32::MAX);
         self.record.items - self.ended - busy
     }
 
-    /// Bytes of results not yet recorded.
+    /// Total size of the results not yet recorded.
     #[must_use]
     pub fn unrecorded_bytes(&self) -> usize {
         self.unrecorded_bytes
     }
 
-    /// Results not yet recorded.
+    /// Number of results not yet recorded.
     #[must_use]
     pub fn unrecorded(&self) -> usize {
         let recording = self.recording.as_ref().map_or(0, |(_, r)| r.len());
@@ -305,17 +307,18 @@
         self.ended == self.record.items
     }
 
-    /// Input chunks held in memory.
+    /// Number of input chunks in memory.
     #[must_use]
     pub fn chunks_held(&self) -> usize {
         self.chunks.len()
     }
 
-    /// Takes in an input chunk as it was written.
+    /// Stores an input chunk that was read.
     ///
     /// # Errors
     ///
-    /// Gives the reason when the bytes are not the lines that were accepted.
+    /// Returns the reason if the bytes are not the lines that were accepted: a line
+    /// cannot be parsed, or the number of items differs from the record.
     pub fn note_chunk(&mut self, chunk: u32, bytes: &[u8]) -> Result<(), String> {
         self.loading = None;
         let mut items = Vec::new();
@@ -324,19 +327,22 @@
         }
         let expected = &self.record.chunks[chunk as usize];
         if items.len() != expected.items as usize {
-            return Err(format!("chunk {chunk} holds {} items", items.len()));
+            return Err(format!(
+                "chunk {chunk} holds {} items, which is not the number in the job record",
+                items.len()
+            ));
         }
         self.chunks.insert(chunk, items.into());
         Ok(())
     }
 
-    /// A chunk could not be read: it is asked for again later.
+    /// Schedules another read after an input chunk could not be read.
     pub fn note_chunk_failed(&mut self, now: Moment) {
         self.loading = None;
-        self.retry_at = now + WRITE_PAUSE;
+        self.retry_at = now + RETRY_DELAY;
     }
 
-    /// Results were written.
+    /// Records that the write with this sequence number succeeded.
     pub fn note_recorded(&mut self, seq: u64, now: Moment) {
         let Some((writing, results)) = self.recording.take() else {
             return;
@@ -354,9 +360,9 @@
         };
     }
 
-    /// Results could not be written: the same write is made again later.
+    /// Schedules a retry of the same write after it failed.
     pub fn note_record_failed(&mut self, now: Moment) {
-        self.retry_at = now + WRITE_PAUSE;
+        self.retry_at = now + RETRY_DELAY;
         self.closing = false;
         if let Some((seq, results)) = self.recording.take() {
             self.recording = Some((seq, results));
@@ -365,7 +371,8 @@
     }
 }
 
-/// Statuses that say that the item itself is at fault.
+/// Whether a status means that the item itself is invalid, so that a retry is
+/// useless.
 fn is_final(status: u16) -> bool {
     matches!(status, 400 | 413 | 422)
 }
--- a/crates/bluebellreel_job/src/owned/handout.rs
+++ b/crates/bluebellreel_job/src/owned/handout.rs
@@ -1,4 +1,4 @@
-//! Which items a worker gets.
+//! Leasing of items to workers.
 
 use super::{ItemState, OwnedJob};
 use crate::{ClaimedItem, ItemLease, LeaseState};
@@ -6,8 +6,9 @@
 use std::sync::Arc;
 
 impl OwnedJob {
-    /// Hands out up to `room` items to a worker that holds `held` of ours.
-    pub fn take(
+    /// Leases up to `room` items to a worker that already holds `held` items of
+    /// this daemon.
+    pub fn lease_items(
         &mut self,
         room: usize,
         worker: &WorkerName,
@@ -19,10 +20,10 @@
         if self.closing || self.record.deadline.is_past(now) {
             return taken;
         }
-        // An item under suspicion goes out alone, so that it cannot take good
-        // items down with its worker.
+        // An item that may crash its worker is leased alone, so that it cannot
+        // fail other items along with it.
         if held == 0
-            && let Some(index) = self.pop_loaded_alone()
+            && let Some(index) = self.pop_loaded_isolated()
         {
             taken.extend(self.lease(index, worker, incarnation, now));
             return taken;
@@ -40,31 +41,31 @@
         self.chunks.contains_key(&self.record.chunk_of(index))
     }
 
-    fn pop_loaded_alone(&mut self) -> Option<u32> {
-        let index = *self.alone.front()?;
+    fn pop_loaded_isolated(&mut self) -> Option<u32> {
+        let index = *self.isolated.front()?;
         if self.is_loaded(index) {
-            self.alone.pop_front()
+            self.isolated.pop_front()
         } else {
             None
         }
     }
 
     fn pop_loaded(&mut self) -> Option<u32> {
-        if let Some(index) = self.again.front().copied()
+        if let Some(index) = self.retry_queue.front().copied()
             && self.is_loaded(index)
         {
-            return self.again.pop_front();
+            return self.retry_queue.pop_front();
         }
-        while self.next_fresh < self.record.items {
-            let index = self.next_fresh;
+        while self.next_new < self.record.items {
+            let index = self.next_new;
             if self.items[index as usize].state != ItemState::Waiting {
-                self.next_fresh += 1;
+                self.next_new += 1;
                 continue;
             }
             if !self.is_loaded(index) {
                 return None;
             }
-            self.next_fresh += 1;
+            self.next_new += 1;
             return Some(index);
         }
         None
@@ -92,25 +93,25 @@
             self.repeatable,
         );
         let request = RequestId::random();
-        let until = now + self.limits.lease;
+        let expires_at = now + self.limits.lease;
         let lease = LeaseState {
             index,
             number,
             worker: worker.clone(),
             incarnation,
-            until,
+            expires_at,
             in_doubt: false,
         };
         self.leases.insert(request, lease);
         Some(ItemLease {
             attempt: AttemptId { request, number },
             work: Arc::new(work),
-            deadline: until.min(self.record.deadline),
+            deadline: expires_at.min(self.record.deadline),
             resume: self.partials.remove(&index).unwrap_or_default(),
         })
     }
 
-    /// The claims to write before leased unrepeatable items are sent.
+    /// The claims to write before leased items that may not be repeated are sent.
     #[must_use]
     pub fn claims_of(&self, attempts: impl Iterator<Item = AttemptId>) -> Vec<ClaimedItem> {
         let claim = |attempt: AttemptId| {
@@ -120,7 +121,7 @@
                 attempt,
                 worker: lease.worker.clone(),
                 incarnation: lease.incarnation,
-                deadline: lease.until,
+                deadline: lease.expires_at,
             })
         };
         attempts.filter_map(claim).collect()
--- a/crates/bluebellreel_job/src/owned/poll.rs
+++ b/crates/bluebellreel_job/src/owned/poll.rs
@@ -1,41 +1,41 @@
-//! What is to be done for a job now: chunks to read, results to write, its end.
+//! The actions that are due for a job: chunks to read, results to write, its end.
 
-use super::{ASK_PAUSE, ItemState, JobEffect, OwnedJob, result_size};
+use super::{ItemState, JobEffect, OwnedJob, QUERY_INTERVAL, result_size};
 use crate::{ItemResult, JobState};
 use bluebellreel_types::{AttemptEnd, AttemptId, BrokenReason, Moment, WorkerName};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 impl OwnedJob {
-    /// Says what is to be done now: chunks to read, results to write, the end.
+    /// The actions due at `now`. Expires leases as well.
     pub fn poll(&mut self, now: Moment) -> Vec<JobEffect> {
         let mut effects = Vec::new();
         if !self.retry_at.is_past(now) {
             return effects;
         }
-        self.lapse(now, &mut effects);
-        self.ask(now, &mut effects);
-        self.want_chunk(&mut effects);
+        self.expire_leases(now, &mut effects);
+        self.query_in_doubt(now, &mut effects);
+        self.load_next_chunk(&mut effects);
         self.flush(now, &mut effects);
         self.close(now, &mut effects);
         effects
     }
 
-    /// Leases that were not heard of in time go back; an unrepeatable one is
-    /// in doubt instead.
-    fn lapse(&mut self, now: Moment, effects: &mut Vec<JobEffect>) {
-        let mut late: Vec<(WorkerName, AttemptId)> = self
+    /// Ends leases that have expired without a report. Their items are requeued;
+    /// items that may not be repeated become in doubt instead.
+    fn expire_leases(&mut self, now: Moment, effects: &mut Vec<JobEffect>) {
+        let mut expired: Vec<(WorkerName, AttemptId)> = self
             .leases
             .iter()
-            .filter(|(_, lease)| !lease.in_doubt && lease.until.is_past(now))
+            .filter(|(_, lease)| !lease.in_doubt && lease.expires_at.is_past(now))
             .map(|(request, lease)| {
                 let number = lease.number;
                 let request = *request;
                 (lease.worker.clone(), AttemptId { request, number })
             })
             .collect();
-        late.sort_unstable();
-        for (worker, attempt) in late {
+        expired.sort_unstable();
+        for (worker, attempt) in expired {
             let end = AttemptEnd::Broken {
                 reason: BrokenReason::SideLost,
                 partial: Arc::from(""),
@@ -46,11 +46,11 @@
         }
     }
 
-    fn ask(&mut self, now: Moment, effects: &mut Vec<JobEffect>) {
-        if !self.ask_at.is_past(now) {
+    fn query_in_doubt(&mut self, now: Moment, effects: &mut Vec<JobEffect>) {
+        if !self.next_query_at.is_past(now) {
             return;
         }
-        self.ask_at = now + ASK_PAUSE;
+        self.next_query_at = now + QUERY_INTERVAL;
         for (request, lease) in self.leases.iter().filter(|(_, lease)| lease.in_doubt) {
             effects.push(JobEffect::QueryAttempt {
                 worker: lease.worker.clone(),
@@ -63,28 +63,29 @@
         }
     }
 
-    /// The next chunk that items are needed from, within the memory bound.
-    fn want_chunk(&mut self, effects: &mut Vec<JobEffect>) {
+    /// Requests the next input chunk with items to lease, within the memory limit.
+    fn load_next_chunk(&mut self, effects: &mut Vec<JobEffect>) {
         if self.loading.is_some() || self.closing || self.handing_over {
             return;
         }
-        let wanted = [self.alone.front(), self.again.front()]
+        let wanted = [self.isolated.front(), self.retry_queue.front()]
             .into_iter()
             .flatten()
             .map(|index| self.record.chunk_of(*index))
             .find(|chunk| !self.chunks.contains_key(chunk))
-            .or_else(|| self.next_fresh_chunk());
+            .or_else(|| self.next_new_chunk());
         let Some(chunk) = wanted else { return };
-        if self.chunks.len() >= self.limits.chunks && !self.make_room() {
+        if self.chunks.len() >= self.limits.chunks && !self.evict_oldest_chunk() {
             return;
         }
         self.loading = Some(chunk);
         effects.push(JobEffect::LoadChunk(chunk));
     }
 
-    /// The chunk after the fresh items in memory, one ahead of need.
-    fn next_fresh_chunk(&self) -> Option<u32> {
-        let mut index = self.next_fresh;
+    /// The next chunk with new items that is not in memory, prefetching one chunk
+    /// ahead.
+    fn next_new_chunk(&self) -> Option<u32> {
+        let mut index = self.next_new;
         while index < self.record.items && self.items[index as usize].state != ItemState::Waiting {
             index += 1;
         }
@@ -98,11 +99,11 @@
             .find(|c| *c < last && !self.chunks.contains_key(c))
     }
 
-    /// Drops the oldest chunk; it is read again if one of its items fails.
-    fn make_room(&mut self) -> bool {
+    /// Evicts the oldest chunk. It is read again if one of its items is retried.
+    fn evict_oldest_chunk(&mut self) -> bool {
         let needed = self
             .record
-            .chunk_of(self.next_fresh.min(self.record.items - 1));
+            .chunk_of(self.next_new.min(self.record.items - 1));
         let Some(oldest) = self.chunks.keys().copied().find(|chunk| *chunk < needed) else {
             return false;
         };
@@ -112,8 +113,8 @@
             .values()
             .any(|l| (range.first..range.first + range.items).contains(&l.index));
         if leased && self.chunks.len() < self.limits.chunks * 2 {
-            // Its names are still needed for results; go over the bound a
-            // little rather than stall.
+            // Its `custom_id`s are still needed for results. The limit is
+            // exceeded, up to twice its value, rather than stalling the job.
             return true;
         }
         self.chunks.remove(&oldest);
@@ -122,8 +123,8 @@
 
     fn flush(&mut self, now: Moment, effects: &mut Vec<JobEffect>) {
         if let Some((seq, results)) = &self.recording {
-            // A write that failed is made again under the same number, so that
-            // one whose answer was lost is found instead of doubled.
+            // A failed write is retried under the same sequence number, so that
+            // a write whose answer was lost is found instead of written twice.
             if self.flush_at.is_past(now) {
                 let (seq, results) = (*seq, results.clone());
                 self.flush_at = Moment::FAR;
@@ -138,7 +139,7 @@
             || self.unrecorded_bytes >= self.limits.group_bytes;
         let last = self.is_done()
             || self.record.deadline.is_past(now)
-            || self.handing_over && !self.has_items_out();
+            || self.handing_over && !self.has_items_leased();
         if !(full || last || self.flush_at.is_past(now)) {
             return;
         }
@@ -181,7 +182,7 @@
         });
     }
 
-    /// Stops everything that is out, for a job that is over or is another's.
+    /// Withdraws all leased items, for a job that has ended or has another owner.
     pub fn withdraw_all(&mut self, effects: &mut Vec<JobEffect>) {
         let mut by_worker: BTreeMap<WorkerName, Vec<AttemptId>> = BTreeMap::new();
         for (request, lease) in self.leases.drain() {
--- a/crates/bluebellreel_job/src/owned/report.rs
+++ b/crates/bluebellreel_job/src/owned/report.rs
@@ -1,4 +1,4 @@
-//! How attempts at a job's items end.
+//! Handling of ended attempts.
 
 use super::{ItemState, OwnedJob, RESULT_OVERHEAD, is_final};
 use crate::{ItemEnd, ItemResult, LeaseState};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 impl OwnedJob {
-    /// Takes in how an attempt ended.
+    /// Records how an attempt ended.
     pub fn report(&mut self, attempt: AttemptId, end: AttemptEnd, now: Moment) {
         let is_current = self
             .leases
@@ -34,14 +34,14 @@
             AttemptEnd::NotRun(reason) if !reason.is_certain() && !self.repeatable => {
                 self.fail_item(index, "it may have run: the worker restarted", now);
             }
-            AttemptEnd::NotRun(_) => self.put_back(index),
+            AttemptEnd::NotRun(_) => self.requeue(index),
             AttemptEnd::Broken { reason, partial } => {
-                self.note_break(lease, attempt, reason, partial, now);
+                self.handle_broken(lease, attempt, reason, partial, now);
             }
         }
     }
 
-    fn note_break(
+    fn handle_broken(
         &mut self,
         lease: LeaseState,
         attempt: AttemptId,
@@ -69,31 +69,31 @@
             BrokenReason::EngineLost | BrokenReason::SideLost => {
                 self.fail_attempt(index, &reason.to_string(), now);
             }
-            // Giving way is no failed attempt, nor is an answer that was lost.
+            // A preemption does not count as a failed attempt, nor does a lost answer.
             BrokenReason::Preempted
             | BrokenReason::Cancelled
             | BrokenReason::Expired
-            | BrokenReason::Forgotten => self.put_back(index),
+            | BrokenReason::Forgotten => self.requeue(index),
         }
     }
 
-    pub(super) fn put_back(&mut self, index: u32) {
+    pub(super) fn requeue(&mut self, index: u32) {
         let item = &mut self.items[index as usize];
         item.state = ItemState::Waiting;
-        if item.failures >= self.limits.alone_after {
-            self.alone.push_back(index);
+        if item.failures >= self.limits.isolate_after {
+            self.isolated.push_back(index);
         } else {
-            self.again.push_back(index);
+            self.retry_queue.push_back(index);
         }
     }
 
     fn fail_attempt(&mut self, index: u32, reason: &str, now: Moment) {
         let item = &mut self.items[index as usize];
         item.failures += 1;
-        if item.failures >= self.limits.attempts {
+        if item.failures >= self.limits.max_failures {
             self.fail_item(index, reason, now);
         } else {
-            self.put_back(index);
+            self.requeue(index);
         }
     }
 
@@ -114,8 +114,9 @@
             ItemEnd::Succeeded { body, .. } => body.len(),
             ItemEnd::Failed { reason, .. } => reason.len(),
         };
-        // Guard: while a write is out, this moment would make the same one again
-        // beside it, and the second of the two comes out as another owner's.
+        // Not while a write is in progress: setting the time would send the same
+        // write a second time, and the later of the two would be taken for a write
+        // of another owner.
         if self.unrecorded.is_empty() && self.recording.is_none() {
             self.flush_at = now + self.limits.group_wait;
         }
@@ -128,8 +129,9 @@
         self.drop_finished_chunk(index);
     }
 
-    /// The caller's name for an item. A claim taken over from an earlier owner
-    /// may end before its chunk is loaded; the name is then found at reading.
+    /// The caller's id for an item; empty if its chunk is not in memory. The item of
+    /// a claim taken over from an earlier owner may end before its chunk is loaded;
+    /// the id is then looked up when the results are read.
     fn custom_id(&self, index: u32) -> Arc<str> {
         let chunk = self.record.chunk_of(index);
         let first = self.record.chunks[chunk as usize].first;
@@ -142,8 +144,8 @@
 
     fn drop_finished_chunk(&mut self, index: u32) {
         let chunk = self.record.chunk_of(index);
-        let place = &self.record.chunks[chunk as usize];
-        let range = place.first as usize..(place.first + place.items) as usize;
+        let chunk_ref = &self.record.chunks[chunk as usize];
+        let range = chunk_ref.first as usize..(chunk_ref.first + chunk_ref.items) as usize;
         let finished = self.items[range]
             .iter()
             .all(|item| item.state == ItemState::Ended);
@@ -152,7 +154,8 @@
         }
     }
 
-    /// A worker is gone: its leases return, or are in doubt.
+    /// Handles the loss of a worker: its items are requeued, or become in doubt if
+    /// they may not be repeated.
     pub fn lose_worker(&mut self, worker: &WorkerName, now: Moment) {
         let mut lost: Vec<AttemptId> = self
             .leases
@@ -173,17 +176,17 @@
         }
     }
 
-    /// Takes in what a side process knows of an attempt in doubt.
+    /// Applies a side process's verdict on an attempt in doubt.
     pub fn note_verdict(&mut self, attempt: AttemptId, verdict: AttemptVerdict, now: Moment) {
         let lease = self.leases.get(&attempt.request);
         let in_doubt = lease.filter(|lease| lease.in_doubt && lease.number == attempt.number);
         let Some(lease) = in_doubt else {
             return;
         };
-        let may_be_forgotten = (lease.until + NEVER_SEEN_BELIEVED).is_past(now);
+        let verdict_expired = (lease.expires_at + NEVER_SEEN_BELIEVED).is_past(now);
         match verdict {
             AttemptVerdict::Running => {}
-            AttemptVerdict::NeverSeen if may_be_forgotten => self.note_outcome_lost(attempt, now),
+            AttemptVerdict::NeverSeen if verdict_expired => self.note_outcome_lost(attempt, now),
             AttemptVerdict::NeverSeen => {
                 let end = AttemptEnd::NotRun(NotRunReason::Cancelled);
                 self.report(attempt, end, now);
@@ -192,7 +195,8 @@
         }
     }
 
-    /// The run of the side process that could have told is over for good.
+    /// Fails an item in doubt whose outcome can no longer be found, since the
+    /// incarnation of the side process that knew it has ended.
     pub fn note_outcome_lost(&mut self, attempt: AttemptId, now: Moment) {
         let Some(lease) = self.leases.remove(&attempt.request) else {
             return;
@@ -200,10 +204,11 @@
         self.fail_item(lease.index, "it may have run: the worker was lost", now);
     }
 
-    /// Puts back a lease whose claim could not be written: it was never sent.
+    /// Requeues a leased item that was not sent, since its claim could not be
+    /// written.
     pub fn release(&mut self, attempt: AttemptId) {
         if let Some(lease) = self.leases.remove(&attempt.request) {
-            self.put_back(lease.index);
+            self.requeue(lease.index);
         }
     }
 }
--- a/crates/bluebellreel_job/src/record.rs
+++ b/crates/bluebellreel_job/src/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of a job in the key-value service.
+//! Job data stored in the key-value service.
 
 use crate::JobTarget;
 use bluebellreel_chunk::VolumeId;
@@ -6,58 +6,58 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Where a job stands.
+/// The state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
-    /// Accepted; items run or wait.
+    /// Accepted; some items are running or waiting.
     Running,
     /// Every item has ended.
     Complete,
-    /// Cancelled; what had finished before stays readable.
+    /// Cancelled; results recorded before the cancellation stay readable.
     Cancelled,
-    /// Its deadline passed; what had finished before stays readable.
+    /// Its deadline passed; results recorded before it stay readable.
     Expired,
 }
 
-/// Items by their end.
+/// Numbers of ended items, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobCounts {
-    /// Answered.
+    /// Items with an answer.
     pub succeeded: u32,
-    /// Recorded as failed, with a reason.
+    /// Items recorded as failed, each with a reason.
     pub failed: u32,
 }
 
-/// Where one input chunk lies and which items it holds.
+/// The location of one input chunk and the range of items that it holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkRef {
     /// Index of its first item.
     pub first: u32,
-    /// Items in it.
+    /// Number of items in the chunk.
     pub items: u32,
     /// SHA-256 of its bytes, in hexadecimal.
     pub digest: String,
-    /// Bytes in it.
+    /// Size of the chunk in bytes.
     pub bytes: u64,
-    /// The volume that holds it; none if the key-value service does.
+    /// The volume that holds it; none if the key-value service stores it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub volume: Option<VolumeId>,
 }
 
-/// A chunk that lies on the disks of a volume's holders.
+/// A chunk that is stored on the disks of a volume's holders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldChunk {
     /// The volume.
     pub volume: VolumeId,
     /// SHA-256 of its bytes, in hexadecimal.
     pub digest: String,
-    /// Bytes in it.
+    /// Size of the chunk in bytes.
     pub bytes: u64,
 }
 
 impl ChunkRef {
-    /// Where it lies, if on disks.
+    /// The chunk's location on disks; none if the key-value service stores it.
     #[must_use]
     pub fn held(&self) -> Option<HeldChunk> {
         Some(HeldChunk {
@@ -73,31 +73,32 @@
 pub struct JobRecord {
     /// Its id.
     pub id: JobId,
-    /// Whose it is.
+    /// The team that submitted it.
     pub team: TeamName,
     /// SHA-256 of the body as submitted, in hexadecimal.
     pub digest: String,
-    /// Names this upload's chunks: a resend at the same moment writes others.
+    /// Identifies this upload's chunks. A concurrent resend of the same job writes its
+    /// chunks under another upload id.
     pub upload: String,
-    /// What its items ask.
+    /// The model or service that its items call.
     pub target: JobTarget,
     /// When it was accepted.
     pub accepted_at: Moment,
     /// When its results are due.
     pub deadline: Moment,
-    /// Items in it.
+    /// Number of items.
     pub items: u32,
     /// Its input chunks.
     pub chunks: Vec<ChunkRef>,
-    /// Where it stands.
+    /// The job's state.
     pub state: JobState,
-    /// Who works on it.
+    /// The entry daemon that owns it.
     pub owner: EntryName,
-    /// The owner's run.
+    /// The owner's incarnation.
     pub owner_run: Incarnation,
-    /// Grows with every change of owner.
+    /// Increases with every change of owner.
     pub epoch: u64,
-    /// Items by their end, exact once the job has ended.
+    /// Numbers of ended items by outcome; exact once the job has ended.
     pub counts: JobCounts,
     /// When it ended.
     pub ended_at: Option<Moment>,
@@ -107,18 +108,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum ItemEnd {
-    /// Answered.
+    /// The item has an answer.
     Succeeded {
         /// HTTP status of the answer.
         status: u16,
         /// The answer's text.
         body: Arc<str>,
     },
-    /// Given up.
+    /// The item failed for good.
     Failed {
-        /// Why.
+        /// Why it failed.
         reason: Arc<str>,
-        /// Attempts made.
+        /// Number of attempts made.
         attempts: u32,
     },
 }
@@ -126,43 +127,44 @@
 /// One item's result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemResult {
-    /// The item's place in the job.
+    /// The item's index in the job.
     pub index: u32,
-    /// The caller's name for it.
+    /// The caller's id for the item.
     pub custom_id: Arc<str>,
     /// How it ended.
     pub end: ItemEnd,
 }
 
-/// Results that are written together.
+/// A group of results written together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultChunk {
     /// The owner's epoch.
     pub epoch: u64,
-    /// The results, unless they lie on disks.
+    /// The results; empty if they are stored on disks.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub results: Vec<ItemResult>,
-    /// Where the results lie, as a JSON list.
+    /// Location of the results on disks, stored as a JSON list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub held: Option<HeldChunk>,
 }
 
-/// One item of a call that may not be repeated, claimed before it is sent.
+/// A claim of an item whose call may not be repeated, written before the item is
+/// sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimedItem {
-    /// The item's place in the job.
+    /// The item's index in the job.
     pub index: u32,
     /// The attempt.
     pub attempt: AttemptId,
-    /// Where it goes.
+    /// The worker that the attempt is sent to.
     pub worker: WorkerName,
-    /// The run of the side process that it is meant for.
+    /// The incarnation of the side process that the attempt is sent to.
     pub incarnation: Incarnation,
     /// The attempt's deadline.
     pub deadline: Moment,
 }
 
-/// Claims that are written together.
+/// A group of claims written together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimChunk {
     /// The owner's epoch.
@@ -172,14 +174,14 @@
 }
 
 impl JobRecord {
-    /// The chunk that holds an item.
+    /// Index of the chunk that holds an item.
     #[must_use]
     pub fn chunk_of(&self, index: u32) -> u32 {
         let after = self.chunks.partition_point(|chunk| chunk.first <= index);
         u32::try_from(after.saturating_sub(1)).unwrap_or(u32::MAX)
     }
 
-    /// The record under a new owner.
+    /// The record with a new owner and the next epoch.
     #[must_use]
     pub fn taken_over(&self, owner: EntryName, owner_run: Incarnation) -> Self {
         Self {
@@ -190,7 +192,7 @@
         }
     }
 
-    /// The record at its end.
+    /// The record of the ended job.
     #[must_use]
     pub fn ended(&self, state: JobState, counts: JobCounts, now: Moment) -> Self {
         Self {
--- a/crates/bluebellreel_job/src/scheduler.rs
+++ b/crates/bluebellreel_job/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! All jobs that a daemon owns, and whose items go out next.
+//! Scheduling of the items of all jobs that a daemon owns.
 
 use crate::{ItemLease, OwnedJob, TeamShares};
 use bluebellreel_types::{
@@ -6,46 +6,46 @@
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Bounds over all owned jobs.
+/// Limits over all owned jobs.
 #[derive(Clone, Debug)]
 pub struct SchedulerLimits {
-    /// Bytes of results that may wait to be recorded; past it no item goes
-    /// out, so that an outage of the key-value service fills no memory.
+    /// Maximum total size of unrecorded results. Beyond it no items are leased,
+    /// so that memory stays bounded during an outage of the key-value service.
     pub unrecorded_bytes: usize,
-    /// Items that one pull hands out at the most.
-    pub pull: usize,
+    /// Maximum number of items leased per pull.
+    pub max_pull_items: usize,
 }
 
 impl Default for SchedulerLimits {
     fn default() -> Self {
         Self {
             unrecorded_bytes: 32 << 20,
-            pull: 64,
+            max_pull_items: 64,
         }
     }
 }
 
-/// One job's items handed out together.
+/// Items of one job, leased together.
 #[derive(Clone, Debug)]
 pub struct JobLeases {
     /// The job.
     pub job: JobId,
-    /// The items.
+    /// The leased items.
     pub leases: Vec<ItemLease>,
 }
 
-/// The owned jobs.
+/// The owned jobs and the usage of their teams.
 #[derive(Clone, Debug, Default)]
 pub struct JobScheduler {
-    /// By id.
+    /// The owned jobs, by id.
     pub jobs: BTreeMap<JobId, OwnedJob>,
     limits: SchedulerLimits,
     shares: TeamShares,
-    holder_of: HashMap<RequestId, JobId>,
+    job_by_request: HashMap<RequestId, JobId>,
 }
 
 impl JobScheduler {
-    /// An empty board.
+    /// A scheduler without jobs.
     #[must_use]
     pub fn new(limits: SchedulerLimits) -> Self {
         Self {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Items that wait for one of these models.
+    /// Number of items that wait for one of these models.
     #[must_use]
     pub fn waiting(&self, models: &BTreeSet<ModelName>) -> u32 {
         self.jobs
@@ -64,7 +64,7 @@
             .fold(0, u32::saturating_add)
     }
 
-    /// Models that items wait for.
+    /// The models of jobs with waiting items.
     #[must_use]
     pub fn waiting_models(&self) -> BTreeSet<ModelName> {
         let waiting = self.jobs.values().filter(|job| job.waiting() > 0);
@@ -73,24 +73,24 @@
             .collect()
     }
 
-    /// Workers that hold items.
+    /// The workers that hold leases.
     #[must_use]
     pub fn holders(&self) -> BTreeSet<WorkerName> {
         let holders = self.jobs.values().flat_map(OwnedJob::holders);
         holders.cloned().collect()
     }
 
-    /// Bytes of results that wait to be recorded.
+    /// Total size of the results not yet recorded.
     #[must_use]
     pub fn unrecorded_bytes(&self) -> usize {
         self.jobs.values().map(OwnedJob::unrecorded_bytes).sum()
     }
 
-    /// Hands out items to a worker that pulls.
+    /// Leases items to a worker that pulls.
     ///
-    /// The team that was served least goes first, and within it the job that
-    /// is due first. A job whose time runs short counts its team's account for
-    /// less.
+    /// The team that was served least goes first, and within a team the job with
+    /// the earliest deadline. For a job close to its deadline, the tokens served
+    /// to its team are divided by the job's urgency.
     pub fn pull(
         &mut self,
         room: usize,
@@ -103,30 +103,32 @@
         if self.unrecorded_bytes() >= self.limits.unrecorded_bytes {
             return leased_jobs;
         }
-        let mut left = room.min(self.limits.pull);
+        let mut remaining = room.min(self.limits.max_pull_items);
         let mut exhausted = BTreeSet::new();
         let mut held = self.held_by(worker);
-        while left > 0 {
+        while remaining > 0 {
             let Some(id) = self.next_job(models, &exhausted, now) else {
                 break;
             };
-            // One share at a time, so that several teams meet in one pull.
-            let share = left.div_ceil(4);
+            // A quarter of the remaining room at a time, so that one pull serves
+            // several teams.
+            let share = remaining.div_ceil(4);
             let Some(job) = self.jobs.get_mut(&id) else {
                 break;
             };
-            let leases = job.take(share, worker, incarnation, held, now);
+            let leases = job.lease_items(share, worker, incarnation, held, now);
             if leases.is_empty() {
                 exhausted.insert(id);
                 continue;
             }
-            left = left.saturating_sub(leases.len());
+            remaining = remaining.saturating_sub(leases.len());
             held += leases.len();
             let tokens = leases.iter().map(|lease| lease.work.tokens).sum();
             let team = job.record.team.clone();
             self.shares.add(&team, tokens, now);
             for lease in &leases {
-                self.holder_of.insert(lease.attempt.request, id.clone());
+                self.job_by_request
+                    .insert(lease.attempt.request, id.clone());
             }
             leased_jobs.push(JobLeases { job: id, leases });
         }
@@ -149,8 +151,8 @@
             if !ready || exhausted.contains(id) {
                 continue;
             }
-            let account = self.account(&job.record.team, job, now);
-            let rank = (account, job.record.deadline, id);
+            let weighted_usage = self.weighted_usage(&job.record.team, job, now);
+            let rank = (weighted_usage, job.record.deadline, id);
             if best.is_none_or(|known| rank < known) {
                 best = Some(rank);
             }
@@ -158,13 +160,13 @@
         best.map(|(_, _, id)| id.clone())
     }
 
-    fn account(&self, team: &TeamName, job: &OwnedJob, now: Moment) -> f64 {
+    fn weighted_usage(&self, team: &TeamName, job: &OwnedJob, now: Moment) -> f64 {
         self.shares.served(team, now) / f64::from(urgency(job, now))
     }
 
-    /// Takes in how an attempt ended.
+    /// Records how an attempt ended.
     pub fn report(&mut self, attempt: AttemptId, end: AttemptEnd, now: Moment) {
-        let Some(id) = self.holder_of.remove(&attempt.request) else {
+        let Some(id) = self.job_by_request.remove(&attempt.request) else {
             return;
         };
         if let Some(job) = self.jobs.get_mut(&id) {
@@ -172,22 +174,24 @@
         }
     }
 
-    /// Forgets what is no longer needed.
+    /// Removes the totals of idle teams and the requests that are no longer
+    /// leased.
     pub fn remove_stale_entries(&mut self, now: Moment) {
-        self.shares.forget_idle(now);
+        self.shares.remove_idle(now);
         let jobs = &self.jobs;
-        self.holder_of
+        self.job_by_request
             .retain(|request, id| jobs.get(id).is_some_and(|job| job.holds(*request)));
     }
 }
 
-/// Weight of a job by the share of its time that is left.
+/// Weight of a job: 4 if less than a tenth of its time is left, 2 if less than a
+/// quarter, otherwise 1.
 fn urgency(job: &OwnedJob, now: Moment) -> u32 {
     let whole = job.record.deadline.since(job.record.accepted_at);
-    let left = job.record.deadline.since(now);
-    if left * 10 < whole {
+    let remaining = job.record.deadline.since(now);
+    if remaining * 10 < whole {
         4
-    } else if left * 4 < whole {
+    } else if remaining * 4 < whole {
         2
     } else {
         1
--- a/crates/bluebellreel_job/tests/owned.rs
+++ b/crates/bluebellreel_job/tests/owned.rs
@@ -1,4 +1,4 @@
-//! A job under any course of events.
+//! An owned job under random sequences of events.
 
 use bluebellreel_job::{
     ChunkRef, ClaimedItem, ItemEnd, ItemLease, JobCounts, JobEffect, JobLimits, JobRecord,
@@ -53,55 +53,56 @@
     }
 }
 
-/// Drives a job and keeps what it records.
-struct Bench {
+/// Drives a job and collects the results that it records.
+struct Harness {
     job: OwnedJob,
     now: Moment,
     recorded: BTreeMap<u32, ItemEnd>,
-    doubled: bool,
+    duplicated: bool,
     closed: Option<(JobState, JobCounts)>,
-    out: Vec<(WorkerName, ItemLease)>,
+    leased_items: Vec<(WorkerName, ItemLease)>,
 }
 
-impl Bench {
+impl Harness {
     fn new(items: u32, limits: JobLimits) -> Self {
         let job = OwnedJob::open(record(items), 1, true, limits, &[], &[]);
         Self {
             job,
             now: Moment(1_000_000),
             recorded: BTreeMap::new(),
-            doubled: false,
+            duplicated: false,
             closed: None,
-            out: Vec::new(),
+            leased_items: Vec::new(),
         }
     }
 
-    fn poll(&mut self, write_works: bool) {
+    fn poll(&mut self, write_succeeds: bool) {
         for effect in self.job.poll(self.now) {
             match effect {
                 JobEffect::LoadChunk(chunk) => {
-                    let place = self.job.record.chunks[chunk as usize].clone();
-                    let bytes = chunk_bytes(place.first, place.items);
+                    let chunk_ref = self.job.record.chunks[chunk as usize].clone();
+                    let bytes = chunk_bytes(chunk_ref.first, chunk_ref.items);
                     self.job.note_chunk(chunk, &bytes).expect("as accepted");
                 }
-                JobEffect::Record { seq, results } if write_works => {
+                JobEffect::Record { seq, results } if write_succeeds => {
                     for result in results.iter() {
                         let before = self.recorded.insert(result.index, result.end.clone());
-                        self.doubled |= before.is_some();
+                        self.duplicated |= before.is_some();
                     }
                     self.job.note_recorded(seq, self.now);
                 }
                 JobEffect::Record { .. } => self.job.note_record_failed(self.now),
                 JobEffect::Close { state, counts } => self.closed = Some((state, counts)),
                 JobEffect::Withdraw { attempts, .. } => {
-                    self.out.retain(|(_, l)| !attempts.contains(&l.attempt));
+                    self.leased_items
+                        .retain(|(_, l)| !attempts.contains(&l.attempt));
                 }
                 JobEffect::QueryAttempt { .. } => {}
             }
         }
     }
 
-    /// Numbers of the writes that are due; all of them stay out.
+    /// Sequence numbers of the writes that are due; none of them completes.
     fn writes(&mut self) -> Vec<u64> {
         let effects = self.job.poll(self.now).into_iter();
         let writes = effects.filter_map(|effect| match effect {
@@ -114,13 +115,15 @@
     fn pull(&mut self, worker: &str, room: usize) {
         let worker = WorkerName::from(worker);
         let held = self.job.held_by(&worker);
-        let leases = self.job.take(room, &worker, Incarnation(1), held, self.now);
-        self.out
+        let leases = self
+            .job
+            .lease_items(room, &worker, Incarnation(1), held, self.now);
+        self.leased_items
             .extend(leases.into_iter().map(|l| (worker.clone(), l)));
     }
 
     fn end_all(&mut self, end: impl Fn(&ItemLease) -> AttemptEnd) {
-        for (_, lease) in std::mem::take(&mut self.out) {
+        for (_, lease) in std::mem::take(&mut self.leased_items) {
             self.job.report(lease.attempt, end(&lease), self.now);
         }
     }
@@ -141,7 +144,7 @@
     }
 }
 
-/// One step of a random course.
+/// One step of a random sequence of events.
 #[derive(Clone, Debug)]
 enum Step {
     Pull(u8, usize),
@@ -149,7 +152,7 @@
     Lose(usize),
     Preempt(usize),
     Refuse(usize),
-    Doubled(usize),
+    Duplicate(usize),
     WorkerGone(u8),
     Poll(bool),
     Wait(u64),
@@ -162,7 +165,7 @@
         1 => any::<usize>().prop_map(Step::Lose),
         1 => any::<usize>().prop_map(Step::Preempt),
         1 => any::<usize>().prop_map(Step::Refuse),
-        1 => any::<usize>().prop_map(Step::Doubled),
+        1 => any::<usize>().prop_map(Step::Duplicate),
         1 => (0_u8..3).prop_map(Step::WorkerGone),
         4 => any::<bool>().prop_map(Step::Poll),
         1 => (0_u64..40).prop_map(Step::Wait),
@@ -170,17 +173,17 @@
     proptest::collection::vec(step, 0..120)
 }
 
-impl Bench {
-    fn take_out(&mut self, pick: usize) -> Option<(WorkerName, ItemLease)> {
-        if self.out.is_empty() {
+impl Harness {
+    fn take_leased(&mut self, pick: usize) -> Option<(WorkerName, ItemLease)> {
+        if self.leased_items.is_empty() {
             return None;
         }
-        let index = pick % self.out.len();
-        Some(self.out.remove(index))
+        let index = pick % self.leased_items.len();
+        Some(self.leased_items.remove(index))
     }
 
     fn end_one(&mut self, pick: usize, end: AttemptEnd) {
-        if let Some((_, lease)) = self.take_out(pick) {
+        if let Some((_, lease)) = self.take_leased(pick) {
             self.job.report(lease.attempt, end, self.now);
         }
     }
@@ -200,8 +203,8 @@
             Step::Refuse(pick) => {
                 self.end_one(*pick, AttemptEnd::NotRun(NotRunReason::Overloaded));
             }
-            Step::Doubled(pick) => {
-                if let Some((_, lease)) = self.take_out(*pick) {
+            Step::Duplicate(pick) => {
+                if let Some((_, lease)) = self.take_leased(*pick) {
                     self.job.report(lease.attempt, completed(), self.now);
                     self.job.report(lease.attempt, completed(), self.now);
                     let other = AttemptId {
@@ -214,18 +217,18 @@
             Step::WorkerGone(worker) => {
                 let worker = WorkerName::from(format!("w{worker}"));
                 self.job.lose_worker(&worker, self.now);
-                self.out.retain(|(at, _)| *at != worker);
+                self.leased_items.retain(|(at, _)| *at != worker);
             }
-            Step::Poll(works) => self.poll(*works),
+            Step::Poll(succeeds) => self.poll(*succeeds),
             Step::Wait(seconds) => self.now = self.now + Duration::from_secs(*seconds),
         }
     }
 }
 
-/// Workers die, give way, answer twice; writes fail; time passes. In the end
-/// each item has exactly one result and the counts agree.
+/// Workers are lost, preempt items and report twice; writes fail; time passes. In
+/// the end each item must have exactly one result, and the counts must agree.
 #[test]
-fn any_course_ends_with_each_item_once() {
+fn every_item_ends_once_under_random_events() {
     let config = Config {
         cases: 300,
         rng_seed: RngSeed::Fixed(11),
@@ -233,23 +236,23 @@
         ..Config::default()
     };
     let outcome = TestRunner::new(config).run(&(1_u32..45, steps()), |(items, steps)| {
-        let mut bench = Bench::new(items, JobLimits::default());
+        let mut harness = Harness::new(items, JobLimits::default());
         for step in &steps {
-            bench.run(step);
+            harness.run(step);
         }
         for _ in 0..2_000 {
-            if bench.closed.is_some() {
+            if harness.closed.is_some() {
                 break;
             }
-            bench.now = bench.now + Duration::from_millis(600);
-            bench.poll(true);
-            bench.pull("w9", 8);
-            bench.end_all(|_| completed());
+            harness.now = harness.now + Duration::from_millis(600);
+            harness.poll(true);
+            harness.pull("w9", 8);
+            harness.end_all(|_| completed());
         }
-        let (state, counts) = bench.closed.expect("the job ends");
-        prop_assert!(!bench.doubled, "an item was recorded twice");
+        let (state, counts) = harness.closed.expect("the job ends");
+        prop_assert!(!harness.duplicated, "an item was recorded twice");
         prop_assert_eq!(state, JobState::Complete);
-        prop_assert_eq!(bench.recorded.len(), items as usize);
+        prop_assert_eq!(harness.recorded.len(), items as usize);
         prop_assert_eq!(counts.succeeded + counts.failed, items);
         Ok(())
     });
@@ -258,29 +261,32 @@
     }
 }
 
-/// One note takes its worker down each time. It must not take good notes into
-/// failure with it: after two breaks every suspect is tried alone, and only
-/// the poisoned one is given up, with its reason.
+/// One item crashes its worker at every attempt. Other items on that worker must
+/// not fail with it: after two crashes, each suspect item is leased alone, and
+/// only the poisoned one is recorded as failed, with its reason.
 #[test]
 fn poisoned_item_fails_alone() {
-    let mut bench = Bench::new(20, JobLimits::default());
+    let mut harness = Harness::new(20, JobLimits::default());
     let is_poisoned = |lease: &ItemLease| &*lease.work.body == poisoned_body().as_slice();
     for _ in 0..200 {
-        bench.now = bench.now + Duration::from_millis(100);
-        bench.poll(true);
-        bench.pull("w", 8);
-        let poisoned = bench.out.iter().any(|(_, lease)| is_poisoned(lease));
-        bench.end_all(|_| if poisoned { lost() } else { completed() });
+        harness.now = harness.now + Duration::from_millis(100);
+        harness.poll(true);
+        harness.pull("w", 8);
+        let poisoned = harness
+            .leased_items
+            .iter()
+            .any(|(_, lease)| is_poisoned(lease));
+        harness.end_all(|_| if poisoned { lost() } else { completed() });
     }
-    bench.now = bench.now + Duration::from_secs(10);
-    bench.poll(true);
-    let failed: Vec<u32> = bench
+    harness.now = harness.now + Duration::from_secs(10);
+    harness.poll(true);
+    let failed: Vec<u32> = harness
         .recorded
         .iter()
         .filter(|(_, end)| matches!(end, ItemEnd::Failed { .. }))
         .map(|(index, _)| *index)
         .collect();
-    assert_eq!(bench.recorded.len(), 20);
+    assert_eq!(harness.recorded.len(), 20);
     assert_eq!(failed, [7]);
 }
 
@@ -288,86 +294,86 @@
     br#"{"model":"m","messages":[{"role":"user","content":"7"}]}"#.to_vec()
 }
 
-/// A job of 64,000 items holds only a few input chunks in memory at any time.
+/// A job of 64,000 items must keep only a few input chunks in memory at any time.
 #[test]
 fn large_job_holds_few_chunks() {
     let limits = JobLimits::default();
-    let mut bench = Bench::new(64_000, limits.clone());
+    let mut harness = Harness::new(64_000, limits.clone());
     let mut most = 0;
-    while bench.closed.is_none() {
-        bench.now = bench.now + Duration::from_millis(10);
-        bench.poll(true);
-        bench.pull("w", 64);
-        most = most.max(bench.job.chunks_held());
-        bench.end_all(|_| completed());
+    while harness.closed.is_none() {
+        harness.now = harness.now + Duration::from_millis(10);
+        harness.poll(true);
+        harness.pull("w", 64);
+        most = most.max(harness.job.chunks_held());
+        harness.end_all(|_| completed());
     }
     assert!(most <= limits.chunks, "{most} chunks held");
-    assert_eq!(bench.recorded.len(), 64_000);
+    assert_eq!(harness.recorded.len(), 64_000);
 }
 
-/// An owner that takes a job over starts from what is recorded.
+/// An owner that takes over a job must not run items whose results are recorded.
 #[test]
 fn new_owner_runs_only_what_is_not_recorded() {
     let recorded: Vec<(u32, bool)> = (0..15).map(|index| (index, true)).collect();
     let limits = JobLimits::default();
-    let mut bench = Bench::new(20, limits.clone());
-    bench.job = OwnedJob::open(record(20), 1, true, limits, &recorded, &[]);
+    let mut harness = Harness::new(20, limits.clone());
+    harness.job = OwnedJob::open(record(20), 1, true, limits, &recorded, &[]);
     for _ in 0..5 {
-        bench.poll(true);
-        bench.pull("w", 64);
+        harness.poll(true);
+        harness.pull("w", 64);
     }
-    assert_eq!(bench.out.len(), 5, "five items are left");
+    assert_eq!(harness.leased_items.len(), 5, "five items are left");
 }
 
-/// A daemon that stops stood idle for five seconds: the last results of its
-/// job waited for a group that could no longer fill. Once the last item that
-/// is out has come back, they are recorded at once.
+/// A stopping daemon waited idle for five seconds, since the last results of its
+/// job waited for a group that could no longer fill. Once the last leased item has
+/// been returned, they must be recorded at once.
 #[test]
-fn handed_over_job_records_a_part_of_a_group_at_once() {
-    let mut bench = Bench::new(20, JobLimits::default());
-    bench.poll(true);
-    bench.pull("w", 2);
-    bench.end_one(0, completed());
-    bench.poll(true);
-    assert!(bench.recorded.is_empty(), "the group is not full");
-    bench.job.hand_over();
-    bench.poll(true);
-    assert!(bench.recorded.is_empty(), "an item is still out");
-    assert!(!bench.job.is_handed_over());
-    bench.end_one(0, completed());
-    bench.poll(true);
-    assert_eq!(bench.recorded.len(), 2);
-    assert!(bench.job.is_handed_over());
+fn handover_records_a_partial_group_at_once() {
+    let mut harness = Harness::new(20, JobLimits::default());
+    harness.poll(true);
+    harness.pull("w", 2);
+    harness.end_one(0, completed());
+    harness.poll(true);
+    assert!(harness.recorded.is_empty(), "the group is not full");
+    harness.job.hand_over();
+    harness.poll(true);
+    assert!(harness.recorded.is_empty(), "an item is still out");
+    assert!(!harness.job.is_handed_over());
+    harness.end_one(0, completed());
+    harness.poll(true);
+    assert_eq!(harness.recorded.len(), 2);
+    assert!(harness.job.is_handed_over());
 }
 
-/// A disk was lost, and the next results waited seconds for it while items went
-/// on ending. The same write was made once more beside the first one; the one
-/// that came second was taken for another owner's work, and the daemon let go
-/// of its job, which then lay for ever.
+/// A write took seconds because a disk was lost, while more items ended. The same
+/// write was then sent a second time. The later of the two was taken for a write
+/// of another owner, so the daemon dropped its job, which then never ended.
 #[test]
-fn results_that_take_long_to_write_are_not_written_beside_it() {
+fn slow_result_write_is_not_sent_twice() {
     let limits = JobLimits {
         group_items: 2,
         ..JobLimits::default()
     };
-    let mut bench = Bench::new(20, limits.clone());
-    bench.poll(true);
-    bench.pull("w", 5);
-    bench.end_one(0, completed());
-    bench.end_one(0, completed());
-    assert_eq!(bench.writes(), [0], "a group is full");
-    bench.end_one(0, completed());
-    bench.now = bench.now + limits.group_wait * 2;
-    assert_eq!(bench.writes(), [0; 0], "the first is still out");
-    bench.job.note_recorded(0, bench.now);
-    bench.now = bench.now + limits.group_wait * 2;
-    assert_eq!(bench.writes(), [1], "the others wait no longer");
+    let mut harness = Harness::new(20, limits.clone());
+    harness.poll(true);
+    harness.pull("w", 5);
+    harness.end_one(0, completed());
+    harness.end_one(0, completed());
+    assert_eq!(harness.writes(), [0], "a group is full");
+    harness.end_one(0, completed());
+    harness.now = harness.now + limits.group_wait * 2;
+    assert_eq!(harness.writes(), [0; 0], "the first is still out");
+    harness.job.note_recorded(0, harness.now);
+    harness.now = harness.now + limits.group_wait * 2;
+    assert_eq!(harness.writes(), [1], "the others wait no longer");
 }
 
-/// A side process died with a call that may not be repeated. The daemon that
-/// sent it can stop: its claim is recorded, and the next owner settles it.
+/// A side process was lost while it ran a call that may not be repeated. The daemon
+/// that sent the call must still be able to stop: the claim is recorded, and the
+/// next owner resolves it.
 #[test]
-fn call_in_doubt_does_not_hold_up_a_stop() {
+fn call_in_doubt_does_not_block_handover() {
     let limits = JobLimits::default();
     let claim = ClaimedItem {
         index: 0,
@@ -385,10 +391,10 @@
     assert!(job.is_handed_over());
 }
 
-/// Nobody could record for an hour that a booking had run. Its side process
-/// has forgotten it and says "never seen"; the booking must not run again.
+/// For an hour the outcome of a booking could not be recorded. Meanwhile its side
+/// process evicted it and answers "never seen". The booking must not run again.
 #[test]
-fn never_seen_is_not_believed_of_an_old_claim() {
+fn never_seen_is_not_accepted_for_an_old_claim() {
     let limits = JobLimits::default();
     let attempt = AttemptId {
         request: RequestId(9),
@@ -401,10 +407,10 @@
         incarnation: Incarnation(1),
         deadline: Moment(0),
     };
-    let mut young = OwnedJob::open(record(20), 1, false, limits, &[], &[claim]);
-    let mut old = young.clone();
-    young.note_verdict(attempt, AttemptVerdict::NeverSeen, Moment(0));
-    assert_eq!(young.waiting(), 20, "it surely did not run");
+    let mut recent = OwnedJob::open(record(20), 1, false, limits, &[], &[claim]);
+    let mut old = recent.clone();
+    recent.note_verdict(attempt, AttemptVerdict::NeverSeen, Moment(0));
+    assert_eq!(recent.waiting(), 20, "it surely did not run");
     let later = Moment(0) + Duration::from_hours(1);
     old.note_verdict(attempt, AttemptVerdict::NeverSeen, later);
     assert_eq!(old.waiting(), 19, "it may have run");
