--- a/crates/bluebellreel_claim/src/lib.rs
+++ b/crates/bluebellreel_claim/src/lib.rs
@@ -1,14 +1,14 @@
 //! Claims of calls that may not be repeated.
 //!
-//! Before such a call is sent, a record of it is created in the key-value
-//! service under a key that follows from the team and its idempotency key.
-//! Whoever sends the call again, through whichever entry, finds the record and
-//! is told what became of the first one.
+//! Before such a call is sent, a claim record is created in the key-value service
+//! under a key derived from the team and the call's idempotency key. If a caller
+//! resends the call through any entry daemon, that daemon finds the record and
+//! answers with the outcome of the first call.
 //!
 //! ```
-//! use bluebellreel_claim::{ClaimState, decide, Resend};
+//! use bluebellreel_claim::{ClaimState, ResendAction, resend_action};
 //!
-//! assert_eq!(decide(&ClaimState::NotRun), Resend::MayRun);
+//! assert_eq!(resend_action(&ClaimState::NotRun), ResendAction::MayRun);
 //! ```
 
 mod record;
--- a/crates/bluebellreel_claim/src/record.rs
+++ b/crates/bluebellreel_claim/src/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of a claimed call.
+//! The stored record of a claimed call.
 
 use bluebellreel_types::{
     AttemptId, EntryName, Incarnation, Moment, TeamName, WorkerName, digest_id,
@@ -6,60 +6,60 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What became of a claimed call.
+/// The outcome of a claimed call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum ClaimState {
-    /// It was sent, or is about to be.
+    /// The call was sent or is about to be sent.
     Pending,
-    /// It ran, and this is its answer.
+    /// The call ran, with this answer.
     Completed {
         /// HTTP status.
         status: u16,
-        /// The answer's body, or a chat answer's text.
+        /// The answer's body, or the text of a chat answer.
         body: Arc<str>,
     },
-    /// The backend server refused the work itself.
+    /// The backend server rejected the request as invalid.
     Rejected {
         /// HTTP status.
         status: u16,
-        /// Its reason.
+        /// The backend server's reason.
         message: Arc<str>,
     },
-    /// It did not run and will not; the key may be used again.
+    /// The call did not run and never will; the key may be used again.
     NotRun,
-    /// It may have run, and nobody can tell any more.
+    /// The call may have run, and its outcome can no longer be found.
     Unknown,
 }
 
-/// One claimed call.
+/// The record of one claimed call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// Whose call it is.
+    /// The team that made the call.
     pub team: TeamName,
-    /// Its idempotency key.
+    /// The call's idempotency key.
     pub key: Arc<str>,
-    /// SHA-256 of what was asked, in hexadecimal.
+    /// SHA-256 of the request, in hexadecimal.
     pub digest: String,
     /// The attempt.
     pub attempt: AttemptId,
-    /// Where it was to be sent.
+    /// The worker that the attempt was addressed to.
     pub worker: WorkerName,
-    /// The run of the side process that it was meant for.
+    /// The incarnation of the side process that the attempt was addressed to.
     pub incarnation: Incarnation,
-    /// The entry that claimed it.
+    /// The entry daemon that claimed the call.
     pub entry: EntryName,
-    /// That entry's run.
+    /// The incarnation of that entry daemon.
     pub entry_run: Incarnation,
-    /// When its answer is no longer wanted.
+    /// The attempt's deadline.
     pub deadline: Moment,
-    /// What became of it.
+    /// The call's outcome.
     #[serde(flatten)]
     pub state: ClaimState,
 }
 
 impl ClaimRecord {
-    /// The name under which a team's key is claimed.
+    /// The id under which a team's idempotency key is claimed.
     #[must_use]
     pub fn id(team: &TeamName, key: &str) -> String {
         digest_id(team, key)
--- a/crates/bluebellreel_claim/src/resolve.rs
+++ b/crates/bluebellreel_claim/src/resolve.rs
@@ -1,47 +1,48 @@
-//! What a claim that is found means.
+//! Decisions from an existing claim and from a side process's verdict.
 
 use crate::ClaimState;
 use bluebellreel_types::{AttemptEnd, AttemptVerdict, Moment, NEVER_SEEN_BELIEVED};
 use std::sync::Arc;
 
-/// What a resend of a claimed call may do.
+/// How a resend of a claimed call is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResendAction {
-    /// The first one surely did not run: this one may.
+    /// The first call certainly did not run, so the resend may run.
     MayRun,
-    /// The caller is told what is recorded.
-    ReadRecorded,
-    /// The side process named in the claim must be asked first.
-    AskSide,
+    /// The caller gets the recorded outcome.
+    ReturnRecorded,
+    /// The side process named in the claim must be queried first.
+    QuerySideProcess,
 }
 
-/// Decides what a resend may do.
+/// Decides how a resend of a call in this state is handled.
 #[must_use]
 pub fn resend_action(state: &ClaimState) -> ResendAction {
     match state {
         ClaimState::NotRun => ResendAction::MayRun,
-        ClaimState::Pending => ResendAction::AskSide,
+        ClaimState::Pending => ResendAction::QuerySideProcess,
         ClaimState::Completed { .. } | ClaimState::Rejected { .. } | ClaimState::Unknown => {
-            ResendAction::ReadRecorded
+            ResendAction::ReturnRecorded
         }
     }
 }
 
-/// The state to record once a side process has spoken; none while it runs.
+/// The state to record for a side process's verdict; none while the call runs.
 ///
-/// "Not run" is recorded only for an attempt that the side process has never
-/// seen and refuses from now on, or that it refused itself; and only as long as
-/// the side process cannot have forgotten it.
+/// `NotRun` is recorded only for an attempt that the side process refused, or that
+/// it has never seen and will refuse from now on. "Never seen" is accepted only
+/// while the side process cannot have evicted the attempt from its ledger;
+/// afterwards the outcome is unknown.
 #[must_use]
 pub fn state_after_verdict(
     verdict: &AttemptVerdict,
     deadline: Moment,
     now: Moment,
 ) -> Option<ClaimState> {
-    let may_be_forgotten = (deadline + NEVER_SEEN_BELIEVED).is_past(now);
+    let verdict_expired = (deadline + NEVER_SEEN_BELIEVED).is_past(now);
     Some(match verdict {
         AttemptVerdict::Running => return None,
-        AttemptVerdict::NeverSeen if may_be_forgotten => ClaimState::Unknown,
+        AttemptVerdict::NeverSeen if verdict_expired => ClaimState::Unknown,
         AttemptVerdict::NeverSeen => ClaimState::NotRun,
         AttemptVerdict::Ended(AttemptEnd::NotRun(reason)) if reason.is_certain() => {
             ClaimState::NotRun
@@ -67,10 +68,10 @@
     use super::*;
     use bluebellreel_types::BrokenReason;
 
-    /// A slot confirmation broke off in the middle. Nobody can tell whether
-    /// the antenna was booked, so the member must never be told "not run".
+    /// A booking call broke off before its answer was complete, so it is unknown
+    /// whether the booking was made. The caller must never get "not run".
     #[test]
-    fn broken_call_is_never_called_not_run() {
+    fn broken_call_is_never_reported_as_not_run() {
         let verdict = AttemptVerdict::Ended(AttemptEnd::Broken {
             reason: BrokenReason::EngineLost,
             partial: Arc::from(""),
@@ -84,11 +85,11 @@
         );
     }
 
-    /// A harp was booked, and for an hour nobody could record it. The side
-    /// process has forgotten the call and would say "never seen"; the member
-    /// must not be told "not run", or the harp is booked twice.
+    /// For an hour the outcome of a booking could not be recorded. Meanwhile the
+    /// side process evicted the call and answers "never seen". The caller must not
+    /// get "not run", or it would book twice.
     #[test]
-    fn never_seen_is_not_believed_for_ever() {
+    fn never_seen_is_accepted_for_a_limited_time() {
         let verdict = AttemptVerdict::NeverSeen;
         let deadline = Moment(0);
         let soon = deadline + NEVER_SEEN_BELIEVED;
