--- a/crates/bluebellreel_chunk/src/error.rs
+++ b/crates/bluebellreel_chunk/src/error.rs
@@ -1,18 +1,18 @@
-//! Why a disk did not do what it was asked.
+//! Errors of the chunk store.
 
 use std::fmt;
 use std::io;
 
-/// Why a chunk could not be kept or read.
+/// The reason why a chunk could not be stored or read.
 #[derive(Debug)]
 pub enum StoreError {
-    /// The disk, or its share for chunks, is full.
+    /// The disk is full, or the chunks have reached their limit on it.
     Full,
-    /// The volume is being moved, or was moved: the writer's view is old.
+    /// The volume is being moved or was moved; the writer's record of it is stale.
     Moved,
-    /// A name that is none.
+    /// A name that is not a valid name of a job, an upload or a chunk.
     InvalidName,
-    /// The system's error.
+    /// An I/O error.
     Io(io::Error),
 }
 
@@ -20,9 +20,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Full => f.write_str("the disk is full"),
-            Self::Moved => f.write_str("the volume is being moved"),
-            Self::InvalidName => f.write_str("not a chunk's name"),
-            Self::Io(e) => write!(f, "the disk failed: {e}"),
+            Self::Moved => f.write_str("the volume is being moved or was moved"),
+            Self::InvalidName => f.write_str("invalid name of a job, an upload or a chunk"),
+            Self::Io(e) => write!(f, "disk I/O error: {e}"),
         }
     }
 }
--- a/crates/bluebellreel_chunk/src/lib.rs
+++ b/crates/bluebellreel_chunk/src/lib.rs
@@ -1,10 +1,11 @@
-//! Chunks of jobs on the disks of a few VMs.
+//! Replicated storage of job chunks on the disks of a few VMs.
 //!
-//! A chunk is immutable and named by the SHA-256 of its bytes. Chunks lie in
-//! volumes; each volume has two holders, disks in two data centres, named by a
-//! small record in the key-value service. A disk that leaves costs one write
-//! for each of its volumes, not one for each chunk. [`ChunkStore`] is the disk;
-//! the functions beside [`VolumeRecord`] decide who holds what.
+//! A chunk is immutable and named by the SHA-256 of its bytes. Chunks are grouped
+//! into volumes. Each volume is replicated on two disks in different data centres,
+//! its holders, which a small record in the key-value service names. The loss of a
+//! disk therefore costs one write to that service per volume, not one per chunk.
+//! [`ChunkStore`] stores the chunks of one disk; the functions on [`VolumeRecord`]
+//! choose the holders.
 //!
 //! ```
 //! use bluebellreel_chunk::{ChunkFolder, ChunkStore, StoreLimits, VolumeId};
--- a/crates/bluebellreel_chunk/src/name.rs
+++ b/crates/bluebellreel_chunk/src/name.rs
@@ -1,12 +1,12 @@
-//! Names of disks, volumes and the folders of jobs in them.
+//! Names of disks, volumes and upload folders.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// A disk. Made once and kept on it, so that a VM that comes back with an empty
-/// disk is another holder than the one before.
+/// The id of a disk, generated once and stored on the disk. A VM that returns with
+/// an empty disk therefore counts as a different holder.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct DiskId(pub Arc<str>);
@@ -28,7 +28,7 @@
     }
 }
 
-/// Where the chunks of one upload lie in a volume.
+/// The folder for the chunks of one upload in a volume.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChunkFolder {
     /// The volume.
@@ -50,10 +50,11 @@
         }
     }
 
-    /// Its path below a disk's root; none for names that could lead elsewhere.
+    /// The folder's path below a disk's root; none if the names could lead out of
+    /// the root.
     #[must_use]
     pub fn path_in(&self, root: &Path) -> Option<PathBuf> {
-        let plain = is_plain(&self.job) && is_plain(&self.upload);
+        let plain = is_safe_segment(&self.job) && is_safe_segment(&self.upload);
         plain.then(|| {
             root.join(self.volume.to_string())
                 .join(&*self.job)
@@ -62,8 +63,8 @@
     }
 }
 
-/// Whether a name is a single, visible path segment.
-pub(crate) fn is_plain(name: &str) -> bool {
+/// Whether a name is a single path segment that is not hidden.
+pub(crate) fn is_safe_segment(name: &str) -> bool {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
     !name.is_empty() && name.len() <= 128 && name.bytes().all(plain)
 }
--- a/crates/bluebellreel_chunk/src/store.rs
+++ b/crates/bluebellreel_chunk/src/store.rs
@@ -1,10 +1,10 @@
-//! One disk's chunks.
+//! The chunks of one disk.
 //!
-//! A write is acknowledged only after the bytes and the names that lead to them
-//! were synced; a read compares the bytes with the name. A damaged chunk is
-//! moved aside, so that it is copied anew from its other holder.
+//! A write is acknowledged only after the file and all folders on its path were
+//! synced. A read checks the bytes against the digest in the name. A damaged chunk
+//! is renamed, so that it is copied again from the volume's other holder.
 
-use crate::name::is_plain;
+use crate::name::is_safe_segment;
 use crate::{ChunkFolder, DiskId, StoreError, VolumeId};
 use bluebellreel_types::content_digest;
 use std::collections::BTreeMap;
@@ -15,23 +15,23 @@
 use std::sync::{Arc, RwLock};
 use std::time::SystemTime;
 
-/// File that names the disk.
+/// The file with the disk's id.
 const ID_FILE: &str = "disk-id";
-/// Ends the names of files that are not whole yet.
-const PARTIAL: &str = ".part";
-/// Ends the names of files whose bytes do not fit their names.
-const DAMAGED: &str = ".damaged";
-/// Length of a chunk's name.
+/// Suffix of files whose write has not completed.
+const PARTIAL_SUFFIX: &str = ".part";
+/// Suffix of files whose bytes do not match the digest in their name.
+const DAMAGED_SUFFIX: &str = ".damaged";
+/// Length of a chunk's name in characters.
 const DIGEST_LENGTH: usize = 64;
 
-/// Bounds of a disk's share for chunks.
+/// Limits of the space for chunks on a disk.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
-    /// Most bytes in chunks.
+    /// Maximum total size of the chunks, in bytes.
     pub bytes: u64,
 }
 
-/// A chunk on a disk.
+/// The name of a chunk on a disk.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChunkName {
     /// Its folder.
@@ -40,27 +40,29 @@
     pub digest: String,
 }
 
-/// A disk's chunks.
+/// The chunks of one disk.
 #[derive(Debug)]
 pub struct ChunkStore {
-    /// The disk.
+    /// The disk's id.
     pub id: DiskId,
     root: PathBuf,
     limits: StoreLimits,
     used: AtomicU64,
-    parts: AtomicU64,
-    /// Volumes that take no writes up to this epoch. Writers hold the lock
-    /// shared while they write, so that a seal waits for writes under way: a
-    /// copy of the volume made after it misses none that was acknowledged.
+    next_part: AtomicU64,
+    /// Sealed volumes, each with the epoch up to which its writes are refused.
+    /// Writers hold the read lock while they write, so that sealing waits for the
+    /// writes in progress. A copy of the volume made afterwards therefore contains
+    /// every acknowledged write.
     seals: RwLock<BTreeMap<VolumeId, u64>>,
 }
 
 impl ChunkStore {
-    /// Opens a folder; names the disk the first time.
+    /// Opens the store in a folder and removes files of interrupted writes. The first
+    /// call generates the disk's id.
     ///
     /// # Errors
     ///
-    /// Gives the system's error.
+    /// Returns an I/O error.
     pub fn open(root: &Path, limits: StoreLimits) -> Result<Self, StoreError> {
         fs::create_dir_all(root)?;
         let id = disk_id(root)?;
@@ -69,12 +71,12 @@
             root: root.to_owned(),
             limits,
             used: AtomicU64::new(0),
-            parts: AtomicU64::new(0),
+            next_part: AtomicU64::new(0),
             seals: RwLock::default(),
         };
         let mut used = 0;
         for path in store.files()? {
-            if path.to_string_lossy().ends_with(PARTIAL) {
+            if path.to_string_lossy().ends_with(PARTIAL_SUFFIX) {
                 fs::remove_file(&path)?;
             } else {
                 used += fs::metadata(&path)?.len();
@@ -84,18 +86,19 @@
         Ok(store)
     }
 
-    /// Bytes in chunks.
+    /// Total size of the stored files in bytes, damaged ones included.
     #[must_use]
     pub fn used(&self) -> u64 {
         self.used.load(Ordering::SeqCst)
     }
 
-    /// Keeps a chunk that a writer sends under the volume's epoch as it knows
-    /// it; its name.
+    /// Stores a chunk and returns its digest. `epoch` is the volume's epoch as known
+    /// to the writer.
     ///
     /// # Errors
     ///
-    /// Gives that the disk is full, or that the volume is being moved.
+    /// Fails if the disk is full, the volume is sealed for this epoch, a name is
+    /// invalid, or on an I/O error.
     pub fn write(
         &self,
         folder: &ChunkFolder,
@@ -109,33 +112,35 @@
         {
             return Err(StoreError::Moved);
         }
-        self.keep(folder, bytes)
+        self.store_chunk(folder, bytes)
     }
 
-    /// Keeps a chunk that another holder copies here; its name.
+    /// Stores a chunk that another holder copies to this disk and returns its digest.
+    /// Seals do not apply to copies.
     ///
     /// # Errors
     ///
-    /// Gives that the disk is full.
+    /// Fails if the disk is full, a name is invalid, or on an I/O error.
     pub fn copy_in(&self, folder: &ChunkFolder, bytes: &[u8]) -> Result<String, StoreError> {
-        self.keep(folder, bytes)
+        self.store_chunk(folder, bytes)
     }
 
-    /// Lets a volume take no writes up to an epoch, after those under way.
+    /// Refuses further writes to a volume with an epoch up to `epoch`. Returns after
+    /// the writes in progress have ended.
     pub fn seal(&self, volume: VolumeId, epoch: u64) {
         if let Ok(mut seals) = self.seals.write() {
             seals.insert(volume, epoch);
         }
     }
 
-    /// Lets a volume take writes again: its move failed.
+    /// Accepts writes to a volume again, after its move failed.
     pub fn unseal(&self, volume: VolumeId) {
         if let Ok(mut seals) = self.seals.write() {
             seals.remove(&volume);
         }
     }
 
-    fn keep(&self, folder: &ChunkFolder, bytes: &[u8]) -> Result<String, StoreError> {
+    fn store_chunk(&self, folder: &ChunkFolder, bytes: &[u8]) -> Result<String, StoreError> {
         let digest = content_digest(bytes);
         let path = folder.path_in(&self.root).ok_or(StoreError::InvalidName)?;
         let name = path.join(&digest);
@@ -155,12 +160,12 @@
         Ok(digest)
     }
 
-    /// The name appears only once the bytes are on the disk; the names on the
-    /// way to it are synced before this returns.
+    /// Writes a file under a temporary name and renames it once its bytes are synced.
+    /// All folders on the path are synced before this returns.
     fn write_synced(&self, folder: &Path, name: &Path, bytes: &[u8]) -> io::Result<()> {
         create_synced(folder, &self.root)?;
-        let number = self.parts.fetch_add(1, Ordering::SeqCst);
-        let part = folder.join(format!("{number}{PARTIAL}"));
+        let number = self.next_part.fetch_add(1, Ordering::SeqCst);
+        let part = folder.join(format!("{number}{PARTIAL_SUFFIX}"));
         let mut f = File::create(&part)?;
         let done = f
             .write_all(bytes)
@@ -173,13 +178,13 @@
         done
     }
 
-    /// Reads a chunk; none if it is not here or damaged.
+    /// Reads a chunk; none if it is missing or damaged.
     ///
     /// # Errors
     ///
-    /// Gives the system's error.
+    /// Fails if a name is invalid, or on an I/O error.
     pub fn read(&self, folder: &ChunkFolder, digest: &str) -> Result<Option<Vec<u8>>, StoreError> {
-        if !is_plain(digest) || digest.len() != DIGEST_LENGTH {
+        if !is_safe_segment(digest) || digest.len() != DIGEST_LENGTH {
             return Err(StoreError::InvalidName);
         }
         let path = folder.path_in(&self.root).ok_or(StoreError::InvalidName)?;
@@ -192,23 +197,24 @@
         if content_digest(&bytes) == digest {
             return Ok(Some(bytes));
         }
-        // Out of the way, so that a good copy can take its place.
-        fs::rename(&name, path.join(format!("{digest}{DAMAGED}")))?;
+        // Renames the damaged file, so that an intact copy can be stored under the
+        // chunk's name.
+        fs::rename(&name, path.join(format!("{digest}{DAMAGED_SUFFIX}")))?;
         Ok(None)
     }
 
-    /// Whether a chunk is here, without a look at its bytes.
+    /// Whether a chunk exists, without checking its bytes.
     #[must_use]
     pub fn has(&self, chunk: &ChunkName) -> bool {
         let folder = chunk.folder.path_in(&self.root);
         folder.is_some_and(|path| path.join(&chunk.digest).exists())
     }
 
-    /// All chunks of a volume.
+    /// Lists all chunks of a volume.
     ///
     /// # Errors
     ///
-    /// Gives the system's error.
+    /// Returns an I/O error.
     pub fn chunks_of(&self, volume: VolumeId) -> Result<Vec<ChunkName>, StoreError> {
         let mut chunks = Vec::new();
         for (folder, path) in self.folders()? {
@@ -227,11 +233,11 @@
         Ok(chunks)
     }
 
-    /// All folders, and when each was last written to.
+    /// Lists all upload folders with the times of their last modification.
     ///
     /// # Errors
     ///
-    /// Gives the system's error.
+    /// Returns an I/O error.
     pub fn folders_by_age(&self) -> Result<Vec<(ChunkFolder, SystemTime)>, StoreError> {
         let mut folders = Vec::new();
         for (folder, path) in self.folders()? {
@@ -240,11 +246,11 @@
         Ok(folders)
     }
 
-    /// Removes a folder with its chunks.
+    /// Removes an upload's folder with its chunks.
     ///
     /// # Errors
     ///
-    /// Gives the system's error.
+    /// Fails if a name is invalid, or on an I/O error.
     pub fn remove(&self, folder: &ChunkFolder) -> Result<(), StoreError> {
         let path = folder.path_in(&self.root).ok_or(StoreError::InvalidName)?;
         let mut freed = 0;
@@ -253,7 +259,8 @@
         }
         fs::remove_dir_all(&path)?;
         self.used.fetch_sub(freed, Ordering::SeqCst);
-        // The job's folder goes with its last upload.
+        // This succeeds only if the job's folder is empty, that is with the
+        // job's last upload.
         if let Some(job) = path.parent() {
             fs::remove_dir(job).ok();
         }
@@ -288,11 +295,13 @@
 fn disk_id(root: &Path) -> io::Result<DiskId> {
     let path = root.join(ID_FILE);
     match fs::read_to_string(&path) {
-        Ok(text) if is_plain(text.trim()) => Ok(DiskId(Arc::from(text.trim()))),
-        Ok(_) => Err(io::Error::other("the disk's name is damaged")),
+        Ok(text) if is_safe_segment(text.trim()) => Ok(DiskId(Arc::from(text.trim()))),
+        Ok(_) => Err(io::Error::other(
+            "the disk-id file does not contain a valid disk id",
+        )),
         Err(e) if e.kind() == io::ErrorKind::NotFound => {
             let id = format!("{:016x}", rand::random::<u64>());
-            let part = root.join(format!("{ID_FILE}{PARTIAL}"));
+            let part = root.join(format!("{ID_FILE}{PARTIAL_SUFFIX}"));
             let mut f = File::create(&part)?;
             f.write_all(id.as_bytes())?;
             f.sync_all()?;
@@ -304,7 +313,7 @@
     }
 }
 
-/// Creates a folder and syncs each name that leads to it from the root.
+/// Creates a folder and syncs every folder between the root and it.
 fn create_synced(folder: &Path, root: &Path) -> io::Result<()> {
     if folder.exists() {
         return Ok(());
@@ -326,7 +335,7 @@
     File::open(folder)?.sync_all()
 }
 
-/// Names in a folder; none if there is no such folder.
+/// The names in a folder; empty if the path is not an existing folder.
 fn names_in(folder: &Path) -> io::Result<Vec<String>> {
     let entries = match fs::read_dir(folder) {
         Ok(entries) => entries,
--- a/crates/bluebellreel_chunk/src/volume.rs
+++ b/crates/bluebellreel_chunk/src/volume.rs
@@ -1,4 +1,4 @@
-//! Who holds which volume.
+//! Placement of volumes on disks.
 
 use crate::{DiskId, VolumeId};
 use bluebellreel_types::{DataCentre, Moment};
@@ -8,19 +8,19 @@
 use std::time::Duration;
 use twox_hash::XxHash64;
 
-/// A volume as the key-value service keeps it.
+/// The record of a volume in the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VolumeRecord {
-    /// Its number.
+    /// The volume.
     pub id: VolumeId,
-    /// Grows with every change of holders.
+    /// Increases with every change of holders.
     pub epoch: u64,
-    /// The disks that hold it.
+    /// The disks that hold the volume's chunks.
     pub holders: [DiskId; 2],
 }
 
 impl VolumeRecord {
-    /// The record with one holder in another's place.
+    /// The record with the holder `gone` replaced by `to`, and the next epoch.
     #[must_use]
     pub fn moved(&self, gone: &DiskId, to: &DiskId) -> Self {
         let holders = self.holders.clone();
@@ -32,14 +32,14 @@
     }
 }
 
-/// A disk as others see it.
+/// A disk as known to the other daemons.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DiskStatus {
-    /// The daemon before it.
+    /// Address of the daemon that serves the disk.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The disk's data centre.
     pub data_centre: DataCentre,
-    /// Since when its daemon's lease is gone; none while it is there.
+    /// When the lease of its daemon was lost; none while the daemon is alive.
     pub gone_since: Option<Moment>,
 }
 
@@ -47,8 +47,9 @@
     XxHash64::oneshot(u64::from(volume.0), disk.0.as_bytes())
 }
 
-/// The best live disk for a volume that is not excluded.
-fn best(
+/// The live disk with the highest rank for a volume, among those that `fits`
+/// accepts.
+fn best_disk(
     volume: VolumeId,
     disks: &BTreeMap<DiskId, DiskStatus>,
     fits: impl Fn(&DiskId, &DiskStatus) -> bool,
@@ -60,19 +61,20 @@
         .map(|(id, _)| id)
 }
 
-/// Holders for a new volume: two live disks in two data centres, ranked by the
-/// volume so that volumes spread over all disks. None with too few disks.
+/// Chooses the holders of a new volume: two live disks in different data centres.
+/// Disks are ranked by a hash of the volume and the disk, so that volumes spread
+/// over all disks. None if there are no two such disks.
 #[must_use]
 pub fn holders_for(volume: VolumeId, disks: &BTreeMap<DiskId, DiskStatus>) -> Option<[DiskId; 2]> {
-    let first = best(volume, disks, |_, _| true)?;
+    let first = best_disk(volume, disks, |_, _| true)?;
     let here = &disks[first].data_centre;
-    let second = best(volume, disks, |_, disk_status| {
+    let second = best_disk(volume, disks, |_, disk_status| {
         disk_status.data_centre != *here
     })?;
     Some([first.clone(), second.clone()])
 }
 
-/// Whether a volume takes writes: both holders are there.
+/// Whether a volume accepts writes, which needs both holders to be alive.
 #[must_use]
 pub fn is_writable(record: &VolumeRecord, disks: &BTreeMap<DiskId, DiskStatus>) -> bool {
     let live = |id| {
@@ -83,8 +85,8 @@
     record.holders.iter().all(live)
 }
 
-/// The holder that is gone and the disk to copy the volume to, if the disk `me`
-/// is the holder that is left and the other has been gone for `grace`.
+/// The lost holder and the disk to copy the volume to. None unless the disk `me` is
+/// one holder, the other one was lost at least `grace` ago, and another disk fits.
 #[must_use]
 pub fn copy_target(
     record: &VolumeRecord,
@@ -106,7 +108,7 @@
         return None;
     }
     let here = &disks.get(me)?.data_centre;
-    let to = best(record.id, disks, |id, disk_status| {
+    let to = best_disk(record.id, disks, |id, disk_status| {
         id != me && disk_status.data_centre != *here
     })?;
     Some((partner.clone(), to.clone()))
--- a/crates/bluebellreel_chunk/tests/store.rs
+++ b/crates/bluebellreel_chunk/tests/store.rs
@@ -1,21 +1,21 @@
-//! A disk that is stopped, filled, damaged and moved.
+//! The chunk store across restarts, full disks, damaged files and moves of volumes.
 
 use bluebellreel_chunk::{ChunkFolder, ChunkName, ChunkStore, StoreError, StoreLimits, VolumeId};
 use std::fs;
 use std::path::Path;
 
-const ROOMY: StoreLimits = StoreLimits { bytes: 1 << 20 };
+const LARGE_LIMITS: StoreLimits = StoreLimits { bytes: 1 << 20 };
 
 fn folder(volume: u32) -> ChunkFolder {
     ChunkFolder::new(VolumeId(volume), "job", "upload")
 }
 
 fn open(root: &Path) -> ChunkStore {
-    ChunkStore::open(root, ROOMY).expect("the folder opens")
+    ChunkStore::open(root, LARGE_LIMITS).expect("the folder opens")
 }
 
 #[test]
-fn chunks_outlive_the_process() {
+fn chunks_persist_across_restarts() {
     let root = tempfile::tempdir().expect("a folder");
     let before = open(root.path());
     let digest = before.write(&folder(1), 1, b"text").expect("it is kept");
@@ -26,10 +26,10 @@
     assert_eq!(read.as_deref(), Some(b"text".as_slice()));
 }
 
-/// The power went while a chunk was written. What is left of it must not be
-/// taken for a chunk, nor fill the disk for ever.
+/// A power failure interrupted the write of a chunk. The partial file must neither
+/// count as a chunk nor take up space for ever.
 #[test]
-fn half_written_chunk_is_gone_after_a_restart() {
+fn partial_chunk_is_removed_on_restart() {
     let root = tempfile::tempdir().expect("a folder");
     let store = open(root.path());
     store.write(&folder(1), 1, b"text").expect("it is kept");
@@ -41,10 +41,10 @@
     assert!(!path.join("7.part").exists());
 }
 
-/// A bit flipped on the disk. The reader must not get other bytes than were
-/// accepted, and a good copy must find its place free.
+/// A bit flipped on the disk. A reader must not get bytes that differ from those
+/// accepted, and it must be possible to store an intact copy under the same name.
 #[test]
-fn damaged_chunk_is_not_read_and_can_be_copied_anew() {
+fn damaged_chunk_is_not_read_and_can_be_copied_again() {
     let root = tempfile::tempdir().expect("a folder");
     let store = open(root.path());
     let digest = store.write(&folder(1), 1, b"text").expect("it is kept");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn full_disk_refuses_and_takes_again_after_a_removal() {
+fn full_disk_refuses_writes_until_a_removal() {
     let root = tempfile::tempdir().expect("a folder");
     let store = ChunkStore::open(root.path(), StoreLimits { bytes: 10 }).expect("it opens");
     store.write(&folder(1), 1, b"12345678").expect("it is kept");
@@ -76,11 +76,11 @@
     store.write(&folder(2), 1, b"abc").expect("it is kept");
 }
 
-/// A volume is copied to a new holder. A writer with the old view writes to the
-/// holder that is left, after the copy was listed: its chunk would be missing
-/// on the new holder. The holder refuses it.
+/// A volume is being copied to a new holder. A writer with a stale record writes to
+/// the remaining holder after the chunks to copy were listed, so its chunk would be
+/// missing on the new holder. The remaining holder must refuse the write.
 #[test]
-fn sealed_volume_takes_no_late_write() {
+fn sealed_volume_refuses_late_writes() {
     let root = tempfile::tempdir().expect("a folder");
     let store = open(root.path());
     store.write(&folder(1), 1, b"before").expect("it is kept");
--- a/crates/bluebellreel_chunk/tests/volumes.rs
+++ b/crates/bluebellreel_chunk/tests/volumes.rs
@@ -1,4 +1,4 @@
-//! Who holds a volume, under any course of VMs that leave and come.
+//! Placement of volumes while VMs leave and return.
 
 use bluebellreel_chunk::{
     DiskId, DiskStatus, VolumeId, VolumeRecord, copy_target, holders_for, is_writable,
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn only_the_holder_that_is_left_copies_and_only_after_a_while() {
+fn only_the_remaining_holder_copies_and_only_after_the_grace_period() {
     let mut disks = disk_statuses(3);
     let volume = record([disk(0), disk(1)]);
     let gone = Moment(0) + Duration::from_secs(100);
@@ -75,11 +75,11 @@
     assert_eq!(at(2, later), None, "holds nothing of it");
 }
 
-/// Whatever disks leave and come back: a volume's holders are never in one data
-/// centre, and one of the holders of each epoch is among those of the next, so
-/// that its chunks have a way on.
+/// Disks leave and return at random. The two holders of a volume must always be in
+/// different data centres, and each epoch must share a holder with the next one, so
+/// that the chunks can be copied on.
 #[test]
-fn holders_stay_apart_and_hand_on() {
+fn holders_stay_in_two_data_centres_and_overlap_between_epochs() {
     let config = Config {
         cases: 200,
         rng_seed: RngSeed::Fixed(11),
