--- a/crates/bluebellreel_fleet/src/generation.rs
+++ b/crates/bluebellreel_fleet/src/generation.rs
@@ -1,4 +1,4 @@
-//! Which manifest is in force.
+//! The manifest in force.
 
 use crate::Manifest;
 use std::sync::Arc;
@@ -6,19 +6,19 @@
 /// A manifest that was accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptedManifest {
-    /// Grows with every acceptance.
+    /// Increases with every accepted manifest.
     pub generation: u64,
-    /// As it was put.
+    /// The text as submitted.
     pub text: Arc<str>,
-    /// Checked.
+    /// The validated manifest.
     pub manifest: Arc<Manifest>,
 }
 
 /// The manifest in force in one process.
 ///
-/// Guards against a change that reverts: a watch that broke, a peer that lags
-/// or a message that was delayed may bring an older manifest after a newer one.
-/// Only a higher generation is ever applied.
+/// Only a manifest with a higher generation is ever applied. A broken watch, a
+/// lagging peer or a delayed message may deliver an older manifest after a newer
+/// one, which would otherwise revert a change.
 #[derive(Clone, Debug, Default)]
 pub struct AppliedManifest {
     current: Option<AcceptedManifest>,
@@ -31,13 +31,13 @@
         self.current.as_ref()
     }
 
-    /// The generation in force, zero for none.
+    /// The generation in force; zero if there is no manifest.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.current.as_ref().map_or(0, |m| m.generation)
     }
 
-    /// Brings a manifest into force if it is newer; whether it was.
+    /// Applies a manifest if it is newer than the current one; returns whether it was.
     pub fn offer(&mut self, accepted: AcceptedManifest) -> bool {
         if accepted.generation <= self.generation() {
             return false;
@@ -59,10 +59,10 @@
         }
     }
 
-    /// An operator's change is in force; a peer that was cut off for a while
-    /// comes back and offers what it still has. The change must not revert.
+    /// A peer that was partitioned for a while returns and offers the older manifest
+    /// that it still has. An operator's change in force must not be reverted.
     #[test]
-    fn older_generation_never_comes_back() {
+    fn older_generation_is_never_applied() {
         let mut applied = AppliedManifest::default();
         assert!(applied.offer(accepted(7)));
         assert!(!applied.offer(accepted(6)));
--- a/crates/bluebellreel_fleet/src/lib.rs
+++ b/crates/bluebellreel_fleet/src/lib.rs
@@ -1,7 +1,8 @@
-//! The fleet as a manifest declares it.
+//! The declared state of the fleet: the manifest and its reconciliation.
 //!
-//! A pipeline generates the manifest; bluebellreel accepts it as a whole or
-//! refuses it with every error listed, and makes the fleet match it.
+//! A pipeline generates the manifest. bluebellreel either accepts it as a whole or
+//! refuses it with a list of all errors, and then brings the fleet to the declared
+//! state.
 //!
 //! ```
 //! use bluebellreel_fleet::Manifest;
--- a/crates/bluebellreel_fleet/src/manifest.rs
+++ b/crates/bluebellreel_fleet/src/manifest.rs
@@ -1,4 +1,4 @@
-//! The manifest, checked whole.
+//! Parsing and validation of the manifest.
 
 use bluebellreel_types::{DataCentre, ModelName, TeamName, WorkKind, WorkerName};
 use serde::Deserialize;
@@ -6,8 +6,8 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Most replicas of a model in one data centre.
-const MOST_REPLICAS: u32 = 4_000;
+/// Maximum number of replicas of a model in one data centre.
+const MAX_REPLICAS: u32 = 4_000;
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -51,12 +51,12 @@
     online_requests: Option<usize>,
 }
 
-/// One thing that is wrong with a manifest.
+/// One error in a manifest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ManifestError {
-    /// Where, as a key path.
+    /// Path of the key in error.
     pub key: String,
-    /// What.
+    /// What is wrong with it.
     pub reason: String,
 }
 
@@ -66,18 +66,18 @@
     }
 }
 
-/// A model that the fleet must serve.
+/// A model that the fleet has to serve.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelSpec {
-    /// Its name, as callers give it.
+    /// The model's name, as callers give it.
     pub name: ModelName,
     /// The version to serve.
     pub version: Arc<str>,
-    /// Adapters to load with it.
+    /// Adapters to load with the model.
     pub adapters: Vec<Arc<str>>,
-    /// Workers to serve it, by data centre.
+    /// Number of workers that serve the model, by data centre.
     pub replicas: BTreeMap<DataCentre, u32>,
-    /// Role that its workers take, if not the engine's usual one.
+    /// The role of the workers that serve it, if not the engine's default.
     pub role: Option<Arc<str>>,
 }
 
@@ -86,16 +86,16 @@
 pub struct RepeatableCall {
     /// HTTP method.
     pub method: Arc<str>,
-    /// Start of the path.
+    /// Prefix of the path.
     pub path: Arc<str>,
 }
 
 /// A plain service that bluebellreel routes to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// The service's name.
     pub name: ModelName,
-    /// Its calls that may be repeated; all others run at most once.
+    /// The calls that may be repeated; all others run at most once.
     pub repeatable: BTreeSet<RepeatableCall>,
 }
 
@@ -104,26 +104,26 @@
 pub struct TeamSpec {
     /// The team.
     pub name: TeamName,
-    /// Online requests in progress at each entry daemon.
+    /// Maximum number of online requests in progress at each entry daemon.
     pub online_requests: Option<usize>,
 }
 
-/// A checked manifest.
+/// A validated manifest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Manifest {
     /// Models.
     pub models: Vec<ModelSpec>,
     /// Plain services.
     pub services: Vec<ServiceSpec>,
-    /// Teams with limits of their own.
+    /// Teams with individual limits.
     pub teams: Vec<TeamSpec>,
     /// Workers whose backend servers do not check fencing numbers.
     pub unfenced_workers: BTreeSet<WorkerName>,
 }
 
 impl Manifest {
-    /// Whether a call may be repeated. Calls that no service of the manifest
-    /// lists may not.
+    /// Whether a call may be repeated. A call to a plain service may be repeated only
+    /// if the manifest lists it for that service.
     #[must_use]
     pub fn is_repeatable(&self, service: &ModelName, kind: &WorkKind) -> bool {
         let WorkKind::Call { method, path } = kind else {
@@ -136,7 +136,7 @@
             .any(|call| call.method == *method && path.starts_with(&*call.path))
     }
 
-    /// The model of a name.
+    /// The model with this name.
     #[must_use]
     pub fn model(&self, name: &ModelName) -> Option<&ModelSpec> {
         self.models.iter().find(|model| model.name == *name)
@@ -185,7 +185,7 @@
     }
 }
 
-/// Checks every entry of a list, its names too.
+/// Validates every entry of a list and that its names are valid and unique.
 fn check_all<Raw, Checked>(
     list: &str,
     raw: &[Raw],
@@ -197,27 +197,27 @@
     let mut checked = Vec::new();
     for entry in raw {
         let name = name_of(entry);
-        let mut fail = |field: &str, reason: String| {
+        let mut add_error = |field: &str, reason: String| {
             errors.push(ManifestError {
                 key: format!("{list}.{name}.{field}"),
                 reason,
             });
         };
         if let Err(reason) = check_name(name) {
-            fail("name", reason);
+            add_error("name", reason);
         }
         if !seen.insert(name) {
-            fail("name", "stands twice".into());
+            add_error("name", "duplicate name".into());
         }
         match check(entry) {
             Ok(entry) => checked.push(entry),
-            Err((field, reason)) => fail(&field, reason),
+            Err((field, reason)) => add_error(&field, reason),
         }
     }
     checked
 }
 
-/// Names stand in paths and keys of the key-value service.
+/// Validates a name. Names are used in paths and in keys of the key-value service.
 fn check_name(name: &str) -> Result<(), String> {
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if name.is_empty() || name.len() > 128 {
@@ -235,9 +235,9 @@
         check_name(adapter).map_err(|reason| ("adapters".to_owned(), reason))?;
     }
     for (data_centre, count) in &raw.replicas {
-        if *count > MOST_REPLICAS {
+        if *count > MAX_REPLICAS {
             let key = format!("replicas.{data_centre}");
-            return Err((key, format!("must be at most {MOST_REPLICAS}")));
+            return Err((key, format!("must be at most {MAX_REPLICAS}")));
         }
     }
     Ok(ModelSpec {
--- a/crates/bluebellreel_fleet/src/matcher.rs
+++ b/crates/bluebellreel_fleet/src/matcher.rs
@@ -1,9 +1,9 @@
-//! What has to be ordered so that the workers match the manifest.
+//! Reconciliation of the models loaded by workers with the manifest.
 //!
-//! One matcher works in each data centre, by lease. It orders loads through
-//! the side processes, few at one time, since the weight store is rate-limited.
-//! A worker goes on serving the old version until the new one is there; a load
-//! that failed is tried again later and holds up no other.
+//! One matcher is active in each data centre, the one that holds the lease. It
+//! orders loads through the side processes, only a few at one time, since the weight
+//! store is rate-limited. A worker keeps serving the old version until the new one
+//! is loaded. A failed load is retried later and does not delay others.
 
 use crate::Manifest;
 use bluebellreel_types::{DataCentre, Moment, WorkerName};
@@ -11,32 +11,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Loads in progress at one time.
-const AT_ONCE: usize = 2;
-/// Longest time that a load is waited for.
-const LOAD_TIME: Duration = Duration::from_mins(10);
-/// First pause after a failed load; doubled at each further failure.
-const FIRST_PAUSE: Duration = Duration::from_secs(1);
-/// Longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_mins(5);
+/// Maximum number of loads in progress at one time.
+const MAX_CONCURRENT_LOADS: usize = 2;
+/// Time after which a load without an answer no longer counts as in progress.
+const LOAD_TIMEOUT: Duration = Duration::from_mins(10);
+/// Backoff after the first failure of a load; doubled with each further failure.
+const MIN_BACKOFF: Duration = Duration::from_secs(1);
+/// Maximum backoff of a failed load.
+const MAX_BACKOFF: Duration = Duration::from_mins(5);
 
-/// A model in a version.
+/// A model in a certain version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LoadedModel {
-    /// Its name.
+    /// The model's name.
     pub name: Arc<str>,
-    /// Its version.
+    /// The model's version.
     pub version: Arc<str>,
 }
 
-/// A worker as the matcher sees it.
+/// A worker as known to the matcher.
 #[derive(Clone, Debug)]
 pub struct WorkerView {
-    /// Where it stands.
+    /// The worker's data centre.
     pub data_centre: DataCentre,
-    /// What it holds.
+    /// The models that it has loaded.
     pub loaded: BTreeSet<LoadedModel>,
-    /// Whether it leaves.
+    /// Whether the worker is draining.
     pub leaving: bool,
 }
 
@@ -45,7 +45,7 @@
 pub struct LoadOrder {
     /// The worker.
     pub worker: WorkerName,
-    /// What it is to load.
+    /// The model to load.
     pub model: LoadedModel,
 }
 
@@ -55,7 +55,7 @@
     retry_at: Moment,
 }
 
-/// Loads in progress and failed ones.
+/// The loads in progress and the failed ones.
 #[derive(Clone, Debug, Default)]
 pub struct Matcher {
     in_progress: BTreeMap<LoadOrder, Moment>,
@@ -63,13 +63,13 @@
 }
 
 impl Matcher {
-    /// Loads that failed and are tried again later.
+    /// The loads that failed and will be retried.
     #[must_use]
     pub fn failed(&self) -> Vec<LoadOrder> {
         self.failures.keys().cloned().collect()
     }
 
-    /// Takes in how a load ended.
+    /// Records whether a load succeeded.
     pub fn note_end(&mut self, order: &LoadOrder, loaded: bool, now: Moment) {
         self.in_progress.remove(order);
         if loaded {
@@ -77,13 +77,13 @@
             return;
         }
         let count = self.failures.get(order).map_or(0, |f| f.count) + 1;
-        let pause = (FIRST_PAUSE * (1 << (count - 1).min(10))).min(LONGEST_PAUSE);
-        let retry_at = now + pause;
+        let backoff = (MIN_BACKOFF * (1 << (count - 1).min(10))).min(MAX_BACKOFF);
+        let retry_at = now + backoff;
         self.failures
             .insert(order.clone(), Failure { count, retry_at });
     }
 
-    /// The orders to give now.
+    /// The load orders to send at `now`; they count as in progress afterwards.
     pub fn next_orders(
         &mut self,
         manifest: &Manifest,
@@ -96,27 +96,28 @@
         self.failures.retain(|order, _| missing.contains(order));
         let mut orders = Vec::new();
         for order in missing {
-            if self.in_progress.len() >= AT_ONCE {
+            if self.in_progress.len() >= MAX_CONCURRENT_LOADS {
                 break;
             }
-            let waits = self
+            let is_backing_off = self
                 .failures
                 .get(&order)
                 .is_some_and(|f| !f.retry_at.is_past(now));
-            // One load at a worker at one time.
+            // Each worker loads one model at a time.
             let busy = self.in_progress.keys().any(|o| o.worker == order.worker);
-            if waits || busy {
+            if is_backing_off || busy {
                 continue;
             }
-            self.in_progress.insert(order.clone(), now + LOAD_TIME);
+            self.in_progress.insert(order.clone(), now + LOAD_TIMEOUT);
             orders.push(order);
         }
         orders
     }
 }
 
-/// Loads that the manifest asks for and that are not there. Workers that hold
-/// the model in any version are taken first, then those that hold the least.
+/// The loads that are missing to match the manifest. For each model, workers that
+/// have it in the right version are chosen first, then those that have it in any
+/// version, then those with the fewest models.
 fn missing_loads(
     manifest: &Manifest,
     data_centre: &DataCentre,
@@ -131,18 +132,23 @@
             name: spec.name.0.clone(),
             version: spec.version.clone(),
         };
-        let mut able: Vec<_> = workers
+        let mut candidates: Vec<_> = workers
             .iter()
             .filter(|(_, w)| w.data_centre == *data_centre && !w.leaving)
             .collect();
-        able.sort_by_key(|(name, worker)| {
-            let right = worker.loaded.contains(&model);
-            let some = worker.loaded.iter().any(|m| m.name == model.name);
-            (!right, !some, worker.loaded.len(), (*name).clone())
+        candidates.sort_by_key(|(name, worker)| {
+            let has_version = worker.loaded.contains(&model);
+            let has_model = worker.loaded.iter().any(|m| m.name == model.name);
+            (
+                !has_version,
+                !has_model,
+                worker.loaded.len(),
+                (*name).clone(),
+            )
         });
-        let chosen = able.into_iter().take(*replicas as usize);
-        let lacking = chosen.filter(|(_, worker)| !worker.loaded.contains(&model));
-        missing.extend(lacking.map(|(worker, _)| LoadOrder {
+        let chosen = candidates.into_iter().take(*replicas as usize);
+        let missing_workers = chosen.filter(|(_, worker)| !worker.loaded.contains(&model));
+        missing.extend(missing_workers.map(|(worker, _)| LoadOrder {
             worker: worker.clone(),
             model: model.clone(),
         }));
@@ -182,7 +188,7 @@
     }
 
     #[test]
-    fn loads_are_paced_and_ones_that_match_are_left_alone() {
+    fn loads_are_limited_and_matching_workers_get_no_orders() {
         let mut matcher = Matcher::default();
         let here = DataCentre::from("Sligo");
         let workers = fleet(&["1", "2", "1", "1"]);
@@ -196,10 +202,10 @@
         );
     }
 
-    /// A load fails again and again. It is tried with growing pauses, is shown,
-    /// and the other worker's load goes on meanwhile.
+    /// A load fails repeatedly. It must be retried with increasing backoff and listed
+    /// as failed, while the other worker's load continues.
     #[test]
-    fn failed_load_waits_and_holds_up_no_other() {
+    fn failed_load_backs_off_without_delaying_others() {
         let mut matcher = Matcher::default();
         let here = DataCentre::from("Sligo");
         let workers = fleet(&["1", "1"]);
@@ -212,11 +218,11 @@
                 .next_orders(&manifest("2"), &here, &workers, Moment(0))
                 .is_empty()
         );
-        let later = Moment(0) + FIRST_PAUSE;
+        let later = Moment(0) + MIN_BACKOFF;
         let again = matcher.next_orders(&manifest("2"), &here, &workers, later);
         assert_eq!(names(&again), ["w0"]);
         matcher.note_end(&orders[0], false, later);
-        let soon = later + FIRST_PAUSE;
+        let soon = later + MIN_BACKOFF;
         assert!(
             matcher
                 .next_orders(&manifest("2"), &here, &workers, soon)
