--- a/crates/bluebellreel_admission/tests/admission.rs
+++ b/crates/bluebellreel_admission/tests/admission.rs
@@ -89,7 +89,7 @@
 /// engine in the same step in which one batch item is cancelled, namely the one
 /// with the least progress.
 #[test]
-fn online_takes_the_place_of_batch_at_once() {
+fn online_preempts_batch_at_once() {
     let mut side = side(4);
     fill_with_batch(&mut side, 4);
     let text = |number: u64, tokens| Event::EngineText {
--- a/crates/bluebellreel_chunk/tests/store.rs
+++ b/crates/bluebellreel_chunk/tests/store.rs
@@ -18,22 +18,22 @@
 fn chunks_persist_across_restarts() {
     let root = tempfile::tempdir().expect("a folder");
     let before = open(root.path());
-    let digest = before.write(&folder(1), 1, b"text").expect("it is kept");
+    let digest = before.write(&folder(1), 1, b"text").expect("stored");
     let after = open(root.path());
     assert_eq!(after.id, before.id);
     assert_eq!(after.used(), 4);
-    let read = after.read(&folder(1), &digest).expect("it is read");
+    let read = after.read(&folder(1), &digest).expect("readable");
     assert_eq!(read.as_deref(), Some(b"text".as_slice()));
 }
 
 /// A power failure interrupted the write of a chunk. The partial file must neither
-/// count as a chunk nor take up space for ever.
+/// count as a chunk nor take up space forever.
 #[test]
 fn partial_chunk_is_removed_on_restart() {
     let root = tempfile::tempdir().expect("a folder");
     let store = open(root.path());
-    store.write(&folder(1), 1, b"text").expect("it is kept");
-    let path = folder(1).path_in(root.path()).expect("a plain name");
+    store.write(&folder(1), 1, b"text").expect("stored");
+    let path = folder(1).path_in(root.path()).expect("a valid name");
     fs::write(path.join("7.part"), b"hal").expect("written");
     let store = open(root.path());
     assert_eq!(store.used(), 4);
@@ -47,8 +47,8 @@
 fn damaged_chunk_is_not_read_and_can_be_copied_again() {
     let root = tempfile::tempdir().expect("a folder");
     let store = open(root.path());
-    let digest = store.write(&folder(1), 1, b"text").expect("it is kept");
-    let path = folder(1).path_in(root.path()).expect("a plain name");
+    let digest = store.write(&folder(1), 1, b"text").expect("stored");
+    let path = folder(1).path_in(root.path()).expect("a valid name");
     fs::write(path.join(&digest), b"teXt").expect("written");
     assert_eq!(store.read(&folder(1), &digest).expect("no failure"), None);
     let chunk = ChunkName {
@@ -56,8 +56,8 @@
         digest: digest.clone(),
     };
     assert!(!store.has(&chunk), "it must not count as a copy");
-    store.copy_in(&folder(1), b"text").expect("it is kept");
-    let read = store.read(&folder(1), &digest).expect("it is read");
+    store.copy_in(&folder(1), b"text").expect("stored");
+    let read = store.read(&folder(1), &digest).expect("readable");
     assert_eq!(read.as_deref(), Some(b"text".as_slice()));
 }
 
@@ -65,15 +65,15 @@
 fn full_disk_refuses_writes_until_a_removal() {
     let root = tempfile::tempdir().expect("a folder");
     let store = ChunkStore::open(root.path(), StoreLimits { bytes: 10 }).expect("it opens");
-    store.write(&folder(1), 1, b"12345678").expect("it is kept");
+    store.write(&folder(1), 1, b"12345678").expect("stored");
     let refused = store.write(&folder(2), 1, b"abc");
     assert!(matches!(refused, Err(StoreError::Full)), "{refused:?}");
     store
         .write(&folder(1), 1, b"12345678")
-        .expect("the same chunk takes no room");
+        .expect("a chunk already stored takes no space");
     store.remove(&folder(1)).expect("it is removed");
     assert_eq!(store.used(), 0);
-    store.write(&folder(2), 1, b"abc").expect("it is kept");
+    store.write(&folder(2), 1, b"abc").expect("stored");
 }
 
 /// A volume is being copied to a new holder. A writer with a stale record writes to
@@ -83,7 +83,7 @@
 fn sealed_volume_refuses_late_writes() {
     let root = tempfile::tempdir().expect("a folder");
     let store = open(root.path());
-    store.write(&folder(1), 1, b"before").expect("it is kept");
+    store.write(&folder(1), 1, b"before").expect("stored");
     store.seal(VolumeId(1), 1);
     let late = store.write(&folder(1), 1, b"late");
     assert!(matches!(late, Err(StoreError::Moved)), "{late:?}");
@@ -105,8 +105,8 @@
     let root = tempfile::tempdir().expect("a folder");
     let store = open(root.path());
     for bad in ["..", "a/b", "", "a\0"] {
-        let place = ChunkFolder::new(VolumeId(1), bad, "upload");
-        let written = store.write(&place, 1, b"x");
+        let folder = ChunkFolder::new(VolumeId(1), bad, "upload");
+        let written = store.write(&folder, 1, b"x");
         assert!(matches!(written, Err(StoreError::InvalidName)), "{bad:?}");
     }
     let read = store.read(&folder(1), "../disk-id");
--- a/crates/bluebellreel_chunk/tests/volumes.rs
+++ b/crates/bluebellreel_chunk/tests/volumes.rs
@@ -71,8 +71,8 @@
     assert_eq!(at(0, gone), None, "it may come back");
     let later = gone + GRACE;
     assert_eq!(at(0, later), Some((disk(1), disk(2))));
-    assert_eq!(at(1, later), None, "the one that is gone");
-    assert_eq!(at(2, later), None, "holds nothing of it");
+    assert_eq!(at(1, later), None, "the lost holder");
+    assert_eq!(at(2, later), None, "not a holder");
 }
 
 /// Disks leave and return at random. The two holders of a volume must always be in
@@ -113,5 +113,5 @@
         }
         Ok(())
     });
-    run.expect("it holds");
+    run.expect("the invariants hold");
 }
--- a/crates/bluebellreel_job/src/owned.rs
+++ b/crates/bluebellreel_job/src/owned.rs
@@ -1,6 +1,6 @@
 //! The owner's state of a job.
 
-mod handout;
+mod leasing;
 mod poll;
 mod report;
 
@@ -255,11 +255,11 @@
     /// recorded as claims, which the next owner resolves.
     #[must_use]
     pub fn is_handed_over(&self) -> bool {
-        !self.has_items_leased() && self.unrecorded() == 0
+        !self.has_active_leases() && self.unrecorded() == 0
     }
 
     /// Whether any leased item is still expected to be returned.
-    fn has_items_leased(&self) -> bool {
+    fn has_active_leases(&self) -> bool {
         self.leases.values().any(|lease| !lease.in_doubt)
     }
 
--- a/crates/bluebellreel_job/src/owned/poll.rs
+++ b/crates/bluebellreel_job/src/owned/poll.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 impl OwnedJob {
-    /// The actions due at `now`. Expires leases as well.
+    /// Expires overdue leases and returns the actions due at `now`.
     pub fn poll(&mut self, now: Moment) -> Vec<JobEffect> {
         let mut effects = Vec::new();
         if !self.retry_at.is_past(now) {
@@ -139,7 +139,7 @@
             || self.unrecorded_bytes >= self.limits.group_bytes;
         let last = self.is_done()
             || self.record.deadline.is_past(now)
-            || self.handing_over && !self.has_items_leased();
+            || self.handing_over && !self.has_active_leases();
         if !(full || last || self.flush_at.is_past(now)) {
             return;
         }
--- a/crates/bluebellreel_job/tests/owned.rs
+++ b/crates/bluebellreel_job/tests/owned.rs
@@ -149,11 +149,11 @@
 enum Step {
     Pull(u8, usize),
     Complete(usize),
-    Lose(usize),
+    Crash(usize),
     Preempt(usize),
     Refuse(usize),
     Duplicate(usize),
-    WorkerGone(u8),
+    WorkerLost(u8),
     Poll(bool),
     Wait(u64),
 }
@@ -162,11 +162,11 @@
     let step = prop_oneof![
         4 => (0_u8..3, 1_usize..9).prop_map(|(w, room)| Step::Pull(w, room)),
         4 => any::<usize>().prop_map(Step::Complete),
-        1 => any::<usize>().prop_map(Step::Lose),
+        1 => any::<usize>().prop_map(Step::Crash),
         1 => any::<usize>().prop_map(Step::Preempt),
         1 => any::<usize>().prop_map(Step::Refuse),
         1 => any::<usize>().prop_map(Step::Duplicate),
-        1 => (0_u8..3).prop_map(Step::WorkerGone),
+        1 => (0_u8..3).prop_map(Step::WorkerLost),
         4 => any::<bool>().prop_map(Step::Poll),
         1 => (0_u64..40).prop_map(Step::Wait),
     ];
@@ -192,7 +192,7 @@
         match step {
             Step::Pull(worker, room) => self.pull(&format!("w{worker}"), *room),
             Step::Complete(pick) => self.end_one(*pick, completed()),
-            Step::Lose(pick) => self.end_one(*pick, lost()),
+            Step::Crash(pick) => self.end_one(*pick, lost()),
             Step::Preempt(pick) => {
                 let end = AttemptEnd::Broken {
                     reason: BrokenReason::Preempted,
@@ -214,7 +214,7 @@
                     self.job.report(other, lost(), self.now);
                 }
             }
-            Step::WorkerGone(worker) => {
+            Step::WorkerLost(worker) => {
                 let worker = WorkerName::from(format!("w{worker}"));
                 self.job.lose_worker(&worker, self.now);
                 self.leased_items.retain(|(at, _)| *at != worker);
@@ -299,15 +299,15 @@
 fn large_job_holds_few_chunks() {
     let limits = JobLimits::default();
     let mut harness = Harness::new(64_000, limits.clone());
-    let mut most = 0;
+    let mut max_chunks = 0;
     while harness.closed.is_none() {
         harness.now = harness.now + Duration::from_millis(10);
         harness.poll(true);
         harness.pull("w", 64);
-        most = most.max(harness.job.chunks_held());
+        max_chunks = max_chunks.max(harness.job.chunks_held());
         harness.end_all(|_| completed());
     }
-    assert!(most <= limits.chunks, "{most} chunks held");
+    assert!(max_chunks <= limits.chunks, "{max_chunks} chunks held");
     assert_eq!(harness.recorded.len(), 64_000);
 }
 
@@ -338,7 +338,7 @@
     assert!(harness.recorded.is_empty(), "the group is not full");
     harness.job.hand_over();
     harness.poll(true);
-    assert!(harness.recorded.is_empty(), "an item is still out");
+    assert!(harness.recorded.is_empty(), "an item is still leased");
     assert!(!harness.job.is_handed_over());
     harness.end_one(0, completed());
     harness.poll(true);
@@ -363,10 +363,14 @@
     assert_eq!(harness.writes(), [0], "a group is full");
     harness.end_one(0, completed());
     harness.now = harness.now + limits.group_wait * 2;
-    assert_eq!(harness.writes(), [0; 0], "the first is still out");
+    assert_eq!(
+        harness.writes(),
+        [0; 0],
+        "the first write is still in progress"
+    );
     harness.job.note_recorded(0, harness.now);
     harness.now = harness.now + limits.group_wait * 2;
-    assert_eq!(harness.writes(), [1], "the others wait no longer");
+    assert_eq!(harness.writes(), [1], "the remaining result is written");
 }
 
 /// A side process was lost while it ran a call that may not be repeated. The daemon
@@ -410,7 +414,7 @@
     let mut recent = OwnedJob::open(record(20), 1, false, limits, &[], &[claim]);
     let mut old = recent.clone();
     recent.note_verdict(attempt, AttemptVerdict::NeverSeen, Moment(0));
-    assert_eq!(recent.waiting(), 20, "it surely did not run");
+    assert_eq!(recent.waiting(), 20, "it did not run");
     let later = Moment(0) + Duration::from_hours(1);
     old.note_verdict(attempt, AttemptVerdict::NeverSeen, later);
     assert_eq!(old.waiting(), 19, "it may have run");
