--- a/crates/bluebellreel_fleet/src/lib.rs
+++ b/crates/bluebellreel_fleet/src/lib.rs
@@ -1,7 +1,8 @@
-//! The fleet as a manifest declares it.
+//! The declared state of the fleet: the manifest and its reconciliation.
 //!
-//! A pipeline generates the manifest; bluebellreel accepts it as a whole or
-//! refuses it with every error listed, and makes the fleet match it.
+//! A pipeline generates the manifest. bluebellreel either accepts it as a whole or
+//! refuses it with a list of all errors, and then brings the fleet to the declared
+//! state.
 //!
 //! ```
 //! use bluebellreel_fleet::Manifest;
@@ -14,6 +15,6 @@
 mod manifest;
 mod matcher;
 
-pub use generation::{AcceptedManifest, Applied};
+pub use generation::{AcceptedManifest, AppliedManifest};
 pub use manifest::{Manifest, ManifestError, ModelSpec, RepeatableCall, ServiceSpec, TeamSpec};
 pub use matcher::{LoadOrder, LoadedModel, Matcher, WorkerView};
--- a/crates/bluebellreel_job/src/lib.rs
+++ b/crates/bluebellreel_job/src/lib.rs
@@ -1,14 +1,14 @@
-//! Batch jobs: records, items, ownership and the order of their work.
+//! Batch jobs: records, items, ownership and scheduling.
 //!
-//! A job's record lives in the platform's key-value service and names its
-//! owner and an epoch that grows with every change of owner. The owner keeps
-//! an [`OwnedJob`] in memory, hands its items out in leases to sides that pull
+//! A job's record is stored in the platform's key-value service and names its
+//! owner and an epoch that increases with every change of owner. The owner keeps
+//! an [`OwnedJob`] in memory, leases its items to the side processes that pull
 //! them, and records results in groups. Every write compares the record's
-//! revision, so that an owner that was paused while another took over can
-//! change nothing.
+//! revision, so that an owner that was paused while another one took over cannot
+//! change anything.
 //!
-//! All of it is plain state and functions over it; the entry daemon does the
-//! reading and writing.
+//! This crate holds state and pure transitions only; the entry daemon reads and
+//! writes the key-value service.
 //!
 //! ```
 //! use bluebellreel_job::JobInput;
@@ -20,14 +20,13 @@
 //! assert_eq!(input.items.len(), 1);
 //! ```
 
-mod board;
 mod input;
 mod lease;
 mod owned;
 mod record;
+mod scheduler;
 mod share;
 
-pub use board::{Board, BoardLimits, Handout};
 pub use input::{InputChunk, InputError, InputItem, InputReader, JobInput, JobTarget, custom_ids};
 pub use lease::{ItemLease, LeaseState};
 pub use owned::{JobEffect, JobLimits, OwnedJob};
@@ -35,4 +34,5 @@
     ChunkRef, ClaimChunk, ClaimedItem, HeldChunk, ItemEnd, ItemResult, JobCounts, JobRecord,
     JobState, ResultChunk,
 };
+pub use scheduler::{JobLeases, JobScheduler, SchedulerLimits};
 pub use share::TeamShares;
