--- a/crates/bluebellreel_gateway/src/cluster_state.rs
+++ b/crates/bluebellreel_gateway/src/cluster_state.rs
@@ -134,8 +134,8 @@
             operator_seen: self.operator_seen,
             workers_seen: self.catalog.revision(),
             workers: workers.collect(),
-            believed_for: self.valid_until.map(|until| until.since(now)),
-            whole: false,
+            valid_for: self.valid_until.map(|until| until.since(now)),
+            is_full_list: false,
         }
     }
 
@@ -148,9 +148,9 @@
     /// Updates when the state expires, before parts from another source are merged in.
     /// State that came from the store does not begin to expire because a snapshot adds
     /// to it.
-    fn extend_validity(&mut self, believed_for: Option<Duration>, now: Moment) {
+    fn extend_validity(&mut self, valid_for: Option<Duration>, now: Moment) {
         let knows_nothing = self.configured.is_none();
-        match believed_for {
+        match valid_for {
             None => self.valid_until = None,
             Some(left) if knows_nothing || self.valid_until.is_some() => {
                 let until = now + left;
@@ -191,13 +191,13 @@
 
     /// Merges newer state from a peer or a snapshot. Returns whether workers changed.
     pub(crate) fn merge(&mut self, shared: SharedFacts, source: &str, now: Moment) -> bool {
-        self.extend_validity(shared.believed_for, now);
+        self.extend_validity(shared.valid_for, now);
         if let Some((revision, text)) = shared.configuration {
             self.configure(revision, &text, source, now);
         }
         let changed = self
             .catalog
-            .learn(shared.workers_seen, shared.workers, shared.whole);
+            .learn(shared.workers_seen, shared.workers, shared.is_full_list);
         self.operator_seen = self.operator_seen.max(shared.operator_seen);
         changed
     }
--- a/crates/bluebellreel_gateway/src/gateway.rs
+++ b/crates/bluebellreel_gateway/src/gateway.rs
@@ -8,7 +8,7 @@
 use crate::store::StoreClient;
 use crate::suspension::time_suspended;
 use crate::unreadable::Unreadable;
-use bluebellreel_batch::{Stamp, StartTerms, Tenure};
+use bluebellreel_batch::{RegistrationSpan, Stamp, StartTerms};
 use bluebellreel_dispatch::{Board, Configuration, Overloads, PlacementLimits, Suspects};
 use bluebellreel_kv::KeyValue;
 use bluebellreel_members::Members;
@@ -65,7 +65,7 @@
     pub(crate) lease: Cell<i64>,
     /// How long this daemon's entry has existed without interruption. Meanwhile reads
     /// of jobs may be answered from memory.
-    pub(crate) registration_span: Cell<Tenure>,
+    pub(crate) registration_span: Cell<RegistrationSpan>,
     /// When reports from most peers ceased to arrive; none while they arrive.
     pub(crate) isolated_since: Cell<Option<Moment>>,
     /// How many times this daemon was isolated from most peers and received their
--- a/crates/bluebellreel_gateway/src/jobs/cancel.rs
+++ b/crates/bluebellreel_gateway/src/jobs/cancel.rs
@@ -127,7 +127,10 @@
     let (now, members) = (gw.now(), &gw.members);
     let successor = members.borrow().successor(id, None, now);
     let successor = successor.ok_or("no live peer to forward to")?;
-    let calls = members.borrow().alive(&successor, now).map(|p| p.calls);
+    let calls = members
+        .borrow()
+        .alive_peer(&successor, now)
+        .map(|p| p.calls);
     peer_calls::forward_end(gw, calls.ok_or("no live peer to forward to")?, id).await?;
     info!(target: "jobs", job:% = id, peer:% = successor; "job end passed on to a peer");
     Ok(())
--- a/crates/bluebellreel_gateway/src/jobs/confirm.rs
+++ b/crates/bluebellreel_gateway/src/jobs/confirm.rs
@@ -3,7 +3,7 @@
 //! Two things depend on this confirmation. Items start only while it is recent
 //! ([`bluebellreel_batch::StartLease`]). And an owner that answers readers from memory
 //! may say that there are no further results only while it certainly owns the job;
-//! [`bluebellreel_batch::Tenure`] shows when this is certain without a call.
+//! [`bluebellreel_batch::RegistrationSpan`] shows when this is certain without a call.
 
 use super::load::owned_job;
 use super::own::OwnedJob;
@@ -109,7 +109,7 @@
     if lease.is_due(true, now) && !owned.wants_start.replace(true) {
         gw.confirmation_due.notify_one();
     }
-    lease.allows_start(now) || outage_began(gw).is_some_and(|at| lease.ran_at(at, now))
+    lease.allows_start(now) || outage_began(gw).is_some_and(|at| lease.was_valid_at(at, now))
 }
 
 /// Since when the store is unavailable to all daemons, as far as this one knows;
@@ -122,7 +122,7 @@
 fn outage_began(gw: &Gateway) -> Option<Moment> {
     let members = gw.members.borrow();
     let now = gw.now();
-    let is_alone = gw.isolated_since.get().is_some() || members.heard(now).next().is_none();
+    let is_alone = gw.isolated_since.get().is_some() || members.alive_peers(now).next().is_none();
     if is_alone || !gw.store.is_lost() || members.may_reach_store(now) {
         return None;
     }
--- a/crates/bluebellreel_gateway/src/jobs/takeover.rs
+++ b/crates/bluebellreel_gateway/src/jobs/takeover.rs
@@ -7,7 +7,9 @@
 use super::{backup, load, open, read};
 use crate::gateway::Gateway;
 use crate::registration::{self, OwnerStatus};
-use bluebellreel_batch::{Custody, JobPhase, JobRecord, Owner, OwnerSign, custody, keys};
+use bluebellreel_batch::{
+    JobPhase, JobRecord, Owner, OwnerPresence, TakeoverDecision, decide_takeover, keys,
+};
 use bluebellreel_kv::{Commit, KvError};
 use bluebellreel_members::Presence;
 use bluebellreel_types::{JobId, Moment};
@@ -57,7 +59,7 @@
                 true
             }
         };
-        let pause = match (more, is_caretaker(&gw)) {
+        let pause = match (more, is_cleanup_leader(&gw)) {
             (true, _) => SCAN_INTERVAL_SHORT,
             (false, true) => SCAN_INTERVAL,
             (false, false) if !are_all_jobs_reported(&gw) => SCAN_INTERVAL,
@@ -112,13 +114,13 @@
 }
 
 /// Whether this daemon is the one that scans more often than the others.
-fn is_caretaker(gw: &Gateway) -> bool {
-    gw.members.borrow().is_caretaker(gw.me(), gw.now())
+fn is_cleanup_leader(gw: &Gateway) -> bool {
+    gw.members.borrow().is_cleanup_leader(gw.me(), gw.now())
 }
 
 /// Whether the peers' reports cover all jobs that count against quotas.
 fn are_all_jobs_reported(gw: &Gateway) -> bool {
-    gw.members.borrow().hears_all(gw.now()) && gw.jobs.borrow().open.is_empty()
+    gw.members.borrow().all_peers_alive(gw.now()) && gw.jobs.borrow().open.is_empty()
 }
 
 /// Whether a live peer reports that it owns a job. Saves reading the record.
@@ -145,19 +147,19 @@
     }
     let sign = owner_sign(gw, &record.owner);
     let is_successor =
-        sign == OwnerSign::Gone && (is_successor(gw, id) || has_successor_timed_out(gw, id));
-    match custody(sign, is_successor) {
-        Custody::Settled => {
+        sign == OwnerPresence::Gone && (is_successor(gw, id) || has_successor_timed_out(gw, id));
+    match decide_takeover(sign, is_successor) {
+        TakeoverDecision::LeaveToOwner => {
             let notify_later = leave_to_owner(gw, id, &record.owner, notify_at);
             unreported.extend(notify_later.map(|until| (id.clone(), until)));
             Ok(notify_later.is_none())
         }
-        Custody::LookAgain => Ok(false),
-        Custody::Run => {
+        TakeoverDecision::RecheckSoon => Ok(false),
+        TakeoverDecision::Run => {
             adopt_stored(gw, id, found.record, found.revision, found.asked).await;
             Ok(true)
         }
-        Custody::TakeOver => claim(gw, id, found).await,
+        TakeoverDecision::TakeOver => claim(gw, id, found).await,
     }
 }
 
@@ -174,11 +176,11 @@
     // An owner of more than `MAX_REPORTED` jobs names only some of them.
     let reports_all = {
         let members = gw.members.borrow();
-        let peer = members.alive(&owner.entry, now);
+        let peer = members.alive_peer(&owner.entry, now);
         peer.is_some_and(|p| p.jobs.len() < MAX_REPORTED)
     };
     let address = read::owner_address(gw, id)?;
-    if !reports_all || !is_caretaker(gw) {
+    if !reports_all || !is_cleanup_leader(gw) {
         return None;
     }
     let notify_at = notify_at.unwrap_or(now + UNREPORTED_TIMEOUT);
@@ -199,20 +201,20 @@
         .is_some_and(|o| members.presence(&o.entry, o.run, gw.now()) == Presence::Silent)
 }
 
-fn owner_sign(gw: &Gateway, owner: &Owner) -> OwnerSign {
+fn owner_sign(gw: &Gateway, owner: &Owner) -> OwnerPresence {
     if owner.entry == *gw.me() {
         let is_now = owner.run == gw.run;
         return if is_now {
-            OwnerSign::Me
+            OwnerPresence::ThisDaemon
         } else {
-            OwnerSign::Gone
+            OwnerPresence::Gone
         };
     }
     let members = gw.members.borrow();
     match members.presence(&owner.entry, owner.run, gw.now()) {
-        Presence::Heard => OwnerSign::Heard,
-        Presence::Silent => OwnerSign::Silent,
-        Presence::Gone => OwnerSign::Gone,
+        Presence::Reporting => OwnerPresence::Reporting,
+        Presence::Silent => OwnerPresence::Silent,
+        Presence::Gone => OwnerPresence::Gone,
     }
 }
 
@@ -230,7 +232,7 @@
     let now = gw.now();
     let mut jobs = gw.jobs.borrow_mut();
     let found_at = *jobs.orphans.entry(id.clone()).or_insert(now);
-    is_caretaker(gw) && (found_at + SUCCESSOR_TIMEOUT).is_past(now)
+    is_cleanup_leader(gw) && (found_at + SUCCESSOR_TIMEOUT).is_past(now)
 }
 
 /// Makes this daemon the owner of a job whose owner is gone.
--- a/crates/bluebellreel_gateway/src/keepers.rs
+++ b/crates/bluebellreel_gateway/src/keepers.rs
@@ -79,11 +79,11 @@
             return answers::failure(StatusCode::BAD_REQUEST, "not read");
         }
     };
-    if offered.believed_for.is_none() || !needs_snapshot(gw) {
+    if offered.valid_for.is_none() || !needs_snapshot(gw) {
         return answers::failure(StatusCode::CONFLICT, "the store has answered");
     }
     let workers = offered.workers.len();
-    let believed_ms = offered.believed_for.map_or(0, millis);
+    let believed_ms = offered.valid_for.map_or(0, millis);
     let revision = offered.configuration.as_ref().map_or(0, |(r, _)| *r);
     let changed = gw
         .cluster_state
--- a/crates/bluebellreel_gateway/src/peer_calls.rs
+++ b/crates/bluebellreel_gateway/src/peer_calls.rs
@@ -50,7 +50,7 @@
     let cluster_state = cluster_state_after(gw, to, all).await?;
     let cluster_state = cluster_state.ok_or("peer refuses to send its full state")?;
     Ok(SharedFacts {
-        whole: true,
+        is_full_list: true,
         ..cluster_state
     })
 }
--- a/crates/bluebellreel_gateway/src/quarantine_gate.rs
+++ b/crates/bluebellreel_gateway/src/quarantine_gate.rs
@@ -94,7 +94,7 @@
 /// only the owner of their job sends them.
 fn may_try_here(gw: &Gateway, fingerprint: Fingerprint, sender: Sender, since: Moment) -> bool {
     let now = gw.now();
-    let peers = gw.members.borrow().heard(now).count();
+    let peers = gw.members.borrow().alive_peers(now).count();
     sender == Sender::Job || may_try(fingerprint, gw.me(), peers + 1, since, now)
 }
 
--- a/crates/bluebellreel_gateway/src/reports/catch_up.rs
+++ b/crates/bluebellreel_gateway/src/reports/catch_up.rs
@@ -4,7 +4,7 @@
 use crate::gateway::Gateway;
 use crate::peer_calls;
 use crate::workers::apply_workers;
-use bluebellreel_members::{Divergence, Question};
+use bluebellreel_members::{Divergence, SyncRequest};
 use bluebellreel_snapshot::SharedFacts;
 use bluebellreel_types::EntryName;
 use log::{info, warn};
@@ -38,7 +38,7 @@
         let candidates = peers_that_know_more(&gw);
         if !candidates.is_empty() {
             let at = gw.rng.borrow_mut().random_range(0..candidates.len());
-            ask(&gw, &candidates[at], Question::Changes).await;
+            ask(&gw, &candidates[at], SyncRequest::Changes).await;
         }
         is_asking.set(false);
     });
@@ -48,7 +48,7 @@
     let cluster_state = gw.cluster_state.borrow();
     let members = gw.members.borrow();
     members
-        .heard(gw.now())
+        .alive_peers(gw.now())
         .filter(|(_, peer)| cluster_state.lacks(peer.revisions))
         .map(|(name, peer)| (name.clone(), peer.calls))
         .collect()
@@ -64,7 +64,7 @@
         let question = {
             let (own, now) = (gw.cluster_state.borrow().list(), gw.now());
             let members = gw.members.borrow();
-            let lists = members.heard(now).map(|(_, peer)| peer.list);
+            let lists = members.alive_peers(now).map(|(_, peer)| peer.list);
             divergence.question(own, lists, now)
         };
         let Some(question) = question else {
@@ -83,24 +83,24 @@
     }
 }
 
-fn peers_to_ask(gw: &Gateway, question: Question) -> Vec<(EntryName, SocketAddr)> {
+fn peers_to_ask(gw: &Gateway, question: SyncRequest) -> Vec<(EntryName, SocketAddr)> {
     let own = gw.cluster_state.borrow().list();
     let members = gw.members.borrow();
     members
-        .heard(gw.now())
+        .alive_peers(gw.now())
         .filter(|(_, peer)| match question {
-            Question::Changes => own.may_learn_from(peer.list),
-            Question::All => own.is_behind(peer.list),
+            SyncRequest::Changes => own.may_learn_from(peer.list),
+            SyncRequest::All => own.is_behind(peer.list),
         })
         .map(|(name, peer)| (name.clone(), peer.calls))
         .collect()
 }
 
-async fn ask(gw: &Rc<Gateway>, (peer, calls): &(EntryName, SocketAddr), question: Question) {
+async fn ask(gw: &Rc<Gateway>, (peer, calls): &(EntryName, SocketAddr), question: SyncRequest) {
     let seen = gw.cluster_state.borrow().seen();
     let answer = match question {
-        Question::Changes => peer_calls::cluster_state(gw, *calls, seen).await,
-        Question::All => peer_calls::full_cluster_state(gw, *calls, seen).await,
+        SyncRequest::Changes => peer_calls::cluster_state(gw, *calls, seen).await,
+        SyncRequest::All => peer_calls::full_cluster_state(gw, *calls, seen).await,
     };
     match answer {
         Ok(shared) => merge_cluster_state(gw, shared, peer),
--- a/crates/bluebellreel_gateway/src/reports/mod.rs
+++ b/crates/bluebellreel_gateway/src/reports/mod.rs
@@ -109,8 +109,8 @@
 fn targets(gw: &Gateway) -> (BTreeSet<SocketAddr>, BTreeSet<SocketAddr>) {
     let members = gw.members.borrow();
     let mut targets: BTreeSet<SocketAddr> = members.peers().map(|(_, p)| p.reports).collect();
-    let heard = members.heard(gw.now());
-    let brief_readers = heard.filter(|(_, p)| p.reads_briefs);
+    let alive_peers = members.alive_peers(gw.now());
+    let brief_readers = alive_peers.filter(|(_, p)| p.reads_briefs);
     let brief_readers = brief_readers.map(|(_, p)| p.reports).collect();
     let port = gw.settings.reports.port();
     let seeds = gw.seeds.borrow();
@@ -233,7 +233,7 @@
         run: report.run,
         calls: report.calls,
         reports: report.reports,
-        heard_at: Some(now),
+        last_report_at: Some(now),
         stopping: report.stopping,
         registered: false,
         is_gone: false,
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -187,7 +187,7 @@
 /// ends and lasted longer than [`ISOLATED_AFTER`], ends the registration span and counts
 /// a reconnection.
 fn update_isolation(gw: &Gateway, now: Moment) {
-    let isolated = !gw.members.borrow().hears_most(now);
+    let isolated = !gw.members.borrow().has_quorum(now);
     let since = gw.isolated_since.get();
     gw.isolated_since
         .set(isolated.then_some(since.unwrap_or(now)));
@@ -214,8 +214,8 @@
     metrics.store_failures.set(total(failures));
     let worker_views = gw.board.borrow().worker_views().count();
     metrics.workers.set(count(worker_views));
-    let heard = gw.members.borrow().heard(gw.now()).count();
-    metrics.peers.set(count(heard));
+    let alive_peers = gw.members.borrow().alive_peers(gw.now()).count();
+    metrics.peers.set(count(alive_peers));
     metrics.configuration_version.set(total(version));
     metrics.lines_dropped.set(total(lines_dropped));
     metrics.text()
--- a/crates/bluebellreel_gateway/src/watching.rs
+++ b/crates/bluebellreel_gateway/src/watching.rs
@@ -213,7 +213,7 @@
         let cluster_state = gw.cluster_state.borrow();
         let members = gw.members.borrow();
         members
-            .heard(now)
+            .alive_peers(now)
             .any(|(_, p)| cluster_state.lacks(p.revisions))
     };
     if !lacks {
