--- a/crates/bluebellreel_batch/src/lib.rs
+++ b/crates/bluebellreel_batch/src/lib.rs
@@ -15,29 +15,29 @@
 //! assert_eq!(keys::segment(&id, 2).as_str(), "job/out/7c41/00002");
 //! ```
 
-mod confirmation;
-mod copies;
-mod custody;
 mod input;
 mod job;
 pub mod keys;
-mod ledger;
-mod open;
+mod open_job;
 mod progress;
+mod progress_copies;
+mod quota_ledger;
 mod record;
+mod registration_span;
 mod result;
 mod schedule;
-mod tenure;
+mod start_lease;
+mod takeover;
 
-pub use confirmation::{JOBS_PER_CHECK, StartLease, StartTerms, jobs_to_check};
-pub use copies::{ItemProgress, ProgressCopies};
-pub use custody::{Custody, OwnerSign, custody};
 pub use input::{NewItem, decode_items, encode_items, split_input};
 pub use job::{Item, ItemEnd, ItemPhase, Job, Segment};
-pub use ledger::QuotaLedger;
-pub use open::OpenJob;
+pub use open_job::OpenJob;
 pub use progress::{EventGap, Progress};
+pub use progress_copies::{ItemProgress, ProgressCopies};
+pub use quota_ledger::QuotaLedger;
 pub use record::{JobPhase, JobRecord, Owner, RecordError};
+pub use registration_span::{Stamp, Tenure};
 pub use result::{ItemResult, ResultState, decode_segment, encode_segment};
 pub use schedule::{Candidate, next_item};
-pub use tenure::{Stamp, Tenure};
+pub use start_lease::{JOBS_PER_CHECK, StartLease, StartTerms, jobs_to_check};
+pub use takeover::{Custody, OwnerSign, custody};
