--- a/crates/bluebellreel_batch/src/registration_span.rs
+++ b/crates/bluebellreel_batch/src/registration_span.rs
@@ -46,7 +46,7 @@
 impl Stamp {
     /// Whether the VM was suspended between an earlier stamp and this one.
     #[must_use]
-    pub fn slept_since(self, earlier: Self) -> bool {
+    pub fn suspended_since(self, earlier: Self) -> bool {
         self.suspended > earlier.suspended + SUSPENDED
     }
 
@@ -54,24 +54,24 @@
     /// the time since.
     #[must_use]
     pub fn is_fresh(self, now: Self) -> bool {
-        !(self.at + FRESH).is_past(now.at) && !now.slept_since(self)
+        !(self.at + FRESH).is_past(now.at) && !now.suspended_since(self)
     }
 }
 
 /// The span for which a daemon's entry in the store has stood without a gap.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Tenure {
+pub struct RegistrationSpan {
     /// When the first call of the span was answered: the entry may be written at
     /// any moment before, and the job be taken over until then.
     since: Option<Stamp>,
     until: Moment,
 }
 
-impl Tenure {
+impl RegistrationSpan {
     /// The store has renewed the entry's lease by a call that was sent at
     /// `sent`; whether a new span begins.
     pub fn renewed(&mut self, sent: Stamp, now: Stamp) -> bool {
-        if now.slept_since(sent) {
+        if now.suspended_since(sent) {
             // The answer may be older than the suspension.
             self.interrupt();
             return false;
@@ -96,7 +96,7 @@
     }
 
     fn stands(&self, now: Stamp) -> bool {
-        let awake = self.since.is_some_and(|since| !now.slept_since(since));
+        let awake = self.since.is_some_and(|since| !now.suspended_since(since));
         awake && !self.until.is_past(now.at)
     }
 }
--- a/crates/bluebellreel_batch/src/start_lease.rs
+++ b/crates/bluebellreel_batch/src/start_lease.rs
@@ -90,13 +90,13 @@
     /// Whether an item may be started.
     #[must_use]
     pub fn allows_start(&self, now: Stamp) -> bool {
-        !self.expires_at.is_past(now.at) && !now.slept_since(self.asked)
+        !self.expires_at.is_past(now.at) && !now.suspended_since(self.asked)
     }
 
     /// Whether it ran at an earlier moment, the VM having been awake since.
     #[must_use]
-    pub fn ran_at(&self, moment: Moment, now: Stamp) -> bool {
-        !self.expires_at.is_past(moment) && !now.slept_since(self.asked)
+    pub fn was_valid_at(&self, moment: Moment, now: Stamp) -> bool {
+        !self.expires_at.is_past(moment) && !now.suspended_since(self.asked)
     }
 
     /// Whether the store should be asked now. A job none of whose items wants to
@@ -108,7 +108,7 @@
         } else {
             self.idle_until
         };
-        due_at.is_past(now.at) || now.slept_since(self.asked)
+        due_at.is_past(now.at) || now.suspended_since(self.asked)
     }
 }
 
--- a/crates/bluebellreel_batch/src/takeover.rs
+++ b/crates/bluebellreel_batch/src/takeover.rs
@@ -7,11 +7,11 @@
 
 /// What a daemon knows of a job's owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnerSign {
+pub enum OwnerPresence {
     /// The owner is this run of this daemon.
-    Me,
+    ThisDaemon,
     /// It reports.
-    Heard,
+    Reporting,
     /// It has fallen silent, and its entry in the store stands.
     Silent,
     /// Its entry is gone, or another run has taken its place.
@@ -20,11 +20,11 @@
 
 /// What a daemon does about a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Custody {
+pub enum TakeoverDecision {
     /// Nothing: its owner is there.
-    Settled,
+    LeaveToOwner,
     /// It looks again soon.
-    LookAgain,
+    RecheckSoon,
     /// It runs the job, which is its own by the store's word.
     Run,
     /// It takes the job over.
@@ -38,11 +38,11 @@
 /// its job waited for the next regular look, six seconds of a job that is due in
 /// eighteen.
 #[must_use]
-pub fn custody(owner: OwnerSign, is_successor: bool) -> Custody {
+pub fn decide_takeover(owner: OwnerPresence, is_successor: bool) -> TakeoverDecision {
     match owner {
-        OwnerSign::Me => Custody::Run,
-        OwnerSign::Heard => Custody::Settled,
-        OwnerSign::Gone if is_successor => Custody::TakeOver,
-        OwnerSign::Silent | OwnerSign::Gone => Custody::LookAgain,
+        OwnerPresence::ThisDaemon => TakeoverDecision::Run,
+        OwnerPresence::Reporting => TakeoverDecision::LeaveToOwner,
+        OwnerPresence::Gone if is_successor => TakeoverDecision::TakeOver,
+        OwnerPresence::Silent | OwnerPresence::Gone => TakeoverDecision::RecheckSoon,
     }
 }
--- a/crates/bluebellreel_batch/tests/registration_span.rs
+++ b/crates/bluebellreel_batch/tests/registration_span.rs
@@ -1,6 +1,6 @@
 //! Owners that may have lost their jobs without knowing.
 
-use bluebellreel_batch::{Stamp, Tenure};
+use bluebellreel_batch::{RegistrationSpan, Stamp};
 use bluebellreel_types::Moment;
 use proptest::prelude::*;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 /// it believe what it knew before.
 #[test]
 fn what_was_known_before_a_gap_is_not_believed_after_it() {
-    let mut tenure = Tenure::default();
+    let mut tenure = RegistrationSpan::default();
     assert!(tenure.renewed(at(1000), at(1004)));
     assert!(tenure.covers(at(1100), at(3400)));
     assert!(!tenure.covers(at(1100), at(3501)), "not renewed in time");
@@ -40,7 +40,7 @@
 /// it, and the answers that lie in its sockets are older than that.
 #[test]
 fn what_was_known_before_a_suspension_is_not_believed_after_it() {
-    let mut tenure = Tenure::default();
+    let mut tenure = RegistrationSpan::default();
     tenure.renewed(at(1000), at(1004));
     assert!(!tenure.covers(at(1100), after_sleep(1200, 5000)));
     assert!(!tenure.renewed(at(1150), after_sleep(1210, 5000)));
@@ -53,7 +53,7 @@
 /// A lease has ended: the entry that is written next is another one.
 #[test]
 fn an_entry_that_is_written_again_begins_a_new_span() {
-    let mut tenure = Tenure::default();
+    let mut tenure = RegistrationSpan::default();
     tenure.renewed(at(1000), at(1004));
     tenure.interrupt();
     assert!(!tenure.covers(at(1100), at(1200)));
@@ -72,7 +72,7 @@
         word_after in 0u64..20_000,
         look_after in 0u64..6000,
     ) {
-        let mut tenure = Tenure::default();
+        let mut tenure = RegistrationSpan::default();
         let (mut now, mut slept) = (0, 0);
         // Ends of the spans for which the entry surely stood, by true time.
         let mut spans: Vec<(u64, u64)> = Vec::new();
@@ -114,7 +114,7 @@
 /// word for one of the new span.
 #[test]
 fn what_was_said_while_an_entry_was_being_written_is_not_believed() {
-    let mut tenure = Tenure::default();
+    let mut tenure = RegistrationSpan::default();
     tenure.renewed(at(1000), at(1400));
     assert!(!tenure.covers(at(1200), at(1500)));
     assert!(tenure.covers(at(1401), at(1500)));
--- a/crates/bluebellreel_batch/tests/start_lease.rs
+++ b/crates/bluebellreel_batch/tests/start_lease.rs
@@ -36,7 +36,7 @@
     let lease = lease(1000);
     let woken = after_sleep(1010, 5000);
     assert!(!lease.allows_start(woken));
-    assert!(!lease.ran_at(Moment(1_005_000), woken));
+    assert!(!lease.was_valid_at(Moment(1_005_000), woken));
     assert!(lease.is_due(false, woken));
     assert_eq!(lease.age(woken), Duration::from_millis(5010));
 }
@@ -55,8 +55,8 @@
 #[test]
 fn a_lease_that_was_over_before_an_outage_does_not_count() {
     let lease = lease(1000);
-    assert!(lease.ran_at(Moment(3_499_000), at(9000)));
-    assert!(!lease.ran_at(Moment(3_500_000), at(9000)));
+    assert!(lease.was_valid_at(Moment(3_499_000), at(9000)));
+    assert!(!lease.was_valid_at(Moment(3_500_000), at(9000)));
 }
 
 /// Guards that a bound shorter than a send still leaves time between two calls.
--- a/crates/bluebellreel_batch/tests/takeover.rs
+++ b/crates/bluebellreel_batch/tests/takeover.rs
@@ -1,6 +1,6 @@
 //! Jobs whose owner may be dead.
 
-use bluebellreel_batch::{Custody, OwnerSign, custody};
+use bluebellreel_batch::{OwnerPresence, TakeoverDecision, decide_takeover};
 
 /// An owner dies. A peer misses it, looks, and finds its entry still in the
 /// store, where it stands for some seconds more. The peer took the job for
@@ -9,7 +9,10 @@
 #[test]
 fn a_silent_owner_is_looked_at_again() {
     for is_successor in [false, true] {
-        assert_eq!(custody(OwnerSign::Silent, is_successor), Custody::LookAgain);
+        assert_eq!(
+            decide_takeover(OwnerPresence::Silent, is_successor),
+            TakeoverDecision::RecheckSoon
+        );
     }
 }
 
@@ -17,9 +20,16 @@
 /// moment. Nobody may take its jobs over: their items would run twice.
 #[test]
 fn nothing_is_taken_from_an_owner_that_may_live() {
-    for sign in [OwnerSign::Heard, OwnerSign::Silent, OwnerSign::Me] {
+    for sign in [
+        OwnerPresence::Reporting,
+        OwnerPresence::Silent,
+        OwnerPresence::ThisDaemon,
+    ] {
         for is_successor in [false, true] {
-            assert_ne!(custody(sign, is_successor), Custody::TakeOver);
+            assert_ne!(
+                decide_takeover(sign, is_successor),
+                TakeoverDecision::TakeOver
+            );
         }
     }
 }
@@ -28,13 +38,25 @@
 /// that one may fail at it.
 #[test]
 fn the_heir_takes_over_and_the_others_look_again() {
-    assert_eq!(custody(OwnerSign::Gone, true), Custody::TakeOver);
-    assert_eq!(custody(OwnerSign::Gone, false), Custody::LookAgain);
+    assert_eq!(
+        decide_takeover(OwnerPresence::Gone, true),
+        TakeoverDecision::TakeOver
+    );
+    assert_eq!(
+        decide_takeover(OwnerPresence::Gone, false),
+        TakeoverDecision::RecheckSoon
+    );
 }
 
 /// The store names this run of this daemon: it missed that it became the owner.
 #[test]
 fn an_owner_that_was_not_told_runs_its_job() {
-    assert_eq!(custody(OwnerSign::Me, false), Custody::Run);
-    assert_eq!(custody(OwnerSign::Heard, true), Custody::Settled);
+    assert_eq!(
+        decide_takeover(OwnerPresence::ThisDaemon, false),
+        TakeoverDecision::Run
+    );
+    assert_eq!(
+        decide_takeover(OwnerPresence::Reporting, true),
+        TakeoverDecision::LeaveToOwner
+    );
 }
--- a/crates/bluebellreel_gateway/src/gateway.rs
+++ b/crates/bluebellreel_gateway/src/gateway.rs
@@ -8,7 +8,7 @@
 use crate::store::StoreClient;
 use crate::suspension::time_suspended;
 use crate::unreadable::Unreadable;
-use bluebellreel_batch::{Stamp, StartTerms, Tenure};
+use bluebellreel_batch::{RegistrationSpan, Stamp, StartTerms};
 use bluebellreel_dispatch::{Board, Configuration, Overloads, PlacementLimits, Suspects};
 use bluebellreel_kv::KeyValue;
 use bluebellreel_members::Members;
@@ -65,7 +65,7 @@
     pub(crate) lease: Cell<i64>,
     /// How long this daemon's entry has stood; readers may be answered from memory
     /// meanwhile.
-    pub(crate) tenure: Cell<Tenure>,
+    pub(crate) tenure: Cell<RegistrationSpan>,
     /// Since when few peers are heard; none while most are.
     pub(crate) isolated_since: Cell<Option<Moment>>,
     /// Times that this daemon was cut off from most peers and hears them again.
--- a/crates/bluebellreel_gateway/src/jobs/confirm.rs
+++ b/crates/bluebellreel_gateway/src/jobs/confirm.rs
@@ -3,7 +3,7 @@
 //! Two things rest on the store's confirmation of a job. Items start only while
 //! it is young ([`bluebellreel_batch::StartLease`]). And an owner that remembers
 //! what it has listed may say "nothing more is listed" only while it surely owns
-//! the job; [`bluebellreel_batch::Tenure`] tells when that is so without a call.
+//! the job; [`bluebellreel_batch::RegistrationSpan`] tells when that is so without a call.
 
 use super::load::owned_job;
 use super::own::OwnedJob;
@@ -105,7 +105,7 @@
     if lease.is_due(true, now) && !owned.wants_start.replace(true) {
         gw.confirmation_due.notify_one();
     }
-    lease.allows_start(now) || outage_began(gw).is_some_and(|at| lease.ran_at(at, now))
+    lease.allows_start(now) || outage_began(gw).is_some_and(|at| lease.was_valid_at(at, now))
 }
 
 /// Since when the store is away for all daemons, as far as is known; none if it may
--- a/crates/bluebellreel_gateway/src/jobs/takeover.rs
+++ b/crates/bluebellreel_gateway/src/jobs/takeover.rs
@@ -7,7 +7,9 @@
 use super::{backup, load, open, read};
 use crate::gateway::Gateway;
 use crate::registration::{self, EntryEnd};
-use bluebellreel_batch::{Custody, JobPhase, JobRecord, Owner, OwnerSign, custody, keys};
+use bluebellreel_batch::{
+    JobPhase, JobRecord, Owner, OwnerPresence, TakeoverDecision, decide_takeover, keys,
+};
 use bluebellreel_kv::{Commit, KvError};
 use bluebellreel_members::Presence;
 use bluebellreel_types::{JobId, Moment};
@@ -141,19 +143,19 @@
     }
     let sign = sign_of(gw, &record.owner);
     let is_successor =
-        sign == OwnerSign::Gone && (is_successor(gw, id) || is_left_by_successor(gw, id));
-    match custody(sign, is_successor) {
-        Custody::Settled => {
+        sign == OwnerPresence::Gone && (is_successor(gw, id) || is_left_by_successor(gw, id));
+    match decide_takeover(sign, is_successor) {
+        TakeoverDecision::LeaveToOwner => {
             let waits = leave_to_owner(gw, id, &record.owner, notify_at);
             unreported.extend(waits.map(|until| (id.clone(), until)));
             Ok(waits.is_none())
         }
-        Custody::LookAgain => Ok(false),
-        Custody::Run => {
+        TakeoverDecision::RecheckSoon => Ok(false),
+        TakeoverDecision::Run => {
             adopt_stored(gw, id, found.record, found.revision, found.asked).await;
             Ok(true)
         }
-        Custody::TakeOver => claim(gw, id, found).await,
+        TakeoverDecision::TakeOver => claim(gw, id, found).await,
     }
 }
 
@@ -195,20 +197,20 @@
         .is_some_and(|o| members.presence(&o.entry, o.run, gw.now()) == Presence::Silent)
 }
 
-fn sign_of(gw: &Gateway, owner: &Owner) -> OwnerSign {
+fn sign_of(gw: &Gateway, owner: &Owner) -> OwnerPresence {
     if owner.entry == *gw.me() {
         let is_now = owner.run == gw.run;
         return if is_now {
-            OwnerSign::Me
+            OwnerPresence::ThisDaemon
         } else {
-            OwnerSign::Gone
+            OwnerPresence::Gone
         };
     }
     let members = gw.members.borrow();
     match members.presence(&owner.entry, owner.run, gw.now()) {
-        Presence::Heard => OwnerSign::Heard,
-        Presence::Silent => OwnerSign::Silent,
-        Presence::Gone => OwnerSign::Gone,
+        Presence::Reporting => OwnerPresence::Reporting,
+        Presence::Silent => OwnerPresence::Silent,
+        Presence::Gone => OwnerPresence::Gone,
     }
 }
 
--- a/crates/bluebellreel_members/src/members.rs
+++ b/crates/bluebellreel_members/src/members.rs
@@ -125,7 +125,7 @@
             return Presence::Gone;
         };
         if peer.is_heard(now) {
-            Presence::Heard
+            Presence::Reporting
         } else if peer.registered {
             Presence::Silent
         } else {
--- a/crates/bluebellreel_members/src/peer.rs
+++ b/crates/bluebellreel_members/src/peer.rs
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
     /// It reports.
-    Heard,
+    Reporting,
     /// It has fallen silent, and its entry in the store stands.
     Silent,
     /// It is certainly not at work any more, or nobody can reach it.
--- a/crates/bluebellreel_members/tests/members.rs
+++ b/crates/bluebellreel_members/tests/members.rs
@@ -49,7 +49,7 @@
     assert!(!members.hear(name(1), peer(1, NOW + TICK)));
     assert!(members.hear(name(1), peer(2, NOW + TICK)));
     let run = |n| members.presence(&name(1), Incarnation(n), NOW + TICK);
-    assert_eq!((run(1), run(2)), (Presence::Gone, Presence::Heard));
+    assert_eq!((run(1), run(2)), (Presence::Gone, Presence::Reporting));
 }
 
 /// Its entry was read before it was heard; the first report is news all the
@@ -71,7 +71,7 @@
     members.listed(vec![(name(1), entry(1))], 5);
     let presence =
         |m: &Members, after: Duration| m.presence(&name(1), Incarnation(1), NOW + after + TICK);
-    assert_eq!(presence(&members, Duration::ZERO), Presence::Heard);
+    assert_eq!(presence(&members, Duration::ZERO), Presence::Reporting);
     assert_eq!(presence(&members, SILENT), Presence::Silent);
     assert_eq!(presence(&members, LONG_SILENT), Presence::Silent);
     assert_eq!(presence(&members, LONG_SILENT * 10), Presence::Silent);
--- a/crates/bluebellreel_model/src/tenure.rs
+++ b/crates/bluebellreel_model/src/tenure.rs
@@ -1,5 +1,5 @@
 //! What two daemons tell readers of one job, with the real functions that decide
-//! who looks after it ([`custody`]) and how long an owner is sure ([`Tenure`]).
+//! who looks after it ([`decide_takeover`]) and how long an owner is sure ([`RegistrationSpan`]).
 //!
 //! Entries end, VMs are suspended and cut off from the store, answers are lost,
 //! and the job goes from one daemon to the other and back. Whatever happens: where
@@ -10,7 +10,9 @@
 
 use crate::Explored;
 use crate::explored::explore_all;
-use bluebellreel_batch::{Custody, OwnerSign, Stamp, Tenure, custody};
+use bluebellreel_batch::{
+    OwnerPresence, RegistrationSpan, Stamp, TakeoverDecision, decide_takeover,
+};
 use bluebellreel_types::Moment;
 use std::time::Duration;
 
@@ -98,7 +100,7 @@
     health: Health,
     /// Ticks that its steady clock has missed.
     missed: u8,
-    tenure: Tenure,
+    tenure: RegistrationSpan,
     /// A renewal that the store has done and whose answer is not read yet.
     renewing: Option<Stamp>,
     /// The job was taken over at this revision, and is not read yet.
@@ -162,7 +164,7 @@
         at: Moment(1),
         suspended: Duration::ZERO,
     };
-    let mut tenure = Tenure::default();
+    let mut tenure = RegistrationSpan::default();
     tenure.renewed(asked, asked);
     let daemon = Daemon {
         health: Health::Well,
@@ -328,22 +330,24 @@
     }
     let owner_is_well = state.reaches_store(state.owner);
     let sign = match state.owner {
-        owner if owner == at => OwnerSign::Me,
-        owner if guards.entry && state.entry_stands(owner) => OwnerSign::Silent,
+        owner if owner == at => OwnerPresence::ThisDaemon,
+        owner if guards.entry && state.entry_stands(owner) => OwnerPresence::Silent,
         // Without the guard it goes by what it has heard.
-        _ if !guards.entry && owner_is_well => OwnerSign::Heard,
-        _ => OwnerSign::Gone,
+        _ if !guards.entry && owner_is_well => OwnerPresence::Reporting,
+        _ => OwnerPresence::Gone,
     };
     let mut changed = state.clone();
     let asked = state.stamp(at, guards);
-    match custody(sign, true) {
-        Custody::Run => changed.daemons[at].loading = Some((state.revision, asked)),
-        Custody::TakeOver if state.revision < MOST_REVISIONS => {
+    match decide_takeover(sign, true) {
+        TakeoverDecision::Run => changed.daemons[at].loading = Some((state.revision, asked)),
+        TakeoverDecision::TakeOver if state.revision < MOST_REVISIONS => {
             changed.owner = at;
             changed.revision += 1;
             changed.daemons[at].loading = Some((changed.revision, asked));
         }
-        Custody::Settled | Custody::LookAgain | Custody::TakeOver => return,
+        TakeoverDecision::LeaveToOwner
+        | TakeoverDecision::RecheckSoon
+        | TakeoverDecision::TakeOver => return,
     }
     next.push(changed);
 }
