--- a/crates/bluebellreel_batch/src/keys.rs
+++ b/crates/bluebellreel_batch/src/keys.rs
@@ -22,7 +22,7 @@
 }
 
 /// Prefix of the index of open jobs.
-pub const OPEN: &str = "job/open/";
+pub const OPEN_JOBS_PREFIX: &str = "job/open/";
 
 /// A job's record.
 #[must_use]
@@ -33,7 +33,7 @@
 /// A job's place in the index of open jobs.
 #[must_use]
 pub fn open(id: &JobId) -> KeyText {
-    KeyText(format!("{OPEN}{id}"))
+    KeyText(format!("{OPEN_JOBS_PREFIX}{id}"))
 }
 
 /// Tombstone of a job that had no record when it was ended.
--- a/crates/bluebellreel_gateway/src/jobs/open.rs
+++ b/crates/bluebellreel_gateway/src/jobs/open.rs
@@ -93,11 +93,11 @@
 
 /// All open jobs; those that nobody reports are counted from now on.
 pub(super) async fn list(gw: &Gateway) -> Result<Vec<JobId>, KvError> {
-    let (all, _) = gw.store.list(&Key::from(keys::OPEN)).await?;
+    let (all, _) = gw.store.list(&Key::from(keys::OPEN_JOBS_PREFIX)).await?;
     let all: Vec<(JobId, Option<OpenJob>)> = all
         .iter()
         .filter_map(|kv| {
-            let id = JobId::from(kv.key.as_str().strip_prefix(keys::OPEN)?);
+            let id = JobId::from(kv.key.as_str().strip_prefix(keys::OPEN_JOBS_PREFIX)?);
             Some((id, OpenJob::try_from(kv.value.as_slice()).ok()))
         })
         .collect();
