--- a/crates/bluebellreel_gateway/src/detour.rs
+++ b/crates/bluebellreel_gateway/src/detour.rs
@@ -54,7 +54,7 @@
 fn choose_peer(gw: &Gateway) -> Option<SocketAddr> {
     let members = gw.members.borrow();
     let (stopping, staying): (Vec<_>, Vec<_>) = members
-        .heard_with_store(gw.now())
+        .alive_with_store(gw.now())
         .map(|(_, peer)| peer)
         .partition(|peer| peer.stopping);
     let able = if staying.is_empty() {
--- a/crates/bluebellreel_gateway/src/jobs/backup.rs
+++ b/crates/bluebellreel_gateway/src/jobs/backup.rs
@@ -83,7 +83,7 @@
     }
     let members = gw.members.borrow();
     let successor = members.successor(id, None, now)?;
-    Some(members.alive(&successor, now)?.calls)
+    Some(members.alive_peer(&successor, now)?.calls)
 }
 
 /// Copies one job's progress; whether it was taken.
--- a/crates/bluebellreel_gateway/src/jobs/cancel.rs
+++ b/crates/bluebellreel_gateway/src/jobs/cancel.rs
@@ -124,7 +124,10 @@
     let (now, members) = (gw.now(), &gw.members);
     let successor = members.borrow().successor(id, None, now);
     let successor = successor.ok_or("nobody is heard")?;
-    let calls = members.borrow().alive(&successor, now).map(|p| p.calls);
+    let calls = members
+        .borrow()
+        .alive_peer(&successor, now)
+        .map(|p| p.calls);
     peer_calls::pass_end_on(gw, calls.ok_or("nobody is heard")?, id).await?;
     info!(target: "jobs", job:% = id, peer:% = successor; "end passed on");
     Ok(())
--- a/crates/bluebellreel_gateway/src/jobs/hand_over.rs
+++ b/crates/bluebellreel_gateway/src/jobs/hand_over.rs
@@ -85,7 +85,7 @@
         warn!(target: "jobs", job:% = id; "nobody to hand the job over to");
         return;
     };
-    let peer = gw.members.borrow().alive(&to, gw.now()).cloned();
+    let peer = gw.members.borrow().alive_peer(&to, gw.now()).cloned();
     let Some(peer) = peer else {
         return;
     };
--- a/crates/bluebellreel_gateway/src/jobs/read.rs
+++ b/crates/bluebellreel_gateway/src/jobs/read.rs
@@ -92,7 +92,7 @@
     let jobs = gw.jobs.borrow();
     let owner = jobs.owners.get(id)?;
     let members = gw.members.borrow();
-    let peer = members.alive(&owner.entry, gw.now())?;
+    let peer = members.alive_peer(&owner.entry, gw.now())?;
     (peer.run == owner.run).then_some(peer.calls)
 }
 
--- a/crates/bluebellreel_gateway/src/jobs/takeover.rs
+++ b/crates/bluebellreel_gateway/src/jobs/takeover.rs
@@ -56,7 +56,7 @@
                 true
             }
         };
-        let pause = match (more, is_caretaker(&gw)) {
+        let pause = match (more, is_cleanup_leader(&gw)) {
             (true, _) => LOOK_SOON,
             (false, true) => LOOK,
             (false, false) if !hears_of_all_jobs(&gw) => LOOK,
@@ -110,13 +110,13 @@
 }
 
 /// Whether this daemon looks more often than the others.
-fn is_caretaker(gw: &Gateway) -> bool {
-    gw.members.borrow().is_caretaker(gw.me(), gw.now())
+fn is_cleanup_leader(gw: &Gateway) -> bool {
+    gw.members.borrow().is_cleanup_leader(gw.me(), gw.now())
 }
 
 /// Whether reports tell of all jobs that count against quotas.
 fn hears_of_all_jobs(gw: &Gateway) -> bool {
-    gw.members.borrow().hears_all(gw.now()) && gw.jobs.borrow().open.is_empty()
+    gw.members.borrow().all_peers_alive(gw.now()) && gw.jobs.borrow().open.is_empty()
 }
 
 /// Whether a peer that is heard says that it owns a job; saves reading the
@@ -172,11 +172,11 @@
     // An owner of very many jobs reports some of them only.
     let reports_all = {
         let members = gw.members.borrow();
-        let peer = members.alive(&owner.entry, now);
+        let peer = members.alive_peer(&owner.entry, now);
         peer.is_some_and(|p| p.jobs.len() < REPORTED)
     };
     let address = read::owner_address(gw, id)?;
-    if !reports_all || !is_caretaker(gw) {
+    if !reports_all || !is_cleanup_leader(gw) {
         return None;
     }
     let notify_at = notify_at.unwrap_or(now + UNREPORTED);
@@ -227,7 +227,7 @@
     let now = gw.now();
     let mut jobs = gw.jobs.borrow_mut();
     let found_at = *jobs.orphans.entry(id.clone()).or_insert(now);
-    is_caretaker(gw) && (found_at + LEFT_BY_SUCCESSOR).is_past(now)
+    is_cleanup_leader(gw) && (found_at + LEFT_BY_SUCCESSOR).is_past(now)
 }
 
 /// Makes this daemon the owner of a job whose owner is gone.
--- a/crates/bluebellreel_gateway/src/reports/catch_up.rs
+++ b/crates/bluebellreel_gateway/src/reports/catch_up.rs
@@ -4,7 +4,7 @@
 use crate::gateway::Gateway;
 use crate::peer_calls;
 use crate::workers::apply_workers;
-use bluebellreel_members::{Divergence, Question};
+use bluebellreel_members::{Divergence, SyncRequest};
 use bluebellreel_snapshot::SharedFacts;
 use bluebellreel_types::EntryName;
 use log::{info, warn};
@@ -38,7 +38,7 @@
         let knowing = peers_that_know_more(&gw);
         if !knowing.is_empty() {
             let at = gw.rng.borrow_mut().random_range(0..knowing.len());
-            ask(&gw, &knowing[at], Question::Changes).await;
+            ask(&gw, &knowing[at], SyncRequest::Changes).await;
         }
         asking.set(false);
     });
@@ -83,24 +83,24 @@
     }
 }
 
-fn peers_to_ask(gw: &Gateway, question: Question) -> Vec<(EntryName, SocketAddr)> {
+fn peers_to_ask(gw: &Gateway, question: SyncRequest) -> Vec<(EntryName, SocketAddr)> {
     let own = gw.facts.borrow().list();
     let members = gw.members.borrow();
     members
         .heard(gw.now())
         .filter(|(_, peer)| match question {
-            Question::Changes => own.may_learn_from(peer.list),
-            Question::All => own.is_behind(peer.list),
+            SyncRequest::Changes => own.may_learn_from(peer.list),
+            SyncRequest::All => own.is_behind(peer.list),
         })
         .map(|(name, peer)| (name.clone(), peer.calls))
         .collect()
 }
 
-async fn ask(gw: &Rc<Gateway>, (peer, calls): &(EntryName, SocketAddr), question: Question) {
+async fn ask(gw: &Rc<Gateway>, (peer, calls): &(EntryName, SocketAddr), question: SyncRequest) {
     let seen = gw.facts.borrow().seen();
     let answer = match question {
-        Question::Changes => peer_calls::facts(gw, *calls, seen).await,
-        Question::All => peer_calls::all_facts(gw, *calls, seen).await,
+        SyncRequest::Changes => peer_calls::facts(gw, *calls, seen).await,
+        SyncRequest::All => peer_calls::all_facts(gw, *calls, seen).await,
     };
     match answer {
         Ok(shared) => learn(gw, shared, peer),
--- a/crates/bluebellreel_gateway/src/reports/mod.rs
+++ b/crates/bluebellreel_gateway/src/reports/mod.rs
@@ -214,7 +214,7 @@
         run: report.run,
         calls: report.calls,
         reports: report.reports,
-        heard_at: Some(now),
+        last_report_at: Some(now),
         stopping: report.stopping,
         registered: false,
         is_gone: false,
--- a/crates/bluebellreel_gateway/src/reports/wire.rs
+++ b/crates/bluebellreel_gateway/src/reports/wire.rs
@@ -10,7 +10,7 @@
 use super::parts::Rest;
 use crate::gateway::Gateway;
 use bluebellreel_dispatch::{Boot, PeerLoad, PeerRuns, Running, WorkerTag};
-use bluebellreel_members::{Revisions, SILENT};
+use bluebellreel_members::{PEER_TIMEOUT, Revisions};
 use bluebellreel_types::{DataCentre, EntryName, Incarnation, JobId, Moment, WorkerName};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -172,7 +172,7 @@
             sequence: self.sequence,
             running: running.collect(),
             waiting: self.waiting,
-            expires_at: gw.now() + SILENT,
+            expires_at: gw.now() + PEER_TIMEOUT,
         }
     }
 }
@@ -297,6 +297,6 @@
         sequence: report.sequence,
         running: running.collect(),
         waiting: report.waiting,
-        expires_at: now + SILENT,
+        expires_at: now + PEER_TIMEOUT,
     }
 }
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -179,7 +179,7 @@
 
 /// Notes whether few peers are heard, or most of them again.
 fn note_isolation(gw: &Gateway, now: Moment) {
-    let isolated = !gw.members.borrow().hears_most(now);
+    let isolated = !gw.members.borrow().has_quorum(now);
     let since = gw.isolated_since.get();
     gw.isolated_since
         .set(isolated.then_some(since.unwrap_or(now)));
--- a/crates/bluebellreel_members/src/divergence.rs
+++ b/crates/bluebellreel_members/src/divergence.rs
@@ -17,7 +17,7 @@
 
 /// What a daemon asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Question {
+pub enum SyncRequest {
     /// What has changed since the revision up to which its list is complete.
     Changes,
     /// All workers; asked of peers whose lists are complete to a later revision.
@@ -50,7 +50,7 @@
         own: WorkerList,
         peers: impl Iterator<Item = WorkerList>,
         now: Moment,
-    ) -> Option<Question> {
+    ) -> Option<SyncRequest> {
         let mut differs = false;
         let mut may_learn = false;
         let mut is_behind = false;
@@ -71,9 +71,9 @@
         self.not_before = now + self.backoff;
         let first = *self.first_asked.get_or_insert(now);
         if is_behind && (first + CHANGES_LONGEST).is_past(now) {
-            Some(Question::All)
+            Some(SyncRequest::All)
         } else {
-            Some(Question::Changes)
+            Some(SyncRequest::Changes)
         }
     }
 }
--- a/crates/bluebellreel_members/src/lib.rs
+++ b/crates/bluebellreel_members/src/lib.rs
@@ -19,8 +19,9 @@
 mod peer;
 mod unclaimed;
 
-pub use divergence::{Divergence, Question};
+pub use divergence::{Divergence, SyncRequest};
 pub use members::Members;
 pub use peer::{
-    ANSWER_OLD, LONG_SILENT, MemberEntry, Peer, Presence, Revisions, SILENT, WorkerList,
+    MemberEntry, PEER_RETENTION, PEER_TIMEOUT, Peer, Presence, Revisions, STORE_ANSWER_MAX_AGE,
+    WorkerList,
 };
--- a/crates/bluebellreel_members/src/members.rs
+++ b/crates/bluebellreel_members/src/members.rs
@@ -1,6 +1,6 @@
 //! All peers, and who does what among them.
 
-use crate::peer::{LONG_SILENT, MemberEntry, Peer, Presence, rank, rank_for};
+use crate::peer::{MemberEntry, PEER_RETENTION, Peer, Presence, rank, rank_for};
 use crate::unclaimed::Unclaimed;
 use bluebellreel_types::{EntryName, Incarnation, JobId, Moment};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -31,7 +31,7 @@
     }
 
     /// Peers that were heard lately and reach the store.
-    pub fn heard_with_store(&self, now: Moment) -> impl Iterator<Item = (&EntryName, &Peer)> {
+    pub fn alive_with_store(&self, now: Moment) -> impl Iterator<Item = (&EntryName, &Peer)> {
         self.heard(now).filter(|(_, p)| p.reaches_store)
     }
 
@@ -54,7 +54,7 @@
 
     /// A peer that is heard.
     #[must_use]
-    pub fn alive(&self, name: &EntryName, now: Moment) -> Option<&Peer> {
+    pub fn alive_peer(&self, name: &EntryName, now: Moment) -> Option<&Peer> {
         self.peers.get(name).filter(|p| p.is_heard(now))
     }
 
@@ -68,7 +68,7 @@
     /// Whether at least half of all daemons that should be there are heard. One
     /// that hears fewer is rather cut off than the only one left.
     #[must_use]
-    pub fn hears_most(&self, now: Moment) -> bool {
+    pub fn has_quorum(&self, now: Moment) -> bool {
         let heard = self.heard(now).count();
         let silent = self.peers.values().filter(|p| !p.is_heard(now));
         let missed = silent.filter(|p| p.registered && !p.stopping).count();
@@ -78,7 +78,7 @@
     /// Whether all daemons that should be there are heard, so that reports tell of all
     /// that they do.
     #[must_use]
-    pub fn hears_all(&self, now: Moment) -> bool {
+    pub fn all_peers_alive(&self, now: Moment) -> bool {
         let mut silent = self.peers.values().filter(|p| !p.is_heard(now));
         !silent.any(|p| p.registered && !p.stopping)
     }
@@ -86,7 +86,7 @@
     /// Age of the oldest report that is still counted.
     #[must_use]
     pub fn oldest_report(&self, now: Moment) -> Duration {
-        let ages = self.heard(now).filter_map(|(_, p)| p.heard_at);
+        let ages = self.heard(now).filter_map(|(_, p)| p.last_report_at);
         ages.map(|at| now.since(at)).max().unwrap_or_default()
     }
 
@@ -139,7 +139,7 @@
     #[must_use]
     pub fn is_watcher(&self, me: &EntryName, reaches_store: bool, now: Moment) -> bool {
         // Whoever stops would be missed only when it has been silent for a while.
-        let mut others = self.heard_with_store(now).filter(|(_, p)| !p.stopping);
+        let mut others = self.alive_with_store(now).filter(|(_, p)| !p.stopping);
         if !reaches_store {
             return others.next().is_none();
         }
@@ -150,7 +150,7 @@
     /// Whether daemon `me` is the first of those that live, which looks after
     /// what others leave.
     #[must_use]
-    pub fn is_caretaker(&self, me: &EntryName, now: Moment) -> bool {
+    pub fn is_cleanup_leader(&self, me: &EntryName, now: Moment) -> bool {
         self.heard(now).all(|(peer, _)| me < peer)
     }
 
@@ -170,8 +170,8 @@
     pub fn hear(&mut self, name: EntryName, mut peer: Peer) -> bool {
         let known = self.peers.get(&name).filter(|p| p.run == peer.run);
         peer.registered = known.is_some_and(|p| p.registered);
-        let is_news = known.is_none_or(|p| p.heard_at.is_none());
-        let now = peer.heard_at.unwrap_or_default();
+        let is_news = known.is_none_or(|p| p.last_report_at.is_none());
+        let now = peer.last_report_at.unwrap_or_default();
         if !self.unclaimed.is_empty() {
             for job in &peer.jobs {
                 self.unclaimed.claimed(job, now);
@@ -196,7 +196,10 @@
         if goes_on && !peer.stopping {
             return;
         }
-        let now = peer.heard_at.or(former.heard_at).unwrap_or_default();
+        let now = peer
+            .last_report_at
+            .or(former.last_report_at)
+            .unwrap_or_default();
         let is_lost = |job: &JobId| !peer.jobs.contains(job) && !self.is_owned(job, now);
         let lost = former.jobs.into_iter().filter(is_lost).collect();
         let less = former.tokens.into_iter().filter_map(|(route, before)| {
@@ -237,7 +240,7 @@
             Some(peer) if peer.run == entry.run => peer.registered = true,
             // A peer that is heard under another run tells better than an
             // entry that may be its last run's.
-            Some(peer) if peer.heard_at.is_some() && !peer.registered => {}
+            Some(peer) if peer.last_report_at.is_some() && !peer.registered => {}
             _ => self.replace(name, Peer::entered(entry)),
         }
     }
@@ -245,6 +248,6 @@
     /// Forgets peers that are not in the store and not heard.
     pub fn sweep(&mut self, now: Moment) {
         self.peers
-            .retain(|_, peer| !peer.is_gone || peer.heard_within(LONG_SILENT, now));
+            .retain(|_, peer| !peer.is_gone || peer.heard_within(PEER_RETENTION, now));
     }
 }
--- a/crates/bluebellreel_members/src/peer.rs
+++ b/crates/bluebellreel_members/src/peer.rs
@@ -8,13 +8,13 @@
 
 /// Silence after which a peer no longer counts as alive. It reports four times
 /// a second; a few reports are lost now and then.
-pub const SILENT: Duration = Duration::from_millis(1500);
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Silence after which a peer whose entry in the store has ended is forgotten.
-pub const LONG_SILENT: Duration = Duration::from_secs(8);
+pub const PEER_RETENTION: Duration = Duration::from_secs(8);
 
 /// Age from which a peer's last answer of the store is old. One that is well renews
 /// its lease each 1.1 s and says how old its last answer is each 0.25 s.
-pub const ANSWER_OLD: Duration = Duration::from_millis(1500);
+pub const STORE_ANSWER_MAX_AGE: Duration = Duration::from_millis(1500);
 
 /// How far some daemon's knowledge of the store goes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -92,7 +92,7 @@
     /// Where it takes reports.
     pub reports: SocketAddr,
     /// When it was heard last; never, if only its entry is known.
-    pub heard_at: Option<Moment>,
+    pub last_report_at: Option<Moment>,
     /// Whether it is about to end.
     pub stopping: bool,
     /// Whether its entry stands in the store, as far as is known.
@@ -125,7 +125,7 @@
             run: entry.run,
             calls: entry.calls,
             reports: entry.reports,
-            heard_at: None,
+            last_report_at: None,
             stopping: false,
             registered: true,
             is_gone: false,
@@ -143,19 +143,20 @@
     /// Whether the store may have answered it lately.
     pub(crate) fn is_answered(&self, now: Moment) -> bool {
         self.answered_at
-            .is_none_or(|at| !(at + ANSWER_OLD).is_past(now))
+            .is_none_or(|at| !(at + STORE_ANSWER_MAX_AGE).is_past(now))
     }
 
     /// Whether it was heard lately.
     #[must_use]
     pub fn is_heard(&self, now: Moment) -> bool {
-        self.heard_within(SILENT, now)
+        self.heard_within(PEER_TIMEOUT, now)
     }
 
     /// Whether it was heard within a time.
     #[must_use]
     pub fn heard_within(&self, span: Duration, now: Moment) -> bool {
-        self.heard_at.is_some_and(|at| !(at + span).is_past(now))
+        self.last_report_at
+            .is_some_and(|at| !(at + span).is_past(now))
     }
 }
 
--- a/crates/bluebellreel_members/tests/divergence.rs
+++ b/crates/bluebellreel_members/tests/divergence.rs
@@ -1,7 +1,7 @@
 //! When lists of workers are compared, and that they converge by it.
 
 use bluebellreel_dispatch::{Catalog, WorkerRecord, WorkerState};
-use bluebellreel_members::{Divergence, Question, WorkerList};
+use bluebellreel_members::{Divergence, SyncRequest, WorkerList};
 use bluebellreel_types::{DataCentre, Moment, WorkerName};
 use proptest::prelude::*;
 use std::iter::once;
@@ -51,7 +51,7 @@
 fn questions(
     ticks: u32,
     lists: impl Fn(u32) -> (WorkerList, Vec<WorkerList>),
-) -> Vec<(u32, Question)> {
+) -> Vec<(u32, SyncRequest)> {
     let mut divergence = Divergence::default();
     let asked = (0..ticks).filter_map(|tick| {
         let (own, peers) = lists(tick);
@@ -63,9 +63,9 @@
 }
 
 /// What a peer answers that is asked, as daemons answer.
-fn answer(peer: &Catalog, asker: &mut Catalog, question: Question) {
+fn answer(peer: &Catalog, asker: &mut Catalog, question: SyncRequest) {
     let seen = asker.revision();
-    let whole = question == Question::All || !peer.tells_all_after(seen);
+    let whole = question == SyncRequest::All || !peer.tells_all_after(seen);
     let facts = peer.facts_after(if whole { 0 } else { seen });
     let facts = facts.map(|(revision, id, record)| (revision, id.clone(), record.cloned()));
     asker.learn(peer.revision(), facts.collect(), whole);
@@ -136,8 +136,8 @@
 #[test]
 fn peers_that_know_as_much_are_asked_for_changes_only() {
     let asked = questions(400, |_| (list(9, 5), vec![list(9, 6)]));
-    assert_eq!(asked.first(), Some(&(4, Question::Changes)));
-    assert!(asked.iter().all(|(_, q)| *q == Question::Changes));
+    assert_eq!(asked.first(), Some(&(4, SyncRequest::Changes)));
+    assert!(asked.iter().all(|(_, q)| *q == SyncRequest::Changes));
     assert!(asked.len() < 9, "{asked:?}");
 }
 
@@ -149,9 +149,9 @@
         (list(9, 5), vec![list(10 + i64::from(tick), 6)])
     });
     let first = asked.first().expect("it asks");
-    assert_eq!(*first, (4, Question::Changes));
+    assert_eq!(*first, (4, SyncRequest::Changes));
     assert!(asked.len() < 70, "{} in an hour", asked.len());
-    let changes = asked.iter().filter(|(_, q)| *q == Question::Changes);
+    let changes = asked.iter().filter(|(_, q)| *q == SyncRequest::Changes);
     assert!(asked.len() > changes.count(), "all workers are asked for");
 }
 
@@ -162,7 +162,7 @@
         let theirs = if tick < 16 { 6 } else { 5 };
         (list(9, 5), vec![list(10 + i64::from(tick), theirs)])
     });
-    let all = asked.iter().filter(|(_, q)| *q == Question::All);
+    let all = asked.iter().filter(|(_, q)| *q == SyncRequest::All);
     assert_eq!(all.count(), 0, "{asked:?}");
     assert!((1..=3).contains(&asked.len()), "{asked:?}");
 }
@@ -175,7 +175,7 @@
         (list(9, 5), vec![list(10 + i64::from(tick), theirs)])
     });
     let later: Vec<_> = asked.iter().filter(|(tick, _)| *tick >= 400).collect();
-    assert_eq!(later.first(), Some(&&(404, Question::Changes)));
+    assert_eq!(later.first(), Some(&&(404, SyncRequest::Changes)));
 }
 
 /// A worker leaves, and only one that starts after that knows: its newest fact is older
@@ -237,7 +237,7 @@
                 3 => watch(&mut daemons[who], &writes),
                 _ => {
                     let peer = daemons[which].clone();
-                    answer(&peer, &mut daemons[who], Question::Changes);
+                    answer(&peer, &mut daemons[who], SyncRequest::Changes);
                 }
             }
         }
--- a/crates/bluebellreel_members/tests/members.rs
+++ b/crates/bluebellreel_members/tests/members.rs
@@ -1,6 +1,8 @@
 //! Who lives, and who does what.
 
-use bluebellreel_members::{ANSWER_OLD, LONG_SILENT, MemberEntry, Members, Peer, Presence, SILENT};
+use bluebellreel_members::{
+    MemberEntry, Members, PEER_RETENTION, PEER_TIMEOUT, Peer, Presence, STORE_ANSWER_MAX_AGE,
+};
 use bluebellreel_types::{EntryName, Incarnation, JobId, Moment};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,9 +25,9 @@
     }
 }
 
-fn peer(run: u64, heard_at: Moment) -> Peer {
+fn peer(run: u64, last_report_at: Moment) -> Peer {
     Peer {
-        heard_at: Some(heard_at),
+        last_report_at: Some(last_report_at),
         registered: false,
         ..Peer::entered(entry(run))
     }
@@ -72,11 +74,11 @@
     let presence =
         |m: &Members, after: Duration| m.presence(&name(1), Incarnation(1), NOW + after + TICK);
     assert_eq!(presence(&members, Duration::ZERO), Presence::Reporting);
-    assert_eq!(presence(&members, SILENT), Presence::Silent);
-    assert_eq!(presence(&members, LONG_SILENT), Presence::Silent);
-    assert_eq!(presence(&members, LONG_SILENT * 10), Presence::Silent);
+    assert_eq!(presence(&members, PEER_TIMEOUT), Presence::Silent);
+    assert_eq!(presence(&members, PEER_RETENTION), Presence::Silent);
+    assert_eq!(presence(&members, PEER_RETENTION * 10), Presence::Silent);
     members.listed(Vec::new(), 6);
-    assert_eq!(presence(&members, SILENT), Presence::Gone);
+    assert_eq!(presence(&members, PEER_TIMEOUT), Presence::Gone);
 }
 
 /// A list that was on its way while a newer one was read brings back an entry
@@ -87,7 +89,7 @@
     members.hear(name(1), peer(1, NOW));
     members.listed(Vec::new(), 6);
     members.listed(vec![(name(1), entry(1))], 5);
-    let later = NOW + SILENT + TICK;
+    let later = NOW + PEER_TIMEOUT + TICK;
     assert_eq!(
         members.presence(&name(1), Incarnation(1), later),
         Presence::Gone
@@ -174,7 +176,7 @@
 fn a_lost_peer_shows_once() {
     let mut members = heard(2);
     assert!(!members.has_lost_peer(NOW));
-    let later = NOW + SILENT + TICK;
+    let later = NOW + PEER_TIMEOUT + TICK;
     members.hear(name(1), peer(1, later));
     assert!(members.has_lost_peer(later));
     assert!(!members.has_lost_peer(later));
@@ -185,7 +187,7 @@
 fn daemons_that_are_gone_are_forgotten() {
     let mut members = heard(2);
     members.listed(vec![(name(1), entry(1))], 5);
-    members.sweep(NOW + LONG_SILENT + TICK);
+    members.sweep(NOW + PEER_RETENTION + TICK);
     let left: Vec<_> = members.peers().map(|(n, _)| n.clone()).collect();
     assert_eq!(left, [name(1)]);
 }
@@ -198,22 +200,22 @@
     let mut members = heard(5);
     let all = (1..=5).map(|n| (name(n), entry(1))).collect();
     members.listed(all, 5);
-    assert!(members.hears_most(NOW));
-    let later = NOW + SILENT + TICK;
-    assert!(!members.hears_most(later));
+    assert!(members.has_quorum(NOW));
+    let later = NOW + PEER_TIMEOUT + TICK;
+    assert!(!members.has_quorum(later));
     for n in 1..=3 {
         members.hear(name(n), peer(1, later));
     }
-    assert!(members.hears_most(later));
-    assert!(Members::default().hears_most(NOW), "alone");
+    assert!(members.has_quorum(later));
+    assert!(Members::default().has_quorum(NOW), "alone");
 }
 
 /// A peer that owns jobs with so many tokens on a route.
-fn owner(run: u64, jobs: &[&str], tokens: u64, heard_at: Moment) -> Peer {
+fn owner(run: u64, jobs: &[&str], tokens: u64, last_report_at: Moment) -> Peer {
     Peer {
         jobs: jobs.iter().map(|job| JobId::from(*job)).collect(),
         tokens: [("book".to_owned(), tokens)].into_iter().collect(),
-        ..peer(run, heard_at)
+        ..peer(run, last_report_at)
     }
 }
 
@@ -248,7 +250,7 @@
     let mut members = Members::default();
     members.hear(name(1), owner(1, &["a"], 600, NOW));
     members.hear(name(1), owner(2, &[], 0, NOW + TICK));
-    assert_eq!(members.tokens("book", NOW + LONG_SILENT * 2), 0);
+    assert_eq!(members.tokens("book", NOW + PEER_RETENTION * 2), 0);
 }
 
 /// A job that is handed over counts until its new owner reports it, in either order.
@@ -282,16 +284,19 @@
 #[test]
 fn all_are_heard_while_each_entry_has_a_report() {
     let mut members = heard(1);
-    assert!(members.hears_all(NOW));
+    assert!(members.all_peers_alive(NOW));
     members.listed(vec![(name(1), entry(1)), (name(2), entry(1))], 5);
-    assert!(!members.hears_all(NOW), "one never heard");
+    assert!(!members.all_peers_alive(NOW), "one never heard");
     members.hear(name(2), peer(1, NOW));
-    assert!(members.hears_all(NOW));
-    members.hear(name(1), peer(1, NOW + SILENT));
-    assert!(!members.hears_all(NOW + SILENT + TICK), "one silent");
+    assert!(members.all_peers_alive(NOW));
+    members.hear(name(1), peer(1, NOW + PEER_TIMEOUT));
+    assert!(
+        !members.all_peers_alive(NOW + PEER_TIMEOUT + TICK),
+        "one silent"
+    );
     members.listed(vec![(name(1), entry(1))], 6);
     assert!(
-        members.hears_all(NOW + SILENT + TICK),
+        members.all_peers_alive(NOW + PEER_TIMEOUT + TICK),
         "its entry has ended"
     );
 }
@@ -311,12 +316,12 @@
     let mut members = heard(2);
     members.hear(name(1), owner(1, &["a", "b"], 600, NOW));
     members.hear(name(2), owner(1, &["c"], 100, NOW));
-    assert_eq!(names(&members, NOW + SILENT + TICK), ["a", "b", "c"]);
+    assert_eq!(names(&members, NOW + PEER_TIMEOUT + TICK), ["a", "b", "c"]);
     members.hear(name(1), owner(2, &[], 0, NOW + TICK));
     assert_eq!(names(&members, NOW + TICK), ["a", "b", "c"]);
     members.claimed(&JobId::from("a"), NOW + TICK);
     assert_eq!(names(&members, NOW + TICK), ["b", "c"]);
-    assert_eq!(names(&members, NOW + LONG_SILENT * 2), ["c"]);
+    assert_eq!(names(&members, NOW + PEER_RETENTION * 2), ["c"]);
 }
 
 /// Watchers that are cut off from the store without knowing leave the watch to others.
@@ -326,13 +331,13 @@
         let all = (1..=6).filter(|n| {
             let mut as_it_sees = members.clone();
             as_it_sees.hear(name(*n), peer(1, LONG_AGO));
-            as_it_sees.is_watcher(&name(*n), true, NOW + ANSWER_OLD)
+            as_it_sees.is_watcher(&name(*n), true, NOW + STORE_ANSWER_MAX_AGE)
         });
         all.collect()
     };
     let answered = |at| Peer {
         answered_at: Some(at),
-        ..peer(1, NOW + ANSWER_OLD)
+        ..peer(1, NOW + STORE_ANSWER_MAX_AGE)
     };
     let mut members = Members::default();
     for n in 1..=6 {
@@ -351,7 +356,7 @@
 /// Guards that a silent peer which reached the store may still do so, until its entry is known to be gone.
 #[test]
 fn a_peer_that_fell_silent_may_reach_the_store() {
-    let later = NOW + LONG_SILENT + TICK;
+    let later = NOW + PEER_RETENTION + TICK;
     let lost = |reaches_store| {
         let mut members = heard(0);
         let peer = Peer {
