--- a/crates/bluebellreel_gateway/src/jobs/confirm.rs
+++ b/crates/bluebellreel_gateway/src/jobs/confirm.rs
@@ -118,7 +118,7 @@
 fn outage_began(gw: &Gateway) -> Option<Moment> {
     let members = gw.members.borrow();
     let now = gw.now();
-    let is_alone = gw.isolated_since.get().is_some() || members.heard(now).next().is_none();
+    let is_alone = gw.isolated_since.get().is_some() || members.alive_peers(now).next().is_none();
     if is_alone || !gw.store.is_lost() || members.may_reach_store(now) {
         return None;
     }
--- a/crates/bluebellreel_gateway/src/reports/catch_up.rs
+++ b/crates/bluebellreel_gateway/src/reports/catch_up.rs
@@ -48,7 +48,7 @@
     let facts = gw.facts.borrow();
     let members = gw.members.borrow();
     members
-        .heard(gw.now())
+        .alive_peers(gw.now())
         .filter(|(_, peer)| facts.lacks(peer.revisions))
         .map(|(name, peer)| (name.clone(), peer.calls))
         .collect()
@@ -64,7 +64,7 @@
         let question = {
             let (own, now) = (gw.facts.borrow().list(), gw.now());
             let members = gw.members.borrow();
-            let lists = members.heard(now).map(|(_, peer)| peer.list);
+            let lists = members.alive_peers(now).map(|(_, peer)| peer.list);
             divergence.question(own, lists, now)
         };
         let Some(question) = question else {
@@ -87,7 +87,7 @@
     let own = gw.facts.borrow().list();
     let members = gw.members.borrow();
     members
-        .heard(gw.now())
+        .alive_peers(gw.now())
         .filter(|(_, peer)| match question {
             SyncRequest::Changes => own.may_learn_from(peer.list),
             SyncRequest::All => own.is_behind(peer.list),
--- a/crates/bluebellreel_gateway/src/reports/mod.rs
+++ b/crates/bluebellreel_gateway/src/reports/mod.rs
@@ -100,8 +100,8 @@
 fn targets(gw: &Gateway) -> (BTreeSet<SocketAddr>, BTreeSet<SocketAddr>) {
     let members = gw.members.borrow();
     let mut targets: BTreeSet<SocketAddr> = members.peers().map(|(_, p)| p.reports).collect();
-    let heard = members.heard(gw.now());
-    let briefed = heard.filter(|(_, p)| p.reads_briefs);
+    let alive_peers = members.alive_peers(gw.now());
+    let briefed = alive_peers.filter(|(_, p)| p.reads_briefs);
     let briefed = briefed.map(|(_, p)| p.reports).collect();
     let port = gw.settings.reports.port();
     let seeds = gw.seeds.borrow();
--- a/crates/bluebellreel_gateway/src/reports/parts.rs
+++ b/crates/bluebellreel_gateway/src/reports/parts.rs
@@ -80,7 +80,7 @@
             return Self::default();
         }
         let now = gw.now();
-        let peers = gw.members.borrow().heard(now).count().max(1);
+        let peers = gw.members.borrow().alive_peers(now).count().max(1);
         let notifies_all = gw.rng.borrow_mut().random_range(0..peers) < FULL_NOTIFIERS;
         let mut suspects = gw.suspects.borrow_mut();
         let crashes = suspects.notices(notifies_all, now).into_iter();
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -205,8 +205,8 @@
     metrics.store_failures.set(total(failures));
     let seats = gw.board.borrow().seats().count();
     metrics.workers.set(count(seats));
-    let heard = gw.members.borrow().heard(gw.now()).count();
-    metrics.peers.set(count(heard));
+    let alive_peers = gw.members.borrow().alive_peers(gw.now()).count();
+    metrics.peers.set(count(alive_peers));
     metrics.configuration_version.set(total(version));
     metrics.lines_dropped.set(total(lines_dropped));
     metrics.text()
--- a/crates/bluebellreel_gateway/src/suspicion.rs
+++ b/crates/bluebellreel_gateway/src/suspicion.rs
@@ -86,7 +86,7 @@
 /// Whether this daemon may try a request out now. A job's item has one owner.
 fn may_try_here(gw: &Gateway, fingerprint: Fingerprint, sender: Sender, since: Moment) -> bool {
     let now = gw.now();
-    let peers = gw.members.borrow().heard(now).count();
+    let peers = gw.members.borrow().alive_peers(now).count();
     sender == Sender::Job || may_try(fingerprint, gw.me(), peers + 1, since, now)
 }
 
--- a/crates/bluebellreel_gateway/src/watching.rs
+++ b/crates/bluebellreel_gateway/src/watching.rs
@@ -211,7 +211,9 @@
     let lacks = {
         let facts = gw.facts.borrow();
         let members = gw.members.borrow();
-        members.heard(now).any(|(_, p)| facts.lacks(p.revisions))
+        members
+            .alive_peers(now)
+            .any(|(_, p)| facts.lacks(p.revisions))
     };
     if !lacks {
         since.set(None);
--- a/crates/bluebellreel_members/src/members.rs
+++ b/crates/bluebellreel_members/src/members.rs
@@ -26,13 +26,13 @@
     }
 
     /// Peers that were heard lately.
-    pub fn heard(&self, now: Moment) -> impl Iterator<Item = (&EntryName, &Peer)> {
+    pub fn alive_peers(&self, now: Moment) -> impl Iterator<Item = (&EntryName, &Peer)> {
         self.peers.iter().filter(move |(_, p)| p.is_heard(now))
     }
 
     /// Peers that were heard lately and reach the store.
     pub fn alive_with_store(&self, now: Moment) -> impl Iterator<Item = (&EntryName, &Peer)> {
-        self.heard(now).filter(|(_, p)| p.reaches_store)
+        self.alive_peers(now).filter(|(_, p)| p.reaches_store)
     }
 
     /// Whether the store may be there for some peer: for one that says so, or one that
@@ -61,7 +61,7 @@
     /// Whether the store has served some peer for so long without an outage.
     #[must_use]
     pub fn is_served_for(&self, span: Duration, now: Moment) -> bool {
-        self.heard(now)
+        self.alive_peers(now)
             .any(|(_, p)| u64::from(p.served_s) >= span.as_secs())
     }
 
@@ -69,10 +69,10 @@
     /// that hears fewer is rather cut off than the only one left.
     #[must_use]
     pub fn has_quorum(&self, now: Moment) -> bool {
-        let heard = self.heard(now).count();
+        let alive_peers = self.alive_peers(now).count();
         let silent = self.peers.values().filter(|p| !p.is_heard(now));
         let missed = silent.filter(|p| p.registered && !p.stopping).count();
-        heard + 1 >= missed
+        alive_peers + 1 >= missed
     }
 
     /// Whether all daemons that should be there are heard, so that reports tell of all
@@ -86,7 +86,7 @@
     /// Age of the oldest report that is still counted.
     #[must_use]
     pub fn oldest_report(&self, now: Moment) -> Duration {
-        let ages = self.heard(now).filter_map(|(_, p)| p.last_report_at);
+        let ages = self.alive_peers(now).filter_map(|(_, p)| p.last_report_at);
         ages.map(|at| now.since(at)).max().unwrap_or_default()
     }
 
@@ -113,7 +113,7 @@
     /// Whether a peer that is heard says that it owns a job.
     #[must_use]
     pub fn is_owned(&self, job: &JobId, now: Moment) -> bool {
-        self.heard(now).any(|(_, p)| p.jobs.contains(job))
+        self.alive_peers(now).any(|(_, p)| p.jobs.contains(job))
     }
 
     /// What is known of a run of a daemon. One whose entry stands may only be cut
@@ -151,14 +151,14 @@
     /// what others leave.
     #[must_use]
     pub fn is_cleanup_leader(&self, me: &EntryName, now: Moment) -> bool {
-        self.heard(now).all(|(peer, _)| me < peer)
+        self.alive_peers(now).all(|(peer, _)| me < peer)
     }
 
     /// The daemon that should have a job: of those that live and do not stop,
     /// `me` among them if it is given, the first by the job's own order.
     #[must_use]
     pub fn successor(&self, job: &JobId, me: Option<&EntryName>, now: Moment) -> Option<EntryName> {
-        let able = self.heard(now).filter(|(_, p)| !p.stopping);
+        let able = self.alive_peers(now).filter(|(_, p)| !p.stopping);
         let names = able.map(|(name, _)| name).chain(me);
         names.max_by_key(|name| rank_for(name, job)).cloned()
     }
@@ -212,9 +212,12 @@
 
     /// Whether a peer has fallen silent since the last call.
     pub fn has_lost_peer(&mut self, now: Moment) -> bool {
-        let heard: BTreeSet<EntryName> = self.heard(now).map(|(name, _)| name.clone()).collect();
-        let lost = self.last_heard.difference(&heard).next().is_some();
-        self.last_heard = heard;
+        let alive_peers: BTreeSet<EntryName> = self
+            .alive_peers(now)
+            .map(|(name, _)| name.clone())
+            .collect();
+        let lost = self.last_heard.difference(&alive_peers).next().is_some();
+        self.last_heard = alive_peers;
         lost
     }
 
