--- a/crates/bluebellreel_keeper/src/held.rs
+++ b/crates/bluebellreel_keeper/src/held.rs
@@ -1,7 +1,7 @@
 //! What a keeper has on its disk when it starts.
 
 use crate::disk::{PROGRESS, load, load_snapshot};
-use bluebellreel_snapshot::{KeptProgress, Snapshot};
+use bluebellreel_snapshot::{ProgressBackups, Snapshot};
 use eyre::eyre;
 use log::{info, warn};
 use std::path::{Path, PathBuf};
@@ -20,7 +20,7 @@
 /// What was read, each with the count of its last write.
 pub(crate) struct Held {
     pub(crate) snapshot: (u64, Snapshot),
-    pub(crate) progress: (u64, KeptProgress),
+    pub(crate) progress: (u64, ProgressBackups),
 }
 
 /// Reads the disk on a thread of its own: one that hangs would keep the signals
@@ -57,10 +57,10 @@
 fn read(folder: &Path) -> Held {
     let snapshot = load_snapshot(folder);
     let (count, progress) = load(folder, PROGRESS, |body| {
-        let mut progress = KeptProgress::new(PROGRESS_BYTES);
+        let mut progress = ProgressBackups::new(PROGRESS_BYTES);
         progress.read(body).map(|()| progress)
     });
-    let progress = progress.unwrap_or_else(|| KeptProgress::new(PROGRESS_BYTES));
+    let progress = progress.unwrap_or_else(|| ProgressBackups::new(PROGRESS_BYTES));
     Held {
         snapshot,
         progress: (count, progress),
--- a/crates/bluebellreel_keeper/src/keeper.rs
+++ b/crates/bluebellreel_keeper/src/keeper.rs
@@ -9,7 +9,7 @@
 use bluebellreel_net::{Pool, PoolLimits, Served, Stop, listen, serve};
 use bluebellreel_settings::{KeeperSettings, SettingsError};
 use bluebellreel_snapshot::{
-    GatewayState, KeptProgress, KnownGateway, Snapshot, VisitOutcome, after_visit,
+    GatewayState, KnownGateway, ProgressBackups, Snapshot, VisitOutcome, after_visit,
 };
 use bluebellreel_types::{Clock, EntryName, Moment};
 use eyre::Context;
@@ -42,7 +42,7 @@
     clock: Clock,
     pool: Pool,
     pub(crate) snapshot: RefCell<Snapshot>,
-    pub(crate) progress: RefCell<KeptProgress>,
+    pub(crate) progress: RefCell<ProgressBackups>,
     rounds: RefCell<Rounds>,
     /// What is not on the disk yet.
     pub(crate) snapshot_due: Due,
--- a/crates/bluebellreel_snapshot/src/lib.rs
+++ b/crates/bluebellreel_snapshot/src/lib.rs
@@ -12,7 +12,7 @@
 //! sends somewhere names the worker that it means, which refuses what is meant
 //! for another one. All of it is plain data: no clock, no I/O.
 //!
-//! Beside it keepers hold how far the items of jobs are ([`KeptProgress`]), which
+//! Beside it keepers hold how far the items of jobs are ([`ProgressBackups`]), which
 //! would be lost with the gateways that run them.
 //!
 //! ```
@@ -30,7 +30,7 @@
 mod visit;
 
 pub use facts::{SharedFacts, WorkerFact};
-pub use progress::KeptProgress;
+pub use progress::ProgressBackups;
 pub use slot::{SlotError, newest, read_slot, write_slot};
 pub use snapshot::{BELIEVED, KnownGateway, Snapshot, SnapshotError};
 pub use visit::{GatewayState, VisitOutcome, after_visit};
--- a/crates/bluebellreel_snapshot/src/progress.rs
+++ b/crates/bluebellreel_snapshot/src/progress.rs
@@ -15,13 +15,13 @@
 
 /// Progress of jobs, each until a moment, within a bound of bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeptProgress {
+pub struct ProgressBackups {
     jobs: BTreeMap<JobId, Kept>,
     bytes: usize,
     limit: usize,
 }
 
-impl KeptProgress {
+impl ProgressBackups {
     /// Nothing yet; at most `limit` bytes are kept.
     #[must_use]
     pub fn new(limit: usize) -> Self {
--- a/crates/bluebellreel_snapshot/tests/snapshot.rs
+++ b/crates/bluebellreel_snapshot/tests/snapshot.rs
@@ -3,7 +3,7 @@
 use bluebellreel_dispatch::{Boot, WorkerRecord, WorkerState};
 use bluebellreel_members::Revisions;
 use bluebellreel_snapshot::{
-    BELIEVED, GatewayState, KeptProgress, KnownGateway, SharedFacts, Snapshot, VisitOutcome,
+    BELIEVED, GatewayState, KnownGateway, ProgressBackups, SharedFacts, Snapshot, VisitOutcome,
     WorkerFact, after_visit,
 };
 use bluebellreel_types::{DataCentre, EntryName, JobId, Moment, WorkerName};
@@ -232,7 +232,7 @@
 /// within the bound, and for a while.
 #[test]
 fn progress_is_kept_within_its_bound() {
-    let mut kept = KeptProgress::new(10);
+    let mut kept = ProgressBackups::new(10);
     let (one, two) = (JobId::from("j1"), JobId::from("j2"));
     let until = NOW + Duration::from_secs(9);
     kept.keep(one.clone(), vec![1; 8], until);
@@ -240,7 +240,7 @@
     kept.keep(two.clone(), vec![3; 5], until);
     assert_eq!(kept.get(&one), Some(&[2; 6][..]));
     assert_eq!(kept.get(&two), None, "over the bound");
-    let mut again = KeptProgress::new(10);
+    let mut again = ProgressBackups::new(10);
     again.read(&kept.encode()).expect("just written");
     assert_eq!(again, kept);
     assert!(again.read(b"something else").is_err());
