--- a/crates/bluebellreel_gateway/src/facts.rs
+++ b/crates/bluebellreel_gateway/src/facts.rs
@@ -132,8 +132,8 @@
             operator_seen: self.operator_seen,
             workers_seen: self.catalog.revision(),
             workers: workers.collect(),
-            believed_for: self.believed_until.map(|until| until.since(now)),
-            whole: false,
+            valid_for: self.believed_until.map(|until| until.since(now)),
+            is_full_list: false,
         }
     }
 
@@ -145,9 +145,9 @@
 
     /// Notes how long facts may be believed that are about to be taken over.
     /// What the store has said is not made less sure by what a snapshot adds.
-    fn believe(&mut self, believed_for: Option<Duration>, now: Moment) {
+    fn believe(&mut self, valid_for: Option<Duration>, now: Moment) {
         let knows_nothing = self.configured.is_none();
-        match believed_for {
+        match valid_for {
             None => self.believed_until = None,
             Some(left) if knows_nothing || self.believed_until.is_some() => {
                 let until = now + left;
@@ -187,13 +187,13 @@
 
     /// Takes over what a peer knows better; whether workers changed.
     pub(crate) fn learn(&mut self, shared: SharedFacts, source: &str, now: Moment) -> bool {
-        self.believe(shared.believed_for, now);
+        self.believe(shared.valid_for, now);
         if let Some((revision, text)) = shared.configuration {
             self.configure(revision, &text, source, now);
         }
         let changed = self
             .catalog
-            .learn(shared.workers_seen, shared.workers, shared.whole);
+            .learn(shared.workers_seen, shared.workers, shared.is_full_list);
         self.operator_seen = self.operator_seen.max(shared.operator_seen);
         changed
     }
--- a/crates/bluebellreel_gateway/src/keepers.rs
+++ b/crates/bluebellreel_gateway/src/keepers.rs
@@ -78,11 +78,11 @@
             return answers::failure(StatusCode::BAD_REQUEST, "not read");
         }
     };
-    if offered.believed_for.is_none() || !wants_facts(gw) {
+    if offered.valid_for.is_none() || !wants_facts(gw) {
         return answers::failure(StatusCode::CONFLICT, "the store has answered");
     }
     let workers = offered.workers.len();
-    let believed_ms = offered.believed_for.map_or(0, millis);
+    let believed_ms = offered.valid_for.map_or(0, millis);
     let revision = offered.configuration.as_ref().map_or(0, |(r, _)| *r);
     let changed = gw.facts.borrow_mut().learn(offered, "snapshot", gw.now());
     info!(target: "facts", revision, workers, believed_ms; "snapshot taken over");
--- a/crates/bluebellreel_gateway/src/peer_calls.rs
+++ b/crates/bluebellreel_gateway/src/peer_calls.rs
@@ -49,7 +49,7 @@
     let facts = facts_after(gw, to, all).await?;
     let facts = facts.ok_or("asked for all in vain")?;
     Ok(SharedFacts {
-        whole: true,
+        is_full_list: true,
         ..facts
     })
 }
--- a/crates/bluebellreel_keeper/src/calls.rs
+++ b/crates/bluebellreel_keeper/src/calls.rs
@@ -60,8 +60,8 @@
     newest: Revisions,
 ) -> Result<SharedFacts, CallError> {
     let (status, body) = ask_after(pool, to, newest).await?;
-    let whole = status == StatusCode::CONFLICT;
-    let body = if whole {
+    let is_full_list = status == StatusCode::CONFLICT;
+    let body = if is_full_list {
         let all = Revisions {
             workers: 0,
             ..newest
@@ -71,7 +71,10 @@
         good((status, body))?
     };
     let facts = postcard::from_bytes(&body).map_err(|e| e.to_string())?;
-    Ok(SharedFacts { whole, ..facts })
+    Ok(SharedFacts {
+        is_full_list,
+        ..facts
+    })
 }
 
 async fn ask_after(
--- a/crates/bluebellreel_keeper/tests/stop.rs
+++ b/crates/bluebellreel_keeper/tests/stop.rs
@@ -67,8 +67,8 @@
             operator_seen: REVISION,
             workers_seen: 0,
             workers: Vec::new(),
-            believed_for: None,
-            whole: false,
+            valid_for: None,
+            is_full_list: false,
         })
     }
 }
--- a/crates/bluebellreel_snapshot/src/facts.rs
+++ b/crates/bluebellreel_snapshot/src/facts.rs
@@ -22,9 +22,9 @@
     pub workers: Vec<WorkerFact>,
     /// How much longer these facts may be believed without the store; no bound
     /// for those of a daemon that has them from the store.
-    pub believed_for: Option<Duration>,
+    pub valid_for: Option<Duration>,
     /// Whether these are all workers, and not only those that changed. It is told
     /// by what was asked, and not sent.
     #[serde(skip)]
-    pub whole: bool,
+    pub is_full_list: bool,
 }
--- a/crates/bluebellreel_snapshot/src/snapshot.rs
+++ b/crates/bluebellreel_snapshot/src/snapshot.rs
@@ -88,7 +88,7 @@
         }
         self.operator_seen = self.operator_seen.max(facts.operator_seen);
         self.catalog
-            .learn(facts.workers_seen, facts.workers, facts.whole);
+            .learn(facts.workers_seen, facts.workers, facts.is_full_list);
         self.newest() != before
     }
 
@@ -137,7 +137,7 @@
         let left = BELIEVED.checked_sub(age).filter(|left| !left.is_zero())?;
         self.configuration.as_ref()?;
         Some(SharedFacts {
-            believed_for: Some(left),
+            valid_for: Some(left),
             ..self.facts()
         })
     }
@@ -151,8 +151,8 @@
             workers: workers
                 .map(|(revision, id, record)| (revision, id.clone(), record.cloned()))
                 .collect(),
-            believed_for: None,
-            whole: false,
+            valid_for: None,
+            is_full_list: false,
         }
     }
 
--- a/crates/bluebellreel_snapshot/tests/snapshot.rs
+++ b/crates/bluebellreel_snapshot/tests/snapshot.rs
@@ -37,8 +37,8 @@
         operator_seen: configuration,
         workers_seen: 50,
         workers,
-        believed_for: None,
-        whole: false,
+        valid_for: None,
+        is_full_list: false,
     }
 }
 
@@ -80,12 +80,12 @@
     let snapshot = snapshot();
     let minute = Duration::from_mins(1);
     let offer = snapshot.offer(NOW + minute);
-    let left = offer.expect("a minute old").believed_for;
+    let left = offer.expect("a minute old").valid_for;
     assert_eq!(left, BELIEVED.checked_sub(minute));
     assert_eq!(snapshot.offer(NOW + BELIEVED), None);
     // The VM's clock was set back.
     let offer = snapshot.offer(Moment(NOW.0 - 5_000_000));
-    assert_eq!(offer.expect("not older").believed_for, Some(BELIEVED));
+    assert_eq!(offer.expect("not older").valid_for, Some(BELIEVED));
 }
 
 #[test]
