--- a/crates/bluebellreel_keeper/src/keeper.rs
+++ b/crates/bluebellreel_keeper/src/keeper.rs
@@ -81,7 +81,7 @@
     LocalSet::new().block_on(&runtime, async {
         // Settings are read now and then in any case.
         let stop_asked = bluebellreel_signals::stop_asked(|| {})?;
-        live(settings, read_settings, stop_asked).await
+        run_keeper_until(settings, read_settings, stop_asked).await
     })
 }
 
@@ -91,7 +91,7 @@
 /// # Errors
 ///
 /// Gives the reason when its address cannot be listened on.
-pub async fn live(
+pub async fn run_keeper_until(
     settings: KeeperSettings,
     read_settings: ReadSettings,
     stop_asked: impl Future<Output = ()>,
--- a/crates/bluebellreel_keeper/src/lib.rs
+++ b/crates/bluebellreel_keeper/src/lib.rs
@@ -24,5 +24,5 @@
 mod writing;
 
 pub use disk::{Disk, DiskOutcome, PROGRESS, Pair, SNAPSHOT, load, load_snapshot};
-pub use keeper::{ReadSettings, live, run_keeper};
+pub use keeper::{ReadSettings, run_keeper, run_keeper_until};
 pub use leaving::Ended;
--- a/crates/bluebellreel_keeper/tests/stop.rs
+++ b/crates/bluebellreel_keeper/tests/stop.rs
@@ -1,6 +1,6 @@
 //! Visits to gateways that are under way when a keeper is stopped.
 
-use bluebellreel_keeper::{Ended, live, load_snapshot};
+use bluebellreel_keeper::{Ended, load_snapshot, run_keeper_until};
 use bluebellreel_members::Revisions;
 use bluebellreel_net::{Body, Served, Stop, listen, serve};
 use bluebellreel_settings::KeeperSettings;
@@ -120,7 +120,9 @@
                 gateway.may_answer.notify_one();
             }
         };
-        live(settings, read, stop_asked).await.expect("it starts")
+        run_keeper_until(settings, read, stop_asked)
+            .await
+            .expect("it starts")
     })
 }
 
