--- a/crates/bluebellreel_gateway/src/registration.rs
+++ b/crates/bluebellreel_gateway/src/registration.rs
@@ -89,7 +89,7 @@
         gw.interrupt_tenure();
     }
     let list = all.iter().filter_map(|kv| read_member(gw, kv)).collect();
-    gw.members.borrow_mut().listed(list, revision);
+    gw.members.borrow_mut().apply_registrations(list, revision);
     Ok(())
 }
 
--- a/crates/bluebellreel_gateway/src/reports/catch_up.rs
+++ b/crates/bluebellreel_gateway/src/reports/catch_up.rs
@@ -65,7 +65,7 @@
             let (own, now) = (gw.facts.borrow().list(), gw.now());
             let members = gw.members.borrow();
             let lists = members.alive_peers(now).map(|(_, peer)| peer.list);
-            divergence.question(own, lists, now)
+            divergence.next_request(own, lists, now)
         };
         let Some(question) = question else {
             continue;
--- a/crates/bluebellreel_gateway/src/reports/mod.rs
+++ b/crates/bluebellreel_gateway/src/reports/mod.rs
@@ -227,7 +227,10 @@
         list,
         reads_briefs,
     };
-    let is_news = gw.members.borrow_mut().hear(report.entry.clone(), peer);
+    let is_news = gw
+        .members
+        .borrow_mut()
+        .record_report(report.entry.clone(), peer);
     if is_news {
         // The jobs of its run before, if any, have no owner now.
         gw.jobs.borrow().orphans_due.notify_one();
--- a/crates/bluebellreel_members/src/divergence.rs
+++ b/crates/bluebellreel_members/src/divergence.rs
@@ -45,7 +45,7 @@
     ///
     /// A list that is complete to an earlier revision is ignored: its owner asks. Until the
     /// lists agree, questions are further and further apart.
-    pub fn question(
+    pub fn next_request(
         &mut self,
         own: WorkerList,
         peers: impl Iterator<Item = WorkerList>,
--- a/crates/bluebellreel_members/src/members.rs
+++ b/crates/bluebellreel_members/src/members.rs
@@ -167,7 +167,7 @@
     ///
     /// A daemon that is killed and back within half a second is never missed,
     /// but the jobs of its run before have no owner: its new run is news.
-    pub fn hear(&mut self, name: EntryName, mut peer: Peer) -> bool {
+    pub fn record_report(&mut self, name: EntryName, mut peer: Peer) -> bool {
         let known = self.peers.get(&name).filter(|p| p.run == peer.run);
         peer.registered = known.is_some_and(|p| p.registered);
         let is_news = known.is_none_or(|p| p.last_report_at.is_none());
@@ -222,7 +222,7 @@
     }
 
     /// Takes the entries of the store over, as listed at a revision.
-    pub fn listed(&mut self, list: Vec<(EntryName, MemberEntry)>, revision: i64) {
+    pub fn apply_registrations(&mut self, list: Vec<(EntryName, MemberEntry)>, revision: i64) {
         if revision < self.revision {
             return;
         }
--- a/crates/bluebellreel_members/tests/divergence.rs
+++ b/crates/bluebellreel_members/tests/divergence.rs
@@ -56,7 +56,7 @@
     let asked = (0..ticks).filter_map(|tick| {
         let (own, peers) = lists(tick);
         let now = BEGIN + TICK * tick;
-        let question = divergence.question(own, peers.into_iter(), now);
+        let question = divergence.next_request(own, peers.into_iter(), now);
         question.map(|question| (tick, question))
     });
     asked.collect()
@@ -77,7 +77,7 @@
     for tick in 0..12 {
         let now = BEGIN + TICK * tick;
         let own = list_of(asker);
-        if let Some(question) = divergence.question(own, once(list_of(peer)), now) {
+        if let Some(question) = divergence.next_request(own, once(list_of(peer)), now) {
             answer(peer, asker, question);
         }
     }
--- a/crates/bluebellreel_members/tests/members.rs
+++ b/crates/bluebellreel_members/tests/members.rs
@@ -36,7 +36,7 @@
 fn heard(count: usize) -> Members {
     let mut members = Members::default();
     for n in 1..=count {
-        members.hear(name(n), peer(1, NOW));
+        members.record_report(name(n), peer(1, NOW));
     }
     members
 }
@@ -47,9 +47,9 @@
 #[test]
 fn a_new_run_of_a_known_daemon_is_news() {
     let mut members = Members::default();
-    assert!(members.hear(name(1), peer(1, NOW)));
-    assert!(!members.hear(name(1), peer(1, NOW + TICK)));
-    assert!(members.hear(name(1), peer(2, NOW + TICK)));
+    assert!(members.record_report(name(1), peer(1, NOW)));
+    assert!(!members.record_report(name(1), peer(1, NOW + TICK)));
+    assert!(members.record_report(name(1), peer(2, NOW + TICK)));
     let run = |n| members.presence(&name(1), Incarnation(n), NOW + TICK);
     assert_eq!((run(1), run(2)), (Presence::Gone, Presence::Reporting));
 }
@@ -59,8 +59,8 @@
 #[test]
 fn the_first_report_of_an_entered_daemon_is_news() {
     let mut members = Members::default();
-    members.listed(vec![(name(1), entry(1))], 5);
-    assert!(members.hear(name(1), peer(1, NOW)));
+    members.apply_registrations(vec![(name(1), entry(1))], 5);
+    assert!(members.record_report(name(1), peer(1, NOW)));
 }
 
 /// A daemon falls silent. While its entry stands it may only be cut off from its
@@ -69,15 +69,15 @@
 #[test]
 fn a_silent_daemon_is_gone_with_its_entry() {
     let mut members = Members::default();
-    members.hear(name(1), peer(1, NOW));
-    members.listed(vec![(name(1), entry(1))], 5);
+    members.record_report(name(1), peer(1, NOW));
+    members.apply_registrations(vec![(name(1), entry(1))], 5);
     let presence =
         |m: &Members, after: Duration| m.presence(&name(1), Incarnation(1), NOW + after + TICK);
     assert_eq!(presence(&members, Duration::ZERO), Presence::Reporting);
     assert_eq!(presence(&members, PEER_TIMEOUT), Presence::Silent);
     assert_eq!(presence(&members, PEER_RETENTION), Presence::Silent);
     assert_eq!(presence(&members, PEER_RETENTION * 10), Presence::Silent);
-    members.listed(Vec::new(), 6);
+    members.apply_registrations(Vec::new(), 6);
     assert_eq!(presence(&members, PEER_TIMEOUT), Presence::Gone);
 }
 
@@ -86,9 +86,9 @@
 #[test]
 fn an_older_list_changes_nothing() {
     let mut members = Members::default();
-    members.hear(name(1), peer(1, NOW));
-    members.listed(Vec::new(), 6);
-    members.listed(vec![(name(1), entry(1))], 5);
+    members.record_report(name(1), peer(1, NOW));
+    members.apply_registrations(Vec::new(), 6);
+    members.apply_registrations(vec![(name(1), entry(1))], 5);
     let later = NOW + PEER_TIMEOUT + TICK;
     assert_eq!(
         members.presence(&name(1), Incarnation(1), later),
@@ -103,7 +103,7 @@
     let members = heard(6);
     let watchers = (1..=6).filter(|n| {
         let mut others = members.clone();
-        others.hear(name(*n), peer(1, LONG_AGO));
+        others.record_report(name(*n), peer(1, LONG_AGO));
         others.is_watcher(&name(*n), true, NOW)
     });
     assert_eq!(watchers.count(), 2);
@@ -114,7 +114,7 @@
         reaches_store: false,
         ..peer(1, NOW)
     };
-    turned_away.hear(name(1), outcast);
+    turned_away.record_report(name(1), outcast);
     assert!(turned_away.is_watcher(&name(7), true, NOW));
 }
 
@@ -126,7 +126,7 @@
     let mut members = heard(6);
     let (watching, others): (Vec<usize>, Vec<usize>) = (1..=6).partition(|n| {
         let mut as_it_sees = members.clone();
-        as_it_sees.hear(name(*n), peer(1, LONG_AGO));
+        as_it_sees.record_report(name(*n), peer(1, LONG_AGO));
         as_it_sees.is_watcher(&name(*n), true, NOW)
     });
     for n in watching {
@@ -134,11 +134,11 @@
             stopping: true,
             ..peer(1, NOW)
         };
-        members.hear(name(n), stopping);
+        members.record_report(name(n), stopping);
     }
     let next = others.iter().filter(|n| {
         let mut as_it_sees = members.clone();
-        as_it_sees.hear(name(**n), peer(1, LONG_AGO));
+        as_it_sees.record_report(name(**n), peer(1, LONG_AGO));
         as_it_sees.is_watcher(&name(**n), true, NOW)
     });
     assert_eq!(next.count(), 2);
@@ -155,7 +155,7 @@
         let successor = members.successor(&job, None, NOW).expect("four live");
         // The successor, asked itself, comes to the same.
         let mut others = members.clone();
-        others.hear(successor.clone(), peer(1, LONG_AGO));
+        others.record_report(successor.clone(), peer(1, LONG_AGO));
         assert_eq!(
             others.successor(&job, Some(&successor), NOW),
             Some(successor.clone())
@@ -166,7 +166,7 @@
             stopping: true,
             ..peer(1, NOW)
         };
-        stops.hear(successor.clone(), stopping);
+        stops.record_report(successor.clone(), stopping);
         assert_ne!(stops.successor(&job, None, NOW), Some(successor));
     }
     assert_eq!(chosen.len(), 4);
@@ -177,7 +177,7 @@
     let mut members = heard(2);
     assert!(!members.has_lost_peer(NOW));
     let later = NOW + PEER_TIMEOUT + TICK;
-    members.hear(name(1), peer(1, later));
+    members.record_report(name(1), peer(1, later));
     assert!(members.has_lost_peer(later));
     assert!(!members.has_lost_peer(later));
 }
@@ -186,7 +186,7 @@
 #[test]
 fn daemons_that_are_gone_are_forgotten() {
     let mut members = heard(2);
-    members.listed(vec![(name(1), entry(1))], 5);
+    members.apply_registrations(vec![(name(1), entry(1))], 5);
     members.sweep(NOW + PEER_RETENTION + TICK);
     let left: Vec<_> = members.peers().map(|(n, _)| n.clone()).collect();
     assert_eq!(left, [name(1)]);
@@ -199,12 +199,12 @@
 fn a_daemon_that_hears_few_peers_is_cut_off() {
     let mut members = heard(5);
     let all = (1..=5).map(|n| (name(n), entry(1))).collect();
-    members.listed(all, 5);
+    members.apply_registrations(all, 5);
     assert!(members.has_quorum(NOW));
     let later = NOW + PEER_TIMEOUT + TICK;
     assert!(!members.has_quorum(later));
     for n in 1..=3 {
-        members.hear(name(n), peer(1, later));
+        members.record_report(name(n), peer(1, later));
     }
     assert!(members.has_quorum(later));
     assert!(Members::default().has_quorum(NOW), "alone");
@@ -223,12 +223,12 @@
 #[test]
 fn tokens_of_a_killed_run_count_until_its_jobs_have_owners() {
     let mut members = heard(2);
-    members.hear(name(1), owner(1, &["a", "b"], 600, NOW));
-    members.hear(name(1), owner(2, &[], 0, NOW + TICK));
+    members.record_report(name(1), owner(1, &["a", "b"], 600, NOW));
+    members.record_report(name(1), owner(2, &[], 0, NOW + TICK));
     assert_eq!(members.tokens("book", NOW + TICK), 600);
-    members.hear(name(2), owner(1, &["a"], 200, NOW + TICK * 2));
+    members.record_report(name(2), owner(1, &["a"], 200, NOW + TICK * 2));
     assert_eq!(members.tokens("book", NOW + TICK * 2), 800);
-    members.hear(name(1), owner(2, &["b"], 400, NOW + TICK * 3));
+    members.record_report(name(1), owner(2, &["b"], 400, NOW + TICK * 3));
     assert_eq!(members.tokens("book", NOW + TICK * 3), 600);
 }
 
@@ -236,9 +236,9 @@
 #[test]
 fn tokens_of_a_killed_run_outlast_the_read_of_its_new_entry() {
     let mut members = Members::default();
-    members.hear(name(1), owner(1, &["a"], 600, NOW));
-    members.listed(vec![(name(1), entry(1))], 5);
-    members.listed(vec![(name(1), entry(2))], 6);
+    members.record_report(name(1), owner(1, &["a"], 600, NOW));
+    members.apply_registrations(vec![(name(1), entry(1))], 5);
+    members.apply_registrations(vec![(name(1), entry(2))], 6);
     assert_eq!(members.tokens("book", NOW + TICK), 600);
     members.claimed(&JobId::from("a"), NOW + TICK);
     assert_eq!(members.tokens("book", NOW + TICK), 0);
@@ -248,8 +248,8 @@
 #[test]
 fn tokens_of_jobs_that_nobody_finds_are_forgotten() {
     let mut members = Members::default();
-    members.hear(name(1), owner(1, &["a"], 600, NOW));
-    members.hear(name(1), owner(2, &[], 0, NOW + TICK));
+    members.record_report(name(1), owner(1, &["a"], 600, NOW));
+    members.record_report(name(1), owner(2, &[], 0, NOW + TICK));
     assert_eq!(members.tokens("book", NOW + PEER_RETENTION * 2), 0);
 }
 
@@ -261,13 +261,13 @@
         ..owner(1, jobs, tokens, at)
     };
     let mut members = heard(2);
-    members.hear(name(1), owner(1, &["a", "b"], 600, NOW));
-    members.hear(name(1), stops(&["b"], 200, NOW + TICK));
+    members.record_report(name(1), owner(1, &["a", "b"], 600, NOW));
+    members.record_report(name(1), stops(&["b"], 200, NOW + TICK));
     assert_eq!(members.tokens("book", NOW + TICK), 600);
-    members.hear(name(2), owner(1, &["a"], 400, NOW + TICK * 2));
+    members.record_report(name(2), owner(1, &["a"], 400, NOW + TICK * 2));
     assert_eq!(members.tokens("book", NOW + TICK * 2), 600);
-    members.hear(name(2), owner(1, &["a", "b"], 600, NOW + TICK * 3));
-    members.hear(name(1), stops(&[], 0, NOW + TICK * 4));
+    members.record_report(name(2), owner(1, &["a", "b"], 600, NOW + TICK * 3));
+    members.record_report(name(1), stops(&[], 0, NOW + TICK * 4));
     assert_eq!(members.tokens("book", NOW + TICK * 4), 600);
 }
 
@@ -275,8 +275,8 @@
 #[test]
 fn tokens_of_a_daemon_that_goes_on_are_those_of_its_last_report() {
     let mut members = Members::default();
-    members.hear(name(1), owner(1, &["a", "b"], 600, NOW));
-    members.hear(name(1), owner(1, &["b"], 100, NOW + TICK));
+    members.record_report(name(1), owner(1, &["a", "b"], 600, NOW));
+    members.record_report(name(1), owner(1, &["b"], 100, NOW + TICK));
     assert_eq!(members.tokens("book", NOW + TICK), 100);
 }
 
@@ -285,16 +285,16 @@
 fn all_are_heard_while_each_entry_has_a_report() {
     let mut members = heard(1);
     assert!(members.all_peers_alive(NOW));
-    members.listed(vec![(name(1), entry(1)), (name(2), entry(1))], 5);
+    members.apply_registrations(vec![(name(1), entry(1)), (name(2), entry(1))], 5);
     assert!(!members.all_peers_alive(NOW), "one never heard");
-    members.hear(name(2), peer(1, NOW));
+    members.record_report(name(2), peer(1, NOW));
     assert!(members.all_peers_alive(NOW));
-    members.hear(name(1), peer(1, NOW + PEER_TIMEOUT));
+    members.record_report(name(1), peer(1, NOW + PEER_TIMEOUT));
     assert!(
         !members.all_peers_alive(NOW + PEER_TIMEOUT + TICK),
         "one silent"
     );
-    members.listed(vec![(name(1), entry(1))], 6);
+    members.apply_registrations(vec![(name(1), entry(1))], 6);
     assert!(
         members.all_peers_alive(NOW + PEER_TIMEOUT + TICK),
         "its entry has ended"
@@ -314,10 +314,10 @@
         jobs
     };
     let mut members = heard(2);
-    members.hear(name(1), owner(1, &["a", "b"], 600, NOW));
-    members.hear(name(2), owner(1, &["c"], 100, NOW));
+    members.record_report(name(1), owner(1, &["a", "b"], 600, NOW));
+    members.record_report(name(2), owner(1, &["c"], 100, NOW));
     assert_eq!(names(&members, NOW + PEER_TIMEOUT + TICK), ["a", "b", "c"]);
-    members.hear(name(1), owner(2, &[], 0, NOW + TICK));
+    members.record_report(name(1), owner(2, &[], 0, NOW + TICK));
     assert_eq!(names(&members, NOW + TICK), ["a", "b", "c"]);
     members.claimed(&JobId::from("a"), NOW + TICK);
     assert_eq!(names(&members, NOW + TICK), ["b", "c"]);
@@ -330,7 +330,7 @@
     let watchers = |members: &Members| -> Vec<usize> {
         let all = (1..=6).filter(|n| {
             let mut as_it_sees = members.clone();
-            as_it_sees.hear(name(*n), peer(1, LONG_AGO));
+            as_it_sees.record_report(name(*n), peer(1, LONG_AGO));
             as_it_sees.is_watcher(&name(*n), true, NOW + STORE_ANSWER_MAX_AGE)
         });
         all.collect()
@@ -341,12 +341,12 @@
     };
     let mut members = Members::default();
     for n in 1..=6 {
-        members.hear(name(n), answered(NOW + TICK));
+        members.record_report(name(n), answered(NOW + TICK));
     }
     let first = watchers(&members);
     assert_eq!(first.len(), 2);
     for n in &first {
-        members.hear(name(*n), answered(NOW));
+        members.record_report(name(*n), answered(NOW));
     }
     let next = watchers(&members);
     let others = next.iter().filter(|n| !first.contains(n));
@@ -363,15 +363,15 @@
             reaches_store,
             ..peer(1, NOW)
         };
-        members.hear(name(1), peer);
+        members.record_report(name(1), peer);
         members.sweep(later);
         members
     };
     assert!(!lost(false).may_reach_store(later));
     let mut members = lost(true);
     assert!(members.may_reach_store(later));
-    members.listed(vec![(name(1), entry(1))], 5);
+    members.apply_registrations(vec![(name(1), entry(1))], 5);
     assert!(members.may_reach_store(later));
-    members.listed(vec![], 6);
+    members.apply_registrations(vec![], 6);
     assert!(!members.may_reach_store(later));
 }
