--- a/crates/bluebellreel_members/src/divergence.rs
+++ b/crates/bluebellreel_members/src/divergence.rs
@@ -1,50 +1,52 @@
-//! When a daemon asks its peers because their lists of workers differ.
+//! Decides when a daemon asks its peers for workers because their worker lists differ.
 
 use crate::peer::WorkerList;
 use bluebellreel_types::Moment;
 use std::time::Duration;
 
-/// Time for which lists differ in ordinary operation: news reaches all daemons
+/// Time for which lists may differ in ordinary operation. Changes reach all daemons
 /// within some milliseconds.
-const DIFFER_LONGEST: Duration = Duration::from_secs(1);
-/// Shortest time between two questions.
-const BACKOFF_FIRST: Duration = Duration::from_secs(1);
-/// Longest time between two questions that bring nothing.
-const BACKOFF_LONGEST: Duration = Duration::from_mins(1);
-/// Time after a first question from which all workers are asked for, and not only
-/// changes: longer than a peer keeps workers that are missing after an outage.
-const CHANGES_LONGEST: Duration = Duration::from_secs(5);
+const MAX_TRANSIENT_DIFFERENCE: Duration = Duration::from_secs(1);
+/// Minimum time between two requests.
+const MIN_BACKOFF: Duration = Duration::from_secs(1);
+/// Maximum time between two requests while the lists keep differing.
+const MAX_BACKOFF: Duration = Duration::from_mins(1);
+/// Time after the first request from which the daemon asks for all workers instead of
+/// changes. It exceeds the time for which a peer keeps missing workers after an outage.
+const CHANGES_ONLY_PERIOD: Duration = Duration::from_secs(5);
 
-/// What a daemon asks for.
+/// What a daemon requests from a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncRequest {
-    /// What has changed since the revision up to which its list is complete.
+    /// The changes since the revision up to which its list is complete.
     Changes,
-    /// All workers; asked of peers whose lists are complete to a later revision.
+    /// All workers; requested only from peers whose lists are complete to a later
+    /// revision.
     All,
 }
 
-/// Since when a daemon's list differs from those of its peers.
+/// Tracks since when a daemon's worker list differs from those of its peers.
 ///
-/// Guard: a daemon that starts lists who is there, and knows nobody who has left. Its
-/// newest fact may be older than what peers know that missed a removal, so that they
-/// have nothing to ask it for, and kept a worker that had left.
+/// Guards against the following fault: a daemon that starts lists the present workers
+/// and knows nothing of those that have left. Its newest fact may be older than the
+/// knowledge of peers that missed a removal. Such peers see no newer revision to ask
+/// for, and kept a worker that had left.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Divergence {
     since: Option<Moment>,
-    first_asked: Option<Moment>,
-    /// When the next question is due at the earliest.
+    first_request_at: Option<Moment>,
+    /// Earliest time of the next request.
     not_before: Moment,
     backoff: Duration,
 }
 
 impl Divergence {
-    /// What is to be asked now of a peer that the own list may learn from, given the
-    /// lists of all that are heard; all workers only of one that it is behind. The
-    /// question counts as asked.
+    /// Decides what to request now, given the worker lists of all alive peers. The
+    /// request goes to a peer that `own` may learn from; all workers are requested only
+    /// from a peer that `own` is behind. The returned request counts as sent.
     ///
-    /// A list that is complete to an earlier revision is ignored: its owner asks. Until the
-    /// lists agree, questions are further and further apart.
+    /// Lists that are complete to an earlier revision cause no request, as their owners
+    /// ask themselves. The backoff doubles until the lists agree.
     pub fn next_request(
         &mut self,
         own: WorkerList,
@@ -64,13 +66,16 @@
             return None;
         }
         let since = *self.since.get_or_insert(now);
-        if !may_learn || !(since + DIFFER_LONGEST).is_past(now) || !self.not_before.is_past(now) {
+        if !may_learn
+            || !(since + MAX_TRANSIENT_DIFFERENCE).is_past(now)
+            || !self.not_before.is_past(now)
+        {
             return None;
         }
-        self.backoff = (self.backoff * 2).clamp(BACKOFF_FIRST, BACKOFF_LONGEST);
+        self.backoff = (self.backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
         self.not_before = now + self.backoff;
-        let first = *self.first_asked.get_or_insert(now);
-        if is_behind && (first + CHANGES_LONGEST).is_past(now) {
+        let first = *self.first_request_at.get_or_insert(now);
+        if is_behind && (first + CHANGES_ONLY_PERIOD).is_past(now) {
             Some(SyncRequest::All)
         } else {
             Some(SyncRequest::Changes)
--- a/crates/bluebellreel_members/src/lib.rs
+++ b/crates/bluebellreel_members/src/lib.rs
@@ -1,9 +1,11 @@
-//! The other daemons: who they are, when they were heard, who does what.
+//! Knowledge about the other daemons: which are alive, when they last reported, and
+//! which one is responsible for what.
 //!
-//! Each daemon has an entry in the store, under a lease, and reports to its
-//! peers some times a second. [`Members`] holds what is known of both, and
-//! answers from that, alike on all daemons that know the same: who lives, who
-//! watches the store for the others, who takes a dead daemon's job over.
+//! Each daemon has an entry in the store under a lease, its registration, and sends
+//! reports to its peers several times a second. [`Members`] holds what is known from
+//! both. From that it decides which daemons are alive, which ones watch the store for
+//! the others, and which one takes over the jobs of a dead daemon. Daemons with the
+//! same knowledge reach the same decisions.
 //!
 //! ```
 //! use bluebellreel_members::{Members, Presence};
--- a/crates/bluebellreel_members/src/members.rs
+++ b/crates/bluebellreel_members/src/members.rs
@@ -1,4 +1,4 @@
-//! All peers, and who does what among them.
+//! All peers, and the division of duties among them.
 
 use crate::peer::{MemberEntry, PEER_RETENTION, Peer, Presence, rank, rank_for};
 use crate::unclaimed::Unclaimed;
@@ -6,92 +6,93 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
 
-/// Daemons that watch the store for all. Two, as one may be turned away, or its
-/// connection silent, without anybody knowing yet.
+/// Number of daemons that watch the store for all. Two, because the store may refuse
+/// one, or its connection may hang, before any daemon notices.
 const WATCHERS: usize = 2;
 
 /// All peers.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     peers: BTreeMap<EntryName, Peer>,
-    last_heard: BTreeSet<EntryName>,
+    last_alive: BTreeSet<EntryName>,
     revision: i64,
     unclaimed: Unclaimed,
 }
 
 impl Members {
-    /// All peers that are known, heard or not.
+    /// All known peers, alive or not.
     pub fn peers(&self) -> impl Iterator<Item = (&EntryName, &Peer)> {
         self.peers.iter()
     }
 
-    /// Peers that were heard lately.
+    /// Peers that reported within `PEER_TIMEOUT`.
     pub fn alive_peers(&self, now: Moment) -> impl Iterator<Item = (&EntryName, &Peer)> {
-        self.peers.iter().filter(move |(_, p)| p.is_heard(now))
+        self.peers.iter().filter(move |(_, p)| p.is_alive(now))
     }
 
-    /// Peers that were heard lately and reach the store.
+    /// Alive peers that reach the store.
     pub fn alive_with_store(&self, now: Moment) -> impl Iterator<Item = (&EntryName, &Peer)> {
         self.alive_peers(now).filter(|(_, p)| p.reaches_store)
     }
 
-    /// Whether the store may be there for some peer: for one that says so, or one that
-    /// said so until it fell silent and may only be cut off from here.
+    /// Whether some peer may reach the store: an alive peer that says so, or a silent
+    /// one that said so in its last report and may only be cut off from this daemon.
     #[must_use]
     pub fn may_reach_store(&self, now: Moment) -> bool {
         self.peers.values().any(|peer| {
-            let is_there = peer.is_heard(now) || !(peer.is_gone || peer.stopping);
-            is_there && peer.reaches_store
+            let may_be_running = peer.is_alive(now) || !(peer.is_gone || peer.stopping);
+            may_be_running && peer.reaches_store
         })
     }
 
-    /// When the store answered some peer last, as far as they say.
+    /// When the store last answered any peer, as far as the peers report it.
     #[must_use]
     pub fn store_answered_at(&self) -> Moment {
         let answered = self.peers.values().filter_map(|p| p.answered_at);
         answered.max().unwrap_or_default()
     }
 
-    /// A peer that is heard.
+    /// A peer, if it is alive.
     #[must_use]
     pub fn alive_peer(&self, name: &EntryName, now: Moment) -> Option<&Peer> {
-        self.peers.get(name).filter(|p| p.is_heard(now))
+        self.peers.get(name).filter(|p| p.is_alive(now))
     }
 
-    /// Whether the store has served some peer for so long without an outage.
+    /// Whether the store has served some alive peer for `span` without an outage.
     #[must_use]
     pub fn is_served_for(&self, span: Duration, now: Moment) -> bool {
         self.alive_peers(now)
             .any(|(_, p)| u64::from(p.served_s) >= span.as_secs())
     }
 
-    /// Whether at least half of all daemons that should be there are heard. One
-    /// that hears fewer is rather cut off than the only one left.
+    /// Whether at least half of all daemons that should be running are alive, this one
+    /// included. A daemon that sees fewer is more likely cut off than the only one
+    /// left.
     #[must_use]
     pub fn has_quorum(&self, now: Moment) -> bool {
         let alive_peers = self.alive_peers(now).count();
-        let silent = self.peers.values().filter(|p| !p.is_heard(now));
-        let missed = silent.filter(|p| p.registered && !p.stopping).count();
-        alive_peers + 1 >= missed
+        let silent = self.peers.values().filter(|p| !p.is_alive(now));
+        let missing = silent.filter(|p| p.registered && !p.stopping).count();
+        alive_peers + 1 >= missing
     }
 
-    /// Whether all daemons that should be there are heard, so that reports tell of all
-    /// that they do.
+    /// Whether all daemons that should be running are alive, so that the reports cover
+    /// all of their work.
     #[must_use]
     pub fn all_peers_alive(&self, now: Moment) -> bool {
-        let mut silent = self.peers.values().filter(|p| !p.is_heard(now));
+        let mut silent = self.peers.values().filter(|p| !p.is_alive(now));
         !silent.any(|p| p.registered && !p.stopping)
     }
 
-    /// Age of the oldest report that is still counted.
+    /// Age of the oldest report among the alive peers.
     #[must_use]
     pub fn oldest_report(&self, now: Moment) -> Duration {
         let ages = self.alive_peers(now).filter_map(|(_, p)| p.last_report_at);
         ages.map(|at| now.since(at)).max().unwrap_or_default()
     }
 
-    /// Tokens that wait on a route at peers, or that waited at one until its jobs
-    /// vanished and are not found at another owner yet.
+    /// Tokens that wait on a route: those that peers reported, and those of jobs that
+    /// disappeared from a peer and are not reported by another owner yet.
     #[must_use]
     pub fn tokens(&self, route: &str, now: Moment) -> u64 {
         let reported = self.peers.values().filter_map(|p| p.tokens.get(route));
@@ -105,26 +106,27 @@
         reported.chain(self.unclaimed.jobs(now)).collect()
     }
 
-    /// A job has an owner that is no peer, or has ended.
+    /// Notes that a job has ended or is owned by this daemon.
     pub fn claimed(&mut self, job: &JobId, now: Moment) {
         self.unclaimed.claimed(job, now);
     }
 
-    /// Whether a peer that is heard says that it owns a job.
+    /// Whether an alive peer reports that it owns a job.
     #[must_use]
     pub fn is_owned(&self, job: &JobId, now: Moment) -> bool {
         self.alive_peers(now).any(|(_, p)| p.jobs.contains(job))
     }
 
-    /// What is known of a run of a daemon. One whose entry stands may only be cut
-    /// off from its peers, however long it has been silent: its jobs cannot be
-    /// taken over until its entry ends, and a look at each of them would be in vain.
+    /// Presence of one incarnation of a daemon. A daemon whose registration exists
+    /// counts as silent and not as gone, however long it has been silent, as it may
+    /// only be cut off from its peers. Its jobs cannot be taken over until the
+    /// registration ends, so checking each of them would be wasted work.
     #[must_use]
     pub fn presence(&self, name: &EntryName, run: Incarnation, now: Moment) -> Presence {
         let Some(peer) = self.peers.get(name).filter(|p| p.run == run) else {
             return Presence::Gone;
         };
-        if peer.is_heard(now) {
+        if peer.is_alive(now) {
             Presence::Reporting
         } else if peer.registered {
             Presence::Silent
@@ -133,29 +135,34 @@
         }
     }
 
-    /// Whether daemon `me`, which reaches the store or not, watches it for the
-    /// others: the first by rank of those that are heard, go on and reach it do. Those
-    /// whose last answer of the store is old may be cut off from it without knowing.
+    /// Whether daemon `me` watches the store for the others. The watchers are the first
+    /// daemons by rank that are alive, are not stopping and reach the store. Daemons
+    /// whose last answer from the store is old do not count, as they may be cut off
+    /// from it without knowing.
     #[must_use]
     pub fn is_watcher(&self, me: &EntryName, reaches_store: bool, now: Moment) -> bool {
-        // Whoever stops would be missed only when it has been silent for a while.
+        // A stopping daemon is excluded at once; otherwise it would be replaced only
+        // after its silence is noticed.
         let mut others = self.alive_with_store(now).filter(|(_, p)| !p.stopping);
         if !reaches_store {
             return others.next().is_none();
         }
         let before_me = others.filter(|(name, _)| rank(name) > rank(me));
-        before_me.filter(|(_, p)| p.is_answered(now)).count() < WATCHERS
+        before_me
+            .filter(|(_, p)| p.has_recent_store_answer(now))
+            .count()
+            < WATCHERS
     }
 
-    /// Whether daemon `me` is the first of those that live, which looks after
-    /// what others leave.
+    /// Whether daemon `me` has the lowest name of all alive daemons. It checks jobs
+    /// that their successors leave alone.
     #[must_use]
     pub fn is_cleanup_leader(&self, me: &EntryName, now: Moment) -> bool {
         self.alive_peers(now).all(|(peer, _)| me < peer)
     }
 
-    /// The daemon that should have a job: of those that live and do not stop,
-    /// `me` among them if it is given, the first by the job's own order.
+    /// The daemon that should own a job: of the alive daemons that are not stopping,
+    /// and of `me` if given, the first by the rank for this job.
     #[must_use]
     pub fn successor(&self, job: &JobId, me: Option<&EntryName>, now: Moment) -> Option<EntryName> {
         let able = self.alive_peers(now).filter(|(_, p)| !p.stopping);
@@ -163,14 +170,16 @@
         names.max_by_key(|name| rank_for(name, job)).cloned()
     }
 
-    /// Takes a peer's report over; whether it was not heard before as this run.
+    /// Applies a peer's report. Returns whether it is the first report of this
+    /// incarnation.
     ///
-    /// A daemon that is killed and back within half a second is never missed,
-    /// but the jobs of its run before have no owner: its new run is news.
+    /// A daemon that is killed and restarts within half a second is never seen as
+    /// silent, but the jobs of its previous incarnation have no owner. The first report
+    /// of the new incarnation is therefore reported to the caller.
     pub fn record_report(&mut self, name: EntryName, mut peer: Peer) -> bool {
         let known = self.peers.get(&name).filter(|p| p.run == peer.run);
         peer.registered = known.is_some_and(|p| p.registered);
-        let is_news = known.is_none_or(|p| p.last_report_at.is_none());
+        let is_first_report = known.is_none_or(|p| p.last_report_at.is_none());
         let now = peer.last_report_at.unwrap_or_default();
         if !self.unclaimed.is_empty() {
             for job in &peer.jobs {
@@ -178,22 +187,22 @@
             }
         }
         self.replace(name, peer);
-        is_news
+        is_first_report
     }
 
-    /// Takes over what is known of a peer now.
+    /// Replaces what is known of a peer.
     fn replace(&mut self, name: EntryName, peer: Peer) {
         if let Some(former) = self.peers.remove(&name) {
-            self.note_lost(former, &peer);
+            self.record_losses(former, &peer);
         }
         self.peers.insert(name, peer);
     }
 
-    /// Jobs of a run that has ended, and jobs that a daemon hands over as it stops,
-    /// have no owner for a moment.
-    fn note_lost(&mut self, former: Peer, peer: &Peer) {
-        let goes_on = former.run == peer.run;
-        if goes_on && !peer.stopping {
+    /// Notes the tokens of jobs that have no owner for the moment: jobs of an
+    /// incarnation that has ended, and jobs that a stopping daemon hands over.
+    fn record_losses(&mut self, former: Peer, peer: &Peer) {
+        let same_run = former.run == peer.run;
+        if same_run && !peer.stopping {
             return;
         }
         let now = peer
@@ -203,25 +212,25 @@
         let is_lost = |job: &JobId| !peer.jobs.contains(job) && !self.is_owned(job, now);
         let lost = former.jobs.into_iter().filter(is_lost).collect();
         let less = former.tokens.into_iter().filter_map(|(route, before)| {
-            let left = peer.tokens.get(&route).filter(|_| goes_on);
+            let left = peer.tokens.get(&route).filter(|_| same_run);
             let less = before.saturating_sub(left.copied().unwrap_or(0));
             (less > 0).then_some((route, less))
         });
         self.unclaimed.add(lost, less.collect(), now);
     }
 
-    /// Whether a peer has fallen silent since the last call.
+    /// Whether a peer has become silent since the last call.
     pub fn has_lost_peer(&mut self, now: Moment) -> bool {
         let alive_peers: BTreeSet<EntryName> = self
             .alive_peers(now)
             .map(|(name, _)| name.clone())
             .collect();
-        let lost = self.last_heard.difference(&alive_peers).next().is_some();
-        self.last_heard = alive_peers;
+        let lost = self.last_alive.difference(&alive_peers).next().is_some();
+        self.last_alive = alive_peers;
         lost
     }
 
-    /// Takes the entries of the store over, as listed at a revision.
+    /// Applies the registrations in the store, as listed at `revision`.
     pub fn apply_registrations(&mut self, list: Vec<(EntryName, MemberEntry)>, revision: i64) {
         if revision < self.revision {
             return;
@@ -229,7 +238,7 @@
         self.revision = revision;
         let names: BTreeSet<EntryName> = list.iter().map(|(n, _)| n.clone()).collect();
         for (name, entry) in list {
-            self.entered(name, entry);
+            self.apply_registration(name, entry);
         }
         for (name, peer) in &mut self.peers {
             peer.registered &= names.contains(name);
@@ -237,20 +246,20 @@
         }
     }
 
-    /// A daemon has an entry in the store.
-    fn entered(&mut self, name: EntryName, entry: MemberEntry) {
+    /// Applies a daemon's registration.
+    fn apply_registration(&mut self, name: EntryName, entry: MemberEntry) {
         match self.peers.get_mut(&name) {
             Some(peer) if peer.run == entry.run => peer.registered = true,
-            // A peer that is heard under another run tells better than an
-            // entry that may be its last run's.
+            // A report of another incarnation is more reliable than a registration that
+            // may belong to the previous one.
             Some(peer) if peer.last_report_at.is_some() && !peer.registered => {}
-            _ => self.replace(name, Peer::entered(entry)),
+            _ => self.replace(name, Peer::from_entry(entry)),
         }
     }
 
-    /// Forgets peers that are not in the store and not heard.
+    /// Evicts peers that are not registered and have been silent for `PEER_RETENTION`.
     pub fn sweep(&mut self, now: Moment) {
         self.peers
-            .retain(|_, peer| !peer.is_gone || peer.heard_within(PEER_RETENTION, now));
+            .retain(|_, peer| !peer.is_gone || peer.reported_within(PEER_RETENTION, now));
     }
 }
--- a/crates/bluebellreel_members/src/unclaimed.rs
+++ b/crates/bluebellreel_members/src/unclaimed.rs
@@ -1,17 +1,17 @@
-//! Tokens of jobs that have lost their owner and that nobody reports yet.
+//! Tokens of jobs that have lost their owner and that no daemon reports yet.
 
 use bluebellreel_types::{JobId, Moment};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// How long they are counted after the last of them was found at a new owner. Jobs
-/// that were done unseen are never found.
-const UNCLAIMED_LONGEST: Duration = Duration::from_secs(10);
-/// Losses remembered, each of at most the jobs that one report names.
-const LOSSES: usize = 256;
+/// Time for which tokens count after the last of their jobs was found at a new owner.
+/// Jobs that ended unobserved are never found.
+const LOSS_RETENTION: Duration = Duration::from_secs(10);
+/// Maximum number of losses kept. Each holds at most the jobs that one report names.
+const MAX_LOSSES: usize = 256;
 
-/// Jobs that vanished from a daemon's reports together. How the tokens divide among
-/// them is not known, so all count until the last of them is found.
+/// Jobs that disappeared from a daemon's reports together. How the tokens divide among
+/// the jobs is not known, so all of them count until the last job is found.
 #[derive(Clone, Debug)]
 struct Loss {
     jobs: BTreeSet<JobId>,
@@ -19,12 +19,12 @@
     until: Moment,
 }
 
-/// All such jobs.
+/// All losses.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Unclaimed(VecDeque<Loss>);
 
 impl Unclaimed {
-    /// Jobs have vanished, and with them so many tokens by route.
+    /// Adds jobs that disappeared, and the tokens that disappeared with them by route.
     pub(crate) fn add(
         &mut self,
         jobs: BTreeSet<JobId>,
@@ -35,10 +35,10 @@
         if jobs.is_empty() || tokens.is_empty() {
             return;
         }
-        if self.0.len() >= LOSSES {
+        if self.0.len() >= MAX_LOSSES {
             self.0.pop_front();
         }
-        let until = now + UNCLAIMED_LONGEST;
+        let until = now + LOSS_RETENTION;
         self.0.push_back(Loss {
             jobs,
             tokens,
@@ -46,23 +46,23 @@
         });
     }
 
-    /// A job has an owner, or has ended.
+    /// Notes that a job has an owner or has ended.
     pub(crate) fn claimed(&mut self, job: &JobId, now: Moment) {
         for loss in &mut self.0 {
             if loss.jobs.remove(job) {
-                loss.until = now + UNCLAIMED_LONGEST;
+                loss.until = now + LOSS_RETENTION;
             }
         }
         self.0.retain(|loss| !loss.jobs.is_empty());
     }
 
-    /// Tokens of a route's jobs.
+    /// Tokens of a route that still count.
     pub(crate) fn tokens(&self, route: &str, now: Moment) -> u64 {
         let counted = self.0.iter().filter(|loss| !loss.until.is_past(now));
         counted.filter_map(|loss| loss.tokens.get(route)).sum()
     }
 
-    /// Jobs that are counted.
+    /// Jobs whose tokens still count.
     pub(crate) fn jobs(&self, now: Moment) -> impl Iterator<Item = &JobId> {
         let counted = self.0.iter().filter(move |loss| !loss.until.is_past(now));
         counted.flat_map(|loss| &loss.jobs)
--- a/crates/bluebellreel_members/tests/divergence.rs
+++ b/crates/bluebellreel_members/tests/divergence.rs
@@ -1,4 +1,4 @@
-//! When lists of workers are compared, and that they converge by it.
+//! When worker lists are compared, and that they converge.
 
 use bluebellreel_dispatch::{Catalog, WorkerRecord, WorkerState};
 use bluebellreel_members::{Divergence, SyncRequest, WorkerList};
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const BEGIN: Moment = Moment(100_000_000);
+const START: Moment = Moment(100_000_000);
 /// Time between comparisons.
 const TICK: Duration = Duration::from_millis(250);
 const IDS: [&str; 3] = ["a", "b", "c"];
@@ -47,105 +47,111 @@
     catalog.workers().map(|w| w.id.as_str()).collect()
 }
 
-/// Questions in so many ticks, each with the tick at which it was asked.
-fn questions(
+/// Runs `ticks` comparisons and returns each request with its tick.
+fn requests(
     ticks: u32,
     lists: impl Fn(u32) -> (WorkerList, Vec<WorkerList>),
 ) -> Vec<(u32, SyncRequest)> {
     let mut divergence = Divergence::default();
     let asked = (0..ticks).filter_map(|tick| {
         let (own, peers) = lists(tick);
-        let now = BEGIN + TICK * tick;
-        let question = divergence.next_request(own, peers.into_iter(), now);
-        question.map(|question| (tick, question))
+        let now = START + TICK * tick;
+        let request = divergence.next_request(own, peers.into_iter(), now);
+        request.map(|request| (tick, request))
     });
     asked.collect()
 }
 
-/// What a peer answers that is asked, as daemons answer.
-fn answer(peer: &Catalog, asker: &mut Catalog, question: SyncRequest) {
+/// Answers a request in the way that daemons do.
+fn answer_request(peer: &Catalog, asker: &mut Catalog, request: SyncRequest) {
     let seen = asker.revision();
-    let whole = question == SyncRequest::All || !peer.tells_all_after(seen);
+    let whole = request == SyncRequest::All || !peer.tells_all_after(seen);
     let facts = peer.facts_after(if whole { 0 } else { seen });
     let facts = facts.map(|(revision, id, record)| (revision, id.clone(), record.cloned()));
     asker.learn(peer.revision(), facts.collect(), whole);
 }
 
-/// Has a daemon ask another by the rule for some seconds.
+/// Lets one daemon ask another as `Divergence` decides, for some seconds.
 fn compare(asker: &mut Catalog, peer: &Catalog) {
     let mut divergence = Divergence::default();
     for tick in 0..12 {
-        let now = BEGIN + TICK * tick;
+        let now = START + TICK * tick;
         let own = list_of(asker);
-        if let Some(question) = divergence.next_request(own, once(list_of(peer)), now) {
-            answer(peer, asker, question);
+        if let Some(request) = divergence.next_request(own, once(list_of(peer)), now) {
+            answer_request(peer, asker, request);
         }
     }
 }
 
-/// Revisions of those that watch rise with each write to the store, whatever it concerns.
+/// The revisions of watching daemons rise with every write to the store, also with
+/// writes that do not concern workers.
 #[test]
-fn peers_that_list_the_same_are_not_asked() {
-    let asked = questions(400, |tick| (list(9, 5), vec![list(9 + i64::from(tick), 5)]));
+fn peers_with_equal_lists_are_not_asked() {
+    let asked = requests(400, |tick| (list(9, 5), vec![list(9 + i64::from(tick), 5)]));
     assert_eq!(asked, []);
 }
 
-/// News reaches daemons one after the other: lists differ for up to three looks, and agree then.
+/// Changes reach daemons one after the other: lists differ for up to three ticks and
+/// then agree.
 #[test]
-fn lists_that_differ_for_a_moment_are_not_asked_for() {
-    let asked = questions(400, |tick| {
+fn a_transient_difference_causes_no_request() {
+    let asked = requests(400, |tick| {
         let (own, theirs) = (u64::from(tick / 4), u64::from(tick.div_ceil(4)));
         (list(9, own), vec![list(10, theirs)])
     });
     assert_eq!(asked, []);
 }
 
-/// Guards that a list which lacks a removal is asked for also while workers come and go elsewhere.
+/// Guards that a list which lacks a removal causes a request even while other workers
+/// come and go.
 #[test]
-fn a_list_that_stays_anothers_is_asked_for_though_others_change() {
+fn a_lasting_difference_causes_requests_despite_other_changes() {
     const STALE: u64 = 1 << 63;
-    let asked = questions(400, |tick| {
+    let asked = requests(400, |tick| {
         let change = u64::from(tick / 3);
         let revision = 10 + i64::from(tick);
         let own = list(revision - 1, change | STALE);
         (own, vec![list(revision, change)])
     });
-    assert!(!asked.is_empty(), "a hundred seconds without a question");
+    assert!(!asked.is_empty(), "no request in 100 s");
 }
 
-/// Guards that two which pass each other at each look ask each other all the same.
+/// Guards that two daemons which overtake each other in turn still ask each other.
 #[test]
-fn lists_that_pass_each_other_are_asked_for() {
-    let asked = questions(400, |tick| {
+fn lists_that_overtake_each_other_cause_requests() {
+    let asked = requests(400, |tick| {
         let ahead = 10 + i64::from(tick) + if tick % 2 == 0 { 1 } else { -1 };
         (list(10 + i64::from(tick), 5), vec![list(ahead, 6)])
     });
-    assert!(!asked.is_empty(), "a hundred seconds without a question");
+    assert!(!asked.is_empty(), "no request in 100 s");
 }
 
-/// One that knows less asks, and has nothing to tell; an earlier version tells no list.
+/// A peer with an earlier revision asks by itself and has nothing to offer. Daemons of
+/// earlier versions report no list.
 #[test]
-fn peers_behind_and_those_that_tell_no_list_are_not_asked() {
+fn peers_behind_and_peers_without_a_list_are_not_asked() {
     let peers = vec![list(8, 4), list(7, 6), WorkerList::default()];
-    assert_eq!(questions(400, |_| (list(9, 5), peers.clone())), []);
-    let told_by_none = questions(400, |_| (WorkerList::default(), vec![list(9, 5)]));
-    assert_eq!(told_by_none, []);
+    assert_eq!(requests(400, |_| (list(9, 5), peers.clone())), []);
+    let without_own_list = requests(400, |_| (WorkerList::default(), vec![list(9, 5)]));
+    assert_eq!(without_own_list, []);
 }
 
-/// Of two that know all up to one revision, one may have learned of a removal late.
+/// Of two daemons with the same revision, either one may have learned late of a
+/// removal.
 #[test]
-fn peers_that_know_as_much_are_asked_for_changes_only() {
-    let asked = questions(400, |_| (list(9, 5), vec![list(9, 6)]));
+fn peers_at_the_same_revision_are_asked_for_changes_only() {
+    let asked = requests(400, |_| (list(9, 5), vec![list(9, 6)]));
     assert_eq!(asked.first(), Some(&(4, SyncRequest::Changes)));
     assert!(asked.iter().all(|(_, q)| *q == SyncRequest::Changes));
     assert!(asked.len() < 9, "{asked:?}");
 }
 
-/// A list that stays another's is asked for soon, then in full, and ever more rarely.
+/// A list that keeps differing causes a request soon, then one for all workers, and
+/// then ever fewer.
 #[test]
-fn questions_in_vain_are_further_and_further_apart() {
+fn requests_without_effect_back_off() {
     let hour = 4 * 3600;
-    let asked = questions(hour, |tick| {
+    let asked = requests(hour, |tick| {
         (list(9, 5), vec![list(10 + i64::from(tick), 6)])
     });
     let first = asked.first().expect("it asks");
@@ -155,10 +161,10 @@
     assert!(asked.len() > changes.count(), "all workers are asked for");
 }
 
-/// A peer keeps workers for some seconds that others know to be gone after an outage.
+/// After an outage a peer keeps workers for some seconds that others know to be gone.
 #[test]
-fn what_a_peer_keeps_after_an_outage_is_not_asked_for_in_full() {
-    let asked = questions(400, |tick| {
+fn workers_kept_after_an_outage_cause_no_full_request() {
+    let asked = requests(400, |tick| {
         let theirs = if tick < 16 { 6 } else { 5 };
         (list(9, 5), vec![list(10 + i64::from(tick), theirs)])
     });
@@ -167,10 +173,11 @@
     assert!((1..=3).contains(&asked.len()), "{asked:?}");
 }
 
-/// Where one difference is gone, the next one is asked about as soon, and for little.
+/// After a difference is resolved, the next one starts again with an early request for
+/// changes.
 #[test]
-fn a_later_difference_begins_anew() {
-    let asked = questions(800, |tick| {
+fn a_later_difference_resets_the_backoff() {
+    let asked = requests(800, |tick| {
         let theirs = if (40..400).contains(&tick) { 5 } else { 6 };
         (list(9, 5), vec![list(10 + i64::from(tick), theirs)])
     });
@@ -178,20 +185,24 @@
     assert_eq!(later.first(), Some(&&(404, SyncRequest::Changes)));
 }
 
-/// A worker leaves, and only one that starts after that knows: its newest fact is older
-/// than what its peers know, and they kept the worker until the next news.
+/// A worker leaves, and only a daemon that starts afterwards knows it. The newest fact
+/// of that daemon is older than the knowledge of its peers, which kept the worker until
+/// the next change.
 #[test]
-fn a_removal_that_no_revision_tells_of_is_found() {
-    let mut kept = Catalog::default();
-    kept.replace(5, vec![fact(3, "a", true), fact(4, "b", true)], None);
+fn a_removal_without_a_newer_revision_is_found() {
+    let mut stale = Catalog::default();
+    stale.replace(5, vec![fact(3, "a", true), fact(4, "b", true)], None);
     let mut new = Catalog::default();
     new.replace(9, vec![fact(4, "b", true)], None);
-    assert!(new.newest() <= kept.revision(), "no news for its peers");
-    compare(&mut kept, &new);
-    assert_eq!(listed(&kept), ["b"]);
+    assert!(
+        new.newest() <= stale.revision(),
+        "peers see no newer revision"
+    );
+    compare(&mut stale, &new);
+    assert_eq!(listed(&stale), ["b"]);
 }
 
-/// The digest tells of what is listed, and nothing of the way there.
+/// The digest depends on the listed workers only, and not on the sequence of changes.
 #[test]
 fn equal_lists_have_equal_digests() {
     let mut watched = Catalog::default();
@@ -208,22 +219,23 @@
     read.replace(8, vec![fact(2, "b", true), fact(7, "c", true)], None);
     assert_eq!(watched.digest(), read.digest());
     read.take(9, &WorkerName::from("b"), Some(record("b")));
-    assert_ne!(watched.digest(), read.digest(), "b is another's now");
-    watched.miss(9, &WorkerName::from("b"), BEGIN);
-    watched.expire(BEGIN);
+    assert_ne!(watched.digest(), read.digest(), "b has been written again");
+    watched.miss(9, &WorkerName::from("b"), START);
+    watched.expire(START);
     read.remove(10, &WorkerName::from("b"));
     assert_eq!(watched.digest(), read.digest());
 }
 
 proptest! {
-    /// Daemons list, watch, start again and learn from each other in any order, then
-    /// only the rule is left: they all list what the one lists that watches on.
+    /// Daemons list, watch, restart and learn from each other in any order, and then
+    /// only compare lists. All of them end with the list of the one daemon that still
+    /// watches the store.
     #[test]
-    fn lists_converge_by_the_rule(
+    fn lists_converge(
         steps in prop::collection::vec((0u8..5, 0usize..3, 0usize..3), 1..60),
         leader in 0usize..3,
     ) {
-        // What was written to the store; the revision is the place.
+        // Writes to the store; the index gives the revision.
         let mut writes: Vec<Fact> = Vec::new();
         let mut daemons = [Catalog::default(), Catalog::default(), Catalog::default()];
         for (kind, who, which) in steps {
@@ -237,11 +249,11 @@
                 3 => watch(&mut daemons[who], &writes),
                 _ => {
                     let peer = daemons[which].clone();
-                    answer(&peer, &mut daemons[who], SyncRequest::Changes);
+                    answer_request(&peer, &mut daemons[who], SyncRequest::Changes);
                 }
             }
         }
-        // All but one are cut off from the store, which is written to once more.
+        // All daemons but one are cut off from the store, which gets one more write.
         write(&mut writes, 0);
         if daemons[leader].revision() == 0 {
             read(&mut daemons[leader], &writes);
@@ -256,7 +268,7 @@
     }
 }
 
-/// Another worker is there, or one is not any more.
+/// Adds a worker, or removes it if it exists.
 fn write(writes: &mut Vec<Fact>, which: usize) {
     let id = IDS[which];
     let last = writes.iter().rev().find(|(_, of, _)| of.as_str() == id);
@@ -265,7 +277,7 @@
     writes.push(fact(revision, id, !is_there));
 }
 
-/// Takes the store's list over.
+/// Replaces the catalog by the list in the store.
 fn read(catalog: &mut Catalog, writes: &[Fact]) {
     let last = IDS.map(|id| writes.iter().rev().find(|(_, of, _)| of.as_str() == id));
     let there = last.into_iter().flatten().filter(|(.., r)| r.is_some());
@@ -273,7 +285,7 @@
     catalog.replace(revision, there.cloned().collect(), None);
 }
 
-/// Takes over what has changed since the own revision.
+/// Applies the changes since the catalog's revision.
 fn watch(catalog: &mut Catalog, writes: &[Fact]) {
     let seen = catalog.revision();
     if seen == 0 {
--- a/crates/bluebellreel_members/tests/members.rs
+++ b/crates/bluebellreel_members/tests/members.rs
@@ -1,4 +1,4 @@
-//! Who lives, and who does what.
+//! Liveness of peers, and the division of duties among them.
 
 use bluebellreel_members::{
     MemberEntry, Members, PEER_RETENTION, PEER_TIMEOUT, Peer, Presence, STORE_ANSWER_MAX_AGE,
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const NOW: Moment = Moment(100_000_000);
-/// Longer ago than any silence that is forgiven.
+/// Longer ago than any silence that still counts as alive.
 const LONG_AGO: Moment = Moment(0);
 const TICK: Duration = Duration::from_millis(1);
 
@@ -29,11 +29,11 @@
     Peer {
         last_report_at: Some(last_report_at),
         registered: false,
-        ..Peer::entered(entry(run))
+        ..Peer::from_entry(entry(run))
     }
 }
 
-fn heard(count: usize) -> Members {
+fn alive_members(count: usize) -> Members {
     let mut members = Members::default();
     for n in 1..=count {
         members.record_report(name(n), peer(1, NOW));
@@ -41,9 +41,9 @@
     members
 }
 
-/// A job's owner is killed and back within half a second. Its peers never miss
-/// it, and if its new run were not news to them, nobody would look for the jobs
-/// of the run before: they lay open for ever.
+/// A job's owner is killed and restarts within half a second. Its peers never see it as
+/// silent. If its new incarnation did not count as news, no daemon would check the jobs
+/// of the previous one, which stayed open forever.
 #[test]
 fn a_new_run_of_a_known_daemon_is_news() {
     let mut members = Members::default();
@@ -54,20 +54,20 @@
     assert_eq!((run(1), run(2)), (Presence::Gone, Presence::Reporting));
 }
 
-/// Its entry was read before it was heard; the first report is news all the
-/// same, as it may have jobs that nobody asked it for.
+/// The registration of a daemon was read before its first report. The report still
+/// counts as news, as the daemon may have jobs that no peer knows of.
 #[test]
-fn the_first_report_of_an_entered_daemon_is_news() {
+fn the_first_report_of_a_registered_daemon_is_news() {
     let mut members = Members::default();
     members.apply_registrations(vec![(name(1), entry(1))], 5);
     assert!(members.record_report(name(1), peer(1, NOW)));
 }
 
-/// A daemon falls silent. While its entry stands it may only be cut off from its
-/// peers, and goes on with its jobs; the store would not let them be taken over.
-/// It is gone with its entry, and not before, however long that takes.
+/// A daemon becomes silent. While its registration exists it may only be cut off from
+/// its peers and continue its jobs, and the store would not let them be taken over. It
+/// counts as gone once its registration ends, and not before, however long that takes.
 #[test]
-fn a_silent_daemon_is_gone_with_its_entry() {
+fn a_silent_daemon_is_gone_once_its_registration_ends() {
     let mut members = Members::default();
     members.record_report(name(1), peer(1, NOW));
     members.apply_registrations(vec![(name(1), entry(1))], 5);
@@ -81,8 +81,8 @@
     assert_eq!(presence(&members, PEER_TIMEOUT), Presence::Gone);
 }
 
-/// A list that was on its way while a newer one was read brings back an entry
-/// that has ended: the dead daemon's jobs would wait for it.
+/// A delayed list arrives after a newer one and brings back a registration that has
+/// ended. The jobs of the dead daemon would wait for it.
 #[test]
 fn an_older_list_changes_nothing() {
     let mut members = Members::default();
@@ -96,11 +96,11 @@
     );
 }
 
-/// Two watch for all; a third only takes their word. One that the store turns
-/// away watches only where nobody else can.
+/// Two daemons watch the store, and a third relies on them. A daemon that the store
+/// refuses watches only if no other daemon can.
 #[test]
 fn two_daemons_watch_the_store() {
-    let members = heard(6);
+    let members = alive_members(6);
     let watchers = (1..=6).filter(|n| {
         let mut others = members.clone();
         others.record_report(name(*n), peer(1, LONG_AGO));
@@ -109,25 +109,25 @@
     assert_eq!(watchers.count(), 2);
     assert!(!members.is_watcher(&name(7), false, NOW));
     assert!(Members::default().is_watcher(&name(7), false, NOW));
-    let mut turned_away = Members::default();
-    let outcast = Peer {
+    let mut with_refused_peer = Members::default();
+    let refused_peer = Peer {
         reaches_store: false,
         ..peer(1, NOW)
     };
-    turned_away.record_report(name(1), outcast);
-    assert!(turned_away.is_watcher(&name(7), true, NOW));
+    with_refused_peer.record_report(name(1), refused_peer);
+    assert!(with_refused_peer.is_watcher(&name(7), true, NOW));
 }
 
-/// Both daemons that watch the store were stopped at once, and nobody watched
-/// until the others had missed them: a new route got 404 for a second and more.
-/// Whoever stops does not count; the next by rank watch at once.
+/// Both watching daemons were stopped at once, and no daemon watched until the others
+/// noticed their silence: a new route got 404 for more than a second. Stopping daemons
+/// do not count, and the next ones by rank watch at once.
 #[test]
-fn daemons_that_stop_leave_the_watch_to_others() {
-    let mut members = heard(6);
+fn stopping_watchers_are_replaced_at_once() {
+    let mut members = alive_members(6);
     let (watching, others): (Vec<usize>, Vec<usize>) = (1..=6).partition(|n| {
-        let mut as_it_sees = members.clone();
-        as_it_sees.record_report(name(*n), peer(1, LONG_AGO));
-        as_it_sees.is_watcher(&name(*n), true, NOW)
+        let mut its_view = members.clone();
+        its_view.record_report(name(*n), peer(1, LONG_AGO));
+        its_view.is_watcher(&name(*n), true, NOW)
     });
     for n in watching {
         let stopping = Peer {
@@ -137,23 +137,25 @@
         members.record_report(name(n), stopping);
     }
     let next = others.iter().filter(|n| {
-        let mut as_it_sees = members.clone();
-        as_it_sees.record_report(name(**n), peer(1, LONG_AGO));
-        as_it_sees.is_watcher(&name(**n), true, NOW)
+        let mut its_view = members.clone();
+        its_view.record_report(name(**n), peer(1, LONG_AGO));
+        its_view.is_watcher(&name(**n), true, NOW)
     });
     assert_eq!(next.count(), 2);
 }
 
-/// A daemon dies and its jobs go to the others. All must name the same successor for
-/// a job, never one that stops, and not the same for all jobs.
+/// A daemon dies and its jobs go to the others. All must choose the same successor for
+/// a job, never one that is stopping, and not the same one for all jobs.
 #[test]
-fn heirs_are_agreed_on_and_spread() {
-    let members = heard(4);
+fn successors_are_agreed_on_and_spread() {
+    let members = alive_members(4);
     let mut chosen = std::collections::BTreeSet::new();
     for job in 0..40 {
         let job = JobId::from(format!("job-{job}").as_str());
-        let successor = members.successor(&job, None, NOW).expect("four live");
-        // The successor, asked itself, comes to the same.
+        let successor = members
+            .successor(&job, None, NOW)
+            .expect("four alive peers");
+        // The successor itself reaches the same decision.
         let mut others = members.clone();
         others.record_report(successor.clone(), peer(1, LONG_AGO));
         assert_eq!(
@@ -161,20 +163,20 @@
             Some(successor.clone())
         );
         chosen.insert(successor.clone());
-        let mut stops = members.clone();
+        let mut with_stopping = members.clone();
         let stopping = Peer {
             stopping: true,
             ..peer(1, NOW)
         };
-        stops.record_report(successor.clone(), stopping);
-        assert_ne!(stops.successor(&job, None, NOW), Some(successor));
+        with_stopping.record_report(successor.clone(), stopping);
+        assert_ne!(with_stopping.successor(&job, None, NOW), Some(successor));
     }
     assert_eq!(chosen.len(), 4);
 }
 
 #[test]
 fn a_lost_peer_shows_once() {
-    let mut members = heard(2);
+    let mut members = alive_members(2);
     assert!(!members.has_lost_peer(NOW));
     let later = NOW + PEER_TIMEOUT + TICK;
     members.record_report(name(1), peer(1, later));
@@ -182,22 +184,22 @@
     assert!(!members.has_lost_peer(later));
 }
 
-/// Addresses of daemons that are gone for good would be sent reports for ever.
+/// Otherwise reports would be sent forever to addresses of daemons that are gone.
 #[test]
-fn daemons_that_are_gone_are_forgotten() {
-    let mut members = heard(2);
+fn peers_that_are_gone_are_evicted() {
+    let mut members = alive_members(2);
     members.apply_registrations(vec![(name(1), entry(1))], 5);
     members.sweep(NOW + PEER_RETENTION + TICK);
     let left: Vec<_> = members.peers().map(|(n, _)| n.clone()).collect();
     assert_eq!(left, [name(1)]);
 }
 
-/// A daemon is cut off from its peers and cannot know what they make of it. It
-/// must not take itself for the only one left; nor may the others doubt
-/// themselves because one of them has died.
+/// A daemon that is cut off from its peers cannot know what they decide about it. It
+/// must not assume that it is the only one left. The others must not assume that they
+/// are cut off because one of them has died.
 #[test]
-fn a_daemon_that_hears_few_peers_is_cut_off() {
-    let mut members = heard(5);
+fn a_daemon_that_sees_few_alive_peers_has_no_quorum() {
+    let mut members = alive_members(5);
     let all = (1..=5).map(|n| (name(n), entry(1))).collect();
     members.apply_registrations(all, 5);
     assert!(members.has_quorum(NOW));
@@ -210,7 +212,7 @@
     assert!(Members::default().has_quorum(NOW), "alone");
 }
 
-/// A peer that owns jobs with so many tokens on a route.
+/// A peer that owns jobs with `tokens` waiting tokens on a route.
 fn owner(run: u64, jobs: &[&str], tokens: u64, last_report_at: Moment) -> Peer {
     Peer {
         jobs: jobs.iter().map(|job| JobId::from(*job)).collect(),
@@ -219,10 +221,11 @@
     }
 }
 
-/// Tokens of a run that was killed count until all its jobs are found elsewhere.
+/// Tokens of a killed incarnation count until all of its jobs are reported by other
+/// owners.
 #[test]
-fn tokens_of_a_killed_run_count_until_its_jobs_have_owners() {
-    let mut members = heard(2);
+fn tokens_of_a_killed_incarnation_count_until_its_jobs_have_owners() {
+    let mut members = alive_members(2);
     members.record_report(name(1), owner(1, &["a", "b"], 600, NOW));
     members.record_report(name(1), owner(2, &[], 0, NOW + TICK));
     assert_eq!(members.tokens("book", NOW + TICK), 600);
@@ -232,9 +235,10 @@
     assert_eq!(members.tokens("book", NOW + TICK * 3), 600);
 }
 
-/// The same, if the new run's entry is read before it is heard, and its jobs end.
+/// The same if the new incarnation's registration is read before its first report, and
+/// its jobs end.
 #[test]
-fn tokens_of_a_killed_run_outlast_the_read_of_its_new_entry() {
+fn tokens_of_a_killed_incarnation_outlast_its_new_registration() {
     let mut members = Members::default();
     members.record_report(name(1), owner(1, &["a"], 600, NOW));
     members.apply_registrations(vec![(name(1), entry(1))], 5);
@@ -244,49 +248,51 @@
     assert_eq!(members.tokens("book", NOW + TICK), 0);
 }
 
-/// Jobs of a killed run that were done unseen do not fill their quota for good.
+/// Jobs of a killed incarnation that ended unobserved do not use up their quota for
+/// good.
 #[test]
-fn tokens_of_jobs_that_nobody_finds_are_forgotten() {
+fn tokens_of_jobs_that_are_never_found_expire() {
     let mut members = Members::default();
     members.record_report(name(1), owner(1, &["a"], 600, NOW));
     members.record_report(name(1), owner(2, &[], 0, NOW + TICK));
     assert_eq!(members.tokens("book", NOW + PEER_RETENTION * 2), 0);
 }
 
-/// A job that is handed over counts until its new owner reports it, in either order.
+/// Tokens of a job that is handed over count until the new owner reports it, whichever
+/// of the two reports arrives first.
 #[test]
-fn tokens_of_a_job_that_is_handed_over_count_all_along() {
-    let stops = |jobs: &[&str], tokens, at| Peer {
+fn tokens_of_a_job_that_is_handed_over_always_count() {
+    let stopping_owner = |jobs: &[&str], tokens, at| Peer {
         stopping: true,
         ..owner(1, jobs, tokens, at)
     };
-    let mut members = heard(2);
+    let mut members = alive_members(2);
     members.record_report(name(1), owner(1, &["a", "b"], 600, NOW));
-    members.record_report(name(1), stops(&["b"], 200, NOW + TICK));
+    members.record_report(name(1), stopping_owner(&["b"], 200, NOW + TICK));
     assert_eq!(members.tokens("book", NOW + TICK), 600);
     members.record_report(name(2), owner(1, &["a"], 400, NOW + TICK * 2));
     assert_eq!(members.tokens("book", NOW + TICK * 2), 600);
     members.record_report(name(2), owner(1, &["a", "b"], 600, NOW + TICK * 3));
-    members.record_report(name(1), stops(&[], 0, NOW + TICK * 4));
+    members.record_report(name(1), stopping_owner(&[], 0, NOW + TICK * 4));
     assert_eq!(members.tokens("book", NOW + TICK * 4), 600);
 }
 
-/// Tokens of jobs that go on or are done at a daemon that stays count once.
+/// Tokens of a daemon that keeps running count once, whether its jobs continue or end.
 #[test]
-fn tokens_of_a_daemon_that_goes_on_are_those_of_its_last_report() {
+fn tokens_of_a_running_daemon_are_those_of_its_last_report() {
     let mut members = Members::default();
     members.record_report(name(1), owner(1, &["a", "b"], 600, NOW));
     members.record_report(name(1), owner(1, &["b"], 100, NOW + TICK));
     assert_eq!(members.tokens("book", NOW + TICK), 100);
 }
 
-/// A daemon that misses a single one knows that it does not know all.
+/// A daemon that lacks the reports of a single peer knows that its view is incomplete.
 #[test]
-fn all_are_heard_while_each_entry_has_a_report() {
-    let mut members = heard(1);
+fn all_peers_are_alive_while_each_registration_has_a_report() {
+    let mut members = alive_members(1);
     assert!(members.all_peers_alive(NOW));
     members.apply_registrations(vec![(name(1), entry(1)), (name(2), entry(1))], 5);
-    assert!(!members.all_peers_alive(NOW), "one never heard");
+    assert!(!members.all_peers_alive(NOW), "one never reported");
     members.record_report(name(2), peer(1, NOW));
     assert!(members.all_peers_alive(NOW));
     members.record_report(name(1), peer(1, NOW + PEER_TIMEOUT));
@@ -297,13 +303,13 @@
     members.apply_registrations(vec![(name(1), entry(1))], 6);
     assert!(
         members.all_peers_alive(NOW + PEER_TIMEOUT + TICK),
-        "its entry has ended"
+        "its registration has ended"
     );
 }
 
-/// Jobs whose tokens count are named, so that nobody counts them twice.
+/// Jobs whose tokens count are listed, so that they are not counted twice.
 #[test]
-fn jobs_are_named_as_long_as_their_tokens_count() {
+fn jobs_are_listed_as_long_as_their_tokens_count() {
     let names = |members: &Members, now| {
         let mut jobs: Vec<String> = members
             .counted_jobs(now)
@@ -313,7 +319,7 @@
         jobs.sort();
         jobs
     };
-    let mut members = heard(2);
+    let mut members = alive_members(2);
     members.record_report(name(1), owner(1, &["a", "b"], 600, NOW));
     members.record_report(name(2), owner(1, &["c"], 100, NOW));
     assert_eq!(names(&members, NOW + PEER_TIMEOUT + TICK), ["a", "b", "c"]);
@@ -324,14 +330,14 @@
     assert_eq!(names(&members, NOW + PEER_RETENTION * 2), ["c"]);
 }
 
-/// Watchers that are cut off from the store without knowing leave the watch to others.
+/// Watchers that are cut off from the store without knowing it are replaced by others.
 #[test]
-fn daemons_whose_last_answer_is_old_leave_the_watch_to_others() {
+fn watchers_whose_last_store_answer_is_old_are_replaced() {
     let watchers = |members: &Members| -> Vec<usize> {
         let all = (1..=6).filter(|n| {
-            let mut as_it_sees = members.clone();
-            as_it_sees.record_report(name(*n), peer(1, LONG_AGO));
-            as_it_sees.is_watcher(&name(*n), true, NOW + STORE_ANSWER_MAX_AGE)
+            let mut its_view = members.clone();
+            its_view.record_report(name(*n), peer(1, LONG_AGO));
+            its_view.is_watcher(&name(*n), true, NOW + STORE_ANSWER_MAX_AGE)
         });
         all.collect()
     };
@@ -353,12 +359,13 @@
     assert_eq!(others.count(), 2, "{first:?} {next:?}");
 }
 
-/// Guards that a silent peer which reached the store may still do so, until its entry is known to be gone.
+/// Guards that a silent peer which reached the store may still do so until its
+/// registration is known to be gone.
 #[test]
-fn a_peer_that_fell_silent_may_reach_the_store() {
+fn a_silent_peer_may_reach_the_store() {
     let later = NOW + PEER_RETENTION + TICK;
     let lost = |reaches_store| {
-        let mut members = heard(0);
+        let mut members = alive_members(0);
         let peer = Peer {
             reaches_store,
             ..peer(1, NOW)
