--- a/crates/bluebellreel_keeper/src/keeper.rs
+++ b/crates/bluebellreel_keeper/src/keeper.rs
@@ -9,7 +9,7 @@
 use bluebellreel_net::{Pool, PoolLimits, Served, Stop, listen, serve};
 use bluebellreel_settings::{KeeperSettings, SettingsError};
 use bluebellreel_snapshot::{
-    GatewayState, KnownGateway, ProgressBackups, Snapshot, VisitOutcome, after_visit,
+    GatewayState, KnownGateway, ProgressBackups, Snapshot, VisitOutcome, visit_outcome,
 };
 use bluebellreel_types::{Clock, EntryName, Moment};
 use eyre::Context;
@@ -210,7 +210,7 @@
     let names: Vec<EntryName> = at_it.map(|(name, _)| name.clone()).collect();
     for name in names {
         info!(target: "keeper", gateway:% = name; "gateway forgotten");
-        snapshot.forget(&name);
+        snapshot.remove_gateway(&name);
     }
     drop(snapshot);
     keeper.snapshot_due.note();
@@ -229,11 +229,11 @@
             is_near: known.all(|(_, g)| is_near(own, g.data_centre.as_ref())),
         };
     };
-    meet(keeper, at, &state);
-    let outcome = after_visit(&keeper.snapshot.borrow(), &state);
+    add_gateway(keeper, at, &state);
+    let outcome = visit_outcome(&keeper.snapshot.borrow(), &state);
     match outcome {
-        VisitOutcome::Ask => ask(keeper, at, &state).await,
-        VisitOutcome::Offer => offer(keeper, at, &state).await,
+        VisitOutcome::FetchFacts => ask(keeper, at, &state).await,
+        VisitOutcome::OfferSnapshot => offer(keeper, at, &state).await,
         VisitOutcome::Confirmed => {
             let now = keeper.now();
             keeper.snapshot.borrow_mut().confirm(now);
@@ -247,19 +247,19 @@
 }
 
 /// Remembers a gateway and the peers that it names.
-fn meet(keeper: &Keeper, at: SocketAddr, state: &GatewayState) {
+fn add_gateway(keeper: &Keeper, at: SocketAddr, state: &GatewayState) {
     let mut snapshot = keeper.snapshot.borrow_mut();
     let met = KnownGateway {
         calls: at,
         data_centre: Some(state.data_centre.clone()),
     };
-    let mut changed = snapshot.meet(state.entry.clone(), met);
+    let mut changed = snapshot.add_gateway(state.entry.clone(), met);
     for (name, calls) in &state.peers {
         let named = KnownGateway {
             calls: *calls,
             data_centre: None,
         };
-        changed |= snapshot.meet(name.clone(), named);
+        changed |= snapshot.add_gateway(name.clone(), named);
     }
     drop(snapshot);
     if changed {
@@ -279,7 +279,7 @@
     let now = keeper.now();
     let newest = {
         let mut snapshot = keeper.snapshot.borrow_mut();
-        snapshot.learn(facts);
+        snapshot.merge(facts);
         if state.reaches_store {
             snapshot.confirm(now);
         }
--- a/crates/bluebellreel_keeper/tests/disk.rs
+++ b/crates/bluebellreel_keeper/tests/disk.rs
@@ -13,7 +13,7 @@
             calls: ([10, 0, 0, 9], n).into(),
             data_centre: None,
         };
-        snapshot.meet(EntryName::from(format!("entry-{n}")), gateway);
+        snapshot.add_gateway(EntryName::from(format!("entry-{n}")), gateway);
     }
     snapshot
 }
--- a/crates/bluebellreel_snapshot/src/lib.rs
+++ b/crates/bluebellreel_snapshot/src/lib.rs
@@ -1,19 +1,20 @@
-//! What the store told last, kept for gateways that start while it is away.
+//! Snapshots of the store's facts for gateways that start during an outage of the
+//! store.
 //!
-//! A gateway keeps nothing on its VM. If all of them are killed during an outage
-//! of the store, nobody knows a route or a worker any more, and every caller is
-//! refused until the store is back. So keepers, small processes on VMs with
-//! disks, hold a [`Snapshot`]: the configuration, the workers and the gateways'
-//! addresses, as gateways know them.
+//! A gateway keeps no state on its VM. If all gateways were killed during an outage of
+//! the store, none of them would know a route or a worker after the restart, and every
+//! caller would be refused until the store is back. Keepers, which are small processes
+//! on VMs with disks, therefore hold a [`Snapshot`]: the configuration, the workers and
+//! the gateways' addresses, as the gateways know them.
 //!
-//! A snapshot is a cache, never an authority. Each fact carries the store's
-//! revision, so none replaces a newer one; it has an age, and is handed out only
-//! to a gateway that the store does not answer, for a bounded time. Work that it
-//! sends somewhere names the worker that it means, which refuses what is meant
-//! for another one. All of it is plain data: no clock, no I/O.
+//! A snapshot is a cache and never an authority. Each fact carries the store's
+//! revision, so it cannot replace a newer one. A snapshot is handed out only to a
+//! gateway that the store does not answer, and only up to a maximum age. Requests
+//! routed by a snapshot name the intended worker, and a worker refuses requests meant
+//! for another one. This crate holds plain data only: no clock, no I/O.
 //!
-//! Beside it keepers hold how far the items of jobs are ([`ProgressBackups`]), which
-//! would be lost with the gateways that run them.
+//! Keepers also hold the progress of job items ([`ProgressBackups`]), which would be
+//! lost with the gateways that run them.
 //!
 //! ```
 //! use bluebellreel_snapshot::Snapshot;
@@ -32,5 +33,5 @@
 pub use facts::{SharedFacts, WorkerFact};
 pub use progress::ProgressBackups;
 pub use slot::{SlotError, newest, read_slot, write_slot};
-pub use snapshot::{BELIEVED, KnownGateway, Snapshot, SnapshotError};
-pub use visit::{GatewayState, VisitOutcome, after_visit};
+pub use snapshot::{KnownGateway, SNAPSHOT_TTL, Snapshot, SnapshotError};
+pub use visit::{GatewayState, VisitOutcome, visit_outcome};
--- a/crates/bluebellreel_snapshot/src/progress.rs
+++ b/crates/bluebellreel_snapshot/src/progress.rs
@@ -1,6 +1,6 @@
-//! How far the items of jobs are, kept for whoever takes a job over.
+//! Backups of the progress of job items, for the daemon that takes a job over.
 //!
-//! The bytes are those of the job's owner; a keeper does not read them.
+//! The bytes are in the format of the job's owner; a keeper does not decode them.
 
 use crate::SnapshotError;
 use bluebellreel_types::{JobId, Moment};
@@ -8,21 +8,22 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Kept {
-    until: Moment,
+struct Backup {
+    expires_at: Moment,
     progress: Vec<u8>,
 }
 
-/// Progress of jobs, each until a moment, within a bound of bytes.
+/// Progress of jobs. Each backup has an expiry time, and all backups together are
+/// limited in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProgressBackups {
-    jobs: BTreeMap<JobId, Kept>,
+    jobs: BTreeMap<JobId, Backup>,
     bytes: usize,
     limit: usize,
 }
 
 impl ProgressBackups {
-    /// Nothing yet; at most `limit` bytes are kept.
+    /// Creates an empty collection that holds at most `limit` bytes.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self {
@@ -32,9 +33,9 @@
         }
     }
 
-    /// Keeps a job's progress in place of what was known of it. What does not
-    /// fit is not kept: its items begin anew, which is right if slower.
-    pub fn keep(&mut self, id: JobId, progress: Vec<u8>, until: Moment) {
+    /// Replaces the backup of a job's progress. A backup that exceeds the limit is
+    /// dropped; the items then restart from the beginning, which is correct but slower.
+    pub fn keep(&mut self, id: JobId, progress: Vec<u8>, expires_at: Moment) {
         if let Some(before) = self.jobs.remove(&id) {
             self.bytes -= before.progress.len();
         }
@@ -42,49 +43,57 @@
             return;
         }
         self.bytes += progress.len();
-        self.jobs.insert(id, Kept { until, progress });
+        self.jobs.insert(
+            id,
+            Backup {
+                expires_at,
+                progress,
+            },
+        );
     }
 
-    /// What is known of a job.
+    /// The backup of a job's progress.
     #[must_use]
     pub fn get(&self, id: &JobId) -> Option<&[u8]> {
-        self.jobs.get(id).map(|kept| kept.progress.as_slice())
+        self.jobs.get(id).map(|backup| backup.progress.as_slice())
     }
 
-    /// Forgets what was kept until now; whether there was any.
+    /// Evicts expired backups. Returns whether there were any.
     pub fn sweep(&mut self, now: Moment) -> bool {
         let before = self.jobs.len();
-        self.jobs.retain(|_, kept| !kept.until.is_past(now));
+        self.jobs
+            .retain(|_, backup| !backup.expires_at.is_past(now));
         self.bytes = self.jobs.values().map(|k| k.progress.len()).sum();
         self.jobs.len() != before
     }
 
-    /// Bytes that are kept.
+    /// Bytes held.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// All of it, as it is written.
+    /// Encodes all backups for the disk.
     ///
     /// # Panics
     ///
-    /// Never: it holds nothing that its format cannot.
+    /// Never: backups always serialize to postcard.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_allocvec(&self.jobs).expect("plain data")
+        postcard::to_allocvec(&self.jobs).expect("backups serialize to postcard")
     }
 
-    /// Takes over what was written. What does not fit the bound is left.
+    /// Adds the backups that were written to the disk. Backups that exceed the limit
+    /// are dropped.
     ///
     /// # Errors
     ///
-    /// Gives the reason when the bytes are none of this.
+    /// Returns the decoding error if the bytes are not encoded backups.
     pub fn read(&mut self, bytes: &[u8]) -> Result<(), SnapshotError> {
-        let jobs: BTreeMap<JobId, Kept> =
+        let jobs: BTreeMap<JobId, Backup> =
             postcard::from_bytes(bytes).map_err(|e| SnapshotError::from(e.to_string()))?;
-        for (id, kept) in jobs {
-            self.keep(id, kept.progress, kept.until);
+        for (id, backup) in jobs {
+            self.keep(id, backup.progress, backup.expires_at);
         }
         Ok(())
     }
--- a/crates/bluebellreel_snapshot/src/snapshot.rs
+++ b/crates/bluebellreel_snapshot/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot of one keeper.
+//! The snapshot that a keeper holds.
 
 use crate::SharedFacts;
 use bluebellreel_dispatch::Catalog;
@@ -10,23 +10,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a snapshot is believed after a gateway with the store has confirmed
-/// it. Outages last seconds to minutes; a fleet that changes its configuration
-/// some thousand times a day has another one after that.
-pub const BELIEVED: Duration = Duration::from_mins(5);
-/// Gateways remembered; a fleet has some hundred.
-const GATEWAYS: usize = 4096;
+/// How long a snapshot is valid after a gateway that reaches the store confirmed it.
+/// Outages last from seconds to minutes. In a fleet that changes its configuration some
+/// thousand times a day, the configuration is a different one after that time.
+pub const SNAPSHOT_TTL: Duration = Duration::from_mins(5);
+/// Maximum number of known gateways; a fleet has some hundred.
+const MAX_GATEWAYS: usize = 4096;
 
 /// A gateway that a keeper visits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownGateway {
-    /// Where it takes calls of peers.
+    /// Address for calls of peers.
     pub calls: SocketAddr,
-    /// Where it stands, if it has said so.
+    /// Its data centre, if it has reported one.
     pub data_centre: Option<DataCentre>,
 }
 
-/// What a keeper holds.
+/// The facts and gateways that a keeper knows.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     configuration: Option<(i64, Vec<u8>)>,
@@ -36,7 +36,7 @@
     confirmed_at: Option<Moment>,
 }
 
-/// Bytes that are no snapshot.
+/// Bytes that cannot be decoded as a snapshot or as progress backups.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotError(String);
 
@@ -54,9 +54,9 @@
     }
 }
 
-/// A snapshot as it is written.
+/// Stored form of a snapshot.
 #[derive(Serialize, Deserialize)]
-struct Stored {
+struct StoredSnapshot {
     facts: SharedFacts,
     gateways: BTreeMap<EntryName, KnownGateway>,
     confirmed_at: Option<Moment>,
@@ -72,17 +72,17 @@
         }
     }
 
-    /// The gateways that are known.
+    /// All known gateways.
     pub fn gateways(&self) -> impl Iterator<Item = (&EntryName, &KnownGateway)> {
         self.gateways.iter()
     }
 
-    /// Takes facts over that are newer than what is held; whether any is.
-    pub fn learn(&mut self, facts: SharedFacts) -> bool {
+    /// Merges facts that are newer than those held. Returns whether there were any.
+    pub fn merge(&mut self, facts: SharedFacts) -> bool {
         let before = self.newest();
-        let newer = |revision: i64| revision > before.configuration;
+        let is_newer = |revision: i64| revision > before.configuration;
         if let Some((revision, text)) = facts.configuration
-            && newer(revision)
+            && is_newer(revision)
         {
             self.configuration = Some((revision, text));
         }
@@ -92,49 +92,52 @@
         self.newest() != before
     }
 
-    /// Remembers where a gateway is; whether that has changed.
-    pub fn meet(&mut self, name: EntryName, gateway: KnownGateway) -> bool {
+    /// Adds a gateway or updates its address. Returns whether that changed anything.
+    pub fn add_gateway(&mut self, name: EntryName, gateway: KnownGateway) -> bool {
         let known = self.gateways.get(&name);
         if known == Some(&gateway) {
             return false;
         }
-        // A peer that names it does not say where it stands.
-        let same_place = known.is_some_and(|k| k.calls == gateway.calls);
-        if same_place && gateway.data_centre.is_none() {
+        // Peers that report this gateway do not know its data centre.
+        let same_address = known.is_some_and(|k| k.calls == gateway.calls);
+        if same_address && gateway.data_centre.is_none() {
             return false;
         }
-        if known.is_none() && self.gateways.len() >= GATEWAYS {
+        if known.is_none() && self.gateways.len() >= MAX_GATEWAYS {
             return false;
         }
         self.gateways.insert(name, gateway);
         true
     }
 
-    /// Forgets a gateway.
-    pub fn forget(&mut self, name: &EntryName) {
+    /// Removes a gateway.
+    pub fn remove_gateway(&mut self, name: &EntryName) {
         self.gateways.remove(name);
     }
 
-    /// A gateway that reaches the store knows no more than this: it is current.
+    /// Notes that a gateway which reaches the store has no newer facts, so this
+    /// snapshot is current.
     pub fn confirm(&mut self, now: Moment) {
         self.confirmed_at = Some(now);
     }
 
-    /// When it was confirmed last.
+    /// When the snapshot was last confirmed.
     #[must_use]
     pub fn confirmed_at(&self) -> Option<Moment> {
         self.confirmed_at
     }
 
-    /// What a gateway gets that the store does not answer; nothing if there is
-    /// nothing, or if it has not been confirmed for too long.
+    /// The facts for a gateway that the store does not answer; none if there is no
+    /// configuration, or if the last confirmation is missing or older than
+    /// `SNAPSHOT_TTL`.
     ///
-    /// The clock may have stepped back since: an age of less than nothing is
-    /// none.
+    /// If the clock was set back since the confirmation, the age counts as zero.
     #[must_use]
     pub fn offer(&self, now: Moment) -> Option<SharedFacts> {
         let age = now.since(self.confirmed_at?);
-        let left = BELIEVED.checked_sub(age).filter(|left| !left.is_zero())?;
+        let left = SNAPSHOT_TTL
+            .checked_sub(age)
+            .filter(|left| !left.is_zero())?;
         self.configuration.as_ref()?;
         Some(SharedFacts {
             valid_for: Some(left),
@@ -156,19 +159,19 @@
         }
     }
 
-    /// The snapshot as it is written.
+    /// Encodes the snapshot for the disk.
     ///
     /// # Panics
     ///
-    /// Never: a snapshot holds nothing that its format cannot.
+    /// Never: a snapshot always serializes to postcard.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        let stored = Stored {
+        let stored = StoredSnapshot {
             facts: self.facts(),
             gateways: self.gateways.clone(),
             confirmed_at: self.confirmed_at,
         };
-        postcard::to_allocvec(&stored).expect("a snapshot is plain data")
+        postcard::to_allocvec(&stored).expect("a snapshot serializes to postcard")
     }
 }
 
@@ -176,14 +179,14 @@
     type Error = SnapshotError;
 
     fn try_from(bytes: &[u8]) -> Result<Self, SnapshotError> {
-        let stored: Stored =
+        let stored: StoredSnapshot =
             postcard::from_bytes(bytes).map_err(|e| SnapshotError(e.to_string()))?;
         let mut snapshot = Self {
             gateways: stored.gateways,
             confirmed_at: stored.confirmed_at,
             ..Self::default()
         };
-        snapshot.learn(stored.facts);
+        snapshot.merge(stored.facts);
         Ok(snapshot)
     }
 }
--- a/crates/bluebellreel_snapshot/tests/slots.rs
+++ b/crates/bluebellreel_snapshot/tests/slots.rs
@@ -1,10 +1,10 @@
-//! Two places on disk, one of which a loss of power may tear.
+//! Reading two slots, one of which may be torn by a power loss.
 
 use bluebellreel_snapshot::{SlotError, newest, read_slot, write_slot};
 use proptest::prelude::*;
 
 #[test]
-fn the_newer_of_two_is_read() {
+fn the_newer_of_two_slots_is_read() {
     let (old, new) = (write_slot(4, b"old"), write_slot(5, b"new"));
     assert_eq!(newest([&old, &new]), Some((1, 5, &b"new"[..])));
     assert_eq!(newest([&new, &old]), Some((0, 5, &b"new"[..])));
@@ -13,22 +13,22 @@
 }
 
 #[test]
-fn reasons_are_told_apart() {
+fn read_errors_are_distinguished() {
     let whole = write_slot(1, b"body");
-    assert_eq!(read_slot(&whole[..20]), Err(SlotError::Short));
+    assert_eq!(read_slot(&whole[..20]), Err(SlotError::TooShort));
     assert_eq!(read_slot(&whole[..34]), Err(SlotError::Damaged));
-    assert_eq!(read_slot(&[0; 64]), Err(SlotError::Foreign));
-    // What a longer one has left behind it does no harm.
+    assert_eq!(read_slot(&[0; 64]), Err(SlotError::UnknownFormat));
+    // The remainder of a longer snapshot after the body is ignored.
     let mut longer = whole.clone();
     longer.extend_from_slice(b"rest of a longer one");
     assert_eq!(read_slot(&longer), Ok((1, &b"body"[..])));
 }
 
 proptest! {
-    /// Power is lost while the newer place is written: it is cut anywhere, or a
-    /// part of it is still what stood there before. The older one is read.
+    /// Power is lost while the newer slot is written: it is truncated anywhere, or a
+    /// part of it still holds the previous bytes. The older slot is read.
     #[test]
-    fn a_torn_write_leaves_the_other_place(
+    fn a_torn_write_leaves_the_other_slot(
         body in prop::collection::vec(any::<u8>(), 1..200),
         cut in any::<prop::sample::Index>(),
         turned in any::<prop::sample::Index>(),
--- a/crates/bluebellreel_snapshot/tests/snapshot.rs
+++ b/crates/bluebellreel_snapshot/tests/snapshot.rs
@@ -1,10 +1,10 @@
-//! What a keeper holds, and when it may be believed.
+//! Contents, validity and confirmation of a keeper's snapshot.
 
 use bluebellreel_dispatch::{Boot, WorkerRecord, WorkerState};
 use bluebellreel_members::Revisions;
 use bluebellreel_snapshot::{
-    BELIEVED, GatewayState, KnownGateway, ProgressBackups, SharedFacts, Snapshot, VisitOutcome,
-    WorkerFact, after_visit,
+    GatewayState, KnownGateway, ProgressBackups, SNAPSHOT_TTL, SharedFacts, Snapshot, VisitOutcome,
+    WorkerFact, visit_outcome,
 };
 use bluebellreel_types::{DataCentre, EntryName, JobId, Moment, WorkerName};
 use proptest::prelude::*;
@@ -45,7 +45,7 @@
 fn snapshot() -> Snapshot {
     let mut snapshot = Snapshot::default();
     let ready = Some(WorkerState::Ready);
-    assert!(snapshot.learn(facts(10, vec![fact(20, "a", ready), fact(21, "b", ready)])));
+    assert!(snapshot.merge(facts(10, vec![fact(20, "a", ready), fact(21, "b", ready)])));
     snapshot.confirm(NOW);
     snapshot
 }
@@ -56,15 +56,15 @@
         .collect()
 }
 
-/// A keeper was cut off while a worker left and the configuration changed. What
-/// another gateway then says is older; taken over, a gateway would send work to
-/// a worker that is gone.
+/// A keeper was cut off while a worker left and the configuration changed. Another
+/// gateway then reports older facts. If the keeper merged them, a gateway would send
+/// work to a worker that is gone.
 #[test]
 fn older_facts_replace_nothing() {
     let mut snapshot = snapshot();
-    snapshot.learn(facts(30, vec![fact(40, "a", None)]));
-    assert!(!snapshot.learn(facts(10, vec![fact(20, "a", Some(WorkerState::Ready))])));
-    let offer = snapshot.offer(NOW).expect("it is young");
+    snapshot.merge(facts(30, vec![fact(40, "a", None)]));
+    assert!(!snapshot.merge(facts(10, vec![fact(20, "a", Some(WorkerState::Ready))])));
+    let offer = snapshot.offer(NOW).expect("still valid");
     assert_eq!(offer.configuration.as_ref().map(|(r, _)| *r), Some(30));
     let expected = [
         ("a".to_owned(), None),
@@ -73,41 +73,41 @@
     assert_eq!(workers(&offer), expected);
 }
 
-/// The store is away for very long. A snapshot from before says nothing of what
-/// operators have changed by other ways since, and is not handed out any more.
+/// The store is unavailable for very long. An old snapshot lacks changes that operators
+/// have made by other means since, so it is no longer handed out.
 #[test]
 fn an_old_snapshot_is_not_handed_out() {
     let snapshot = snapshot();
     let minute = Duration::from_mins(1);
     let offer = snapshot.offer(NOW + minute);
     let left = offer.expect("a minute old").valid_for;
-    assert_eq!(left, BELIEVED.checked_sub(minute));
-    assert_eq!(snapshot.offer(NOW + BELIEVED), None);
+    assert_eq!(left, SNAPSHOT_TTL.checked_sub(minute));
+    assert_eq!(snapshot.offer(NOW + SNAPSHOT_TTL), None);
     // The VM's clock was set back.
     let offer = snapshot.offer(Moment(NOW.0 - 5_000_000));
-    assert_eq!(offer.expect("not older").valid_for, Some(BELIEVED));
+    assert_eq!(offer.expect("age of zero").valid_for, Some(SNAPSHOT_TTL));
 }
 
 #[test]
-fn what_nobody_has_confirmed_is_not_handed_out() {
+fn an_unconfirmed_snapshot_is_not_handed_out() {
     let mut snapshot = Snapshot::default();
-    snapshot.learn(facts(10, Vec::new()));
+    snapshot.merge(facts(10, Vec::new()));
     assert_eq!(snapshot.offer(NOW), None);
     let mut empty = Snapshot::default();
     empty.confirm(NOW);
     assert_eq!(empty.offer(NOW), None, "no configuration");
 }
 
-/// A keeper starts again and reads its disk.
+/// A keeper restarts and reads its disk.
 #[test]
-fn what_was_written_is_read_again() {
+fn a_written_snapshot_is_read_again() {
     let mut before = snapshot();
     let gateway = KnownGateway {
         calls: "10.0.0.9:8166".parse().expect("an address"),
         data_centre: Some(DataCentre::from("hall")),
     };
-    assert!(before.meet(EntryName::from("entry-1"), gateway.clone()));
-    let after = Snapshot::try_from(before.encode().as_slice()).expect("it is one");
+    assert!(before.add_gateway(EntryName::from("entry-1"), gateway.clone()));
+    let after = Snapshot::try_from(before.encode().as_slice()).expect("an encoded snapshot");
     assert_eq!(after.offer(NOW), before.offer(NOW));
     assert_eq!(after.newest(), before.newest());
     let known: Vec<_> = after.gateways().collect();
@@ -115,20 +115,20 @@
     assert!(Snapshot::try_from(&b"something else"[..]).is_err());
 }
 
-/// A peer names a gateway without saying where it stands: that it is near is
-/// still known. At another address it is another VM.
+/// A peer reports a gateway without its data centre: the known data centre is kept. At
+/// another address the gateway is another VM.
 #[test]
-fn where_a_gateway_stands_is_not_forgotten() {
+fn the_data_centre_of_a_gateway_is_kept() {
     let mut snapshot = Snapshot::default();
     let name = EntryName::from("entry-1");
     let at = |port: u16, place: Option<&str>| KnownGateway {
         calls: ([10, 0, 0, 9], port).into(),
         data_centre: place.map(DataCentre::from),
     };
-    assert!(snapshot.meet(name.clone(), at(1, Some("hall"))));
-    assert!(!snapshot.meet(name.clone(), at(1, None)));
-    assert!(snapshot.meet(name.clone(), at(2, None)));
-    snapshot.forget(&name);
+    assert!(snapshot.add_gateway(name.clone(), at(1, Some("hall"))));
+    assert!(!snapshot.add_gateway(name.clone(), at(1, None)));
+    assert!(snapshot.add_gateway(name.clone(), at(2, None)));
+    snapshot.remove_gateway(&name);
     assert_eq!(snapshot.gateways().count(), 0);
 }
 
@@ -147,37 +147,46 @@
     }
 }
 
-/// All gateways live by a snapshot while the store is away, and keepers visit
-/// them. Taken for confirmed by them, a snapshot would never grow old.
+/// All gateways run on a snapshot while the store is unavailable, and keepers visit
+/// them. If such gateways confirmed the snapshot, it would never expire.
 #[test]
-fn only_the_store_s_word_is_taken_and_confirms() {
+fn only_facts_from_the_store_are_fetched_and_confirm() {
     let snapshot = snapshot();
     assert_eq!(
-        after_visit(&snapshot, &gateway(10, 21)),
+        visit_outcome(&snapshot, &gateway(10, 21)),
         VisitOutcome::Confirmed
     );
-    assert_eq!(after_visit(&snapshot, &gateway(11, 21)), VisitOutcome::Ask);
-    assert_eq!(after_visit(&snapshot, &gateway(10, 22)), VisitOutcome::Ask);
     assert_eq!(
-        after_visit(&snapshot, &gateway(9, 21)),
+        visit_outcome(&snapshot, &gateway(11, 21)),
+        VisitOutcome::FetchFacts
+    );
+    assert_eq!(
+        visit_outcome(&snapshot, &gateway(10, 22)),
+        VisitOutcome::FetchFacts
+    );
+    assert_eq!(
+        visit_outcome(&snapshot, &gateway(9, 21)),
         VisitOutcome::Nothing
     );
-    let away = GatewayState {
+    let cut_off = GatewayState {
         reaches_store: false,
         ..gateway(10, 21)
     };
-    assert_eq!(after_visit(&snapshot, &away), VisitOutcome::Nothing);
+    assert_eq!(visit_outcome(&snapshot, &cut_off), VisitOutcome::Nothing);
     let by_snapshot = GatewayState {
         from_store: false,
         reaches_store: false,
         wants_facts: true,
         ..gateway(11, 22)
     };
-    assert_eq!(after_visit(&snapshot, &by_snapshot), VisitOutcome::Nothing);
+    assert_eq!(
+        visit_outcome(&snapshot, &by_snapshot),
+        VisitOutcome::Nothing
+    );
 }
 
 #[test]
-fn a_gateway_that_finds_no_store_gets_what_there_is() {
+fn a_gateway_without_the_store_gets_the_snapshot() {
     let snapshot = snapshot();
     let starting = GatewayState {
         from_store: false,
@@ -185,8 +194,11 @@
         wants_facts: true,
         ..gateway(0, 0)
     };
-    assert_eq!(after_visit(&snapshot, &starting), VisitOutcome::Offer);
-    // It has had an older snapshot from another keeper.
+    assert_eq!(
+        visit_outcome(&snapshot, &starting),
+        VisitOutcome::OfferSnapshot
+    );
+    // A gateway that has an older snapshot from another keeper.
     let behind = GatewayState {
         newest: Revisions {
             configuration: 10,
@@ -194,12 +206,15 @@
         },
         ..starting
     };
-    assert_eq!(after_visit(&snapshot, &behind), VisitOutcome::Offer);
+    assert_eq!(
+        visit_outcome(&snapshot, &behind),
+        VisitOutcome::OfferSnapshot
+    );
 }
 
 proptest! {
-    /// Facts come from many gateways, twice and in any order: what is held in the
-    /// end does not depend on it.
+    /// Facts arrive from many gateways, repeatedly and in any order. The final snapshot
+    /// does not depend on the order.
     #[test]
     fn the_order_of_facts_does_not_matter(
         order in prop::collection::vec(any::<prop::sample::Index>(), 1..30),
@@ -213,14 +228,14 @@
         };
         let mut straight = Snapshot::default();
         for at in 0..kinds.len() {
-            straight.learn(share(at));
+            straight.merge(share(at));
         }
         let mut shuffled = Snapshot::default();
         for index in order {
-            shuffled.learn(share(index.index(kinds.len())));
+            shuffled.merge(share(index.index(kinds.len())));
         }
         for at in 0..kinds.len() {
-            shuffled.learn(share(at));
+            shuffled.merge(share(at));
         }
         straight.confirm(NOW);
         shuffled.confirm(NOW);
@@ -228,23 +243,23 @@
     }
 }
 
-/// Owners tell how far their jobs are, again and again. The newest word is kept,
-/// within the bound, and for a while.
+/// Owners send the progress of their jobs repeatedly. The latest backup is kept, within
+/// the limit and until it expires.
 #[test]
-fn progress_is_kept_within_its_bound() {
-    let mut kept = ProgressBackups::new(10);
+fn progress_backups_stay_within_their_limit() {
+    let mut backups = ProgressBackups::new(10);
     let (one, two) = (JobId::from("j1"), JobId::from("j2"));
-    let until = NOW + Duration::from_secs(9);
-    kept.keep(one.clone(), vec![1; 8], until);
-    kept.keep(one.clone(), vec![2; 6], until);
-    kept.keep(two.clone(), vec![3; 5], until);
-    assert_eq!(kept.get(&one), Some(&[2; 6][..]));
-    assert_eq!(kept.get(&two), None, "over the bound");
+    let expires_at = NOW + Duration::from_secs(9);
+    backups.keep(one.clone(), vec![1; 8], expires_at);
+    backups.keep(one.clone(), vec![2; 6], expires_at);
+    backups.keep(two.clone(), vec![3; 5], expires_at);
+    assert_eq!(backups.get(&one), Some(&[2; 6][..]));
+    assert_eq!(backups.get(&two), None, "over the limit");
     let mut again = ProgressBackups::new(10);
-    again.read(&kept.encode()).expect("just written");
-    assert_eq!(again, kept);
+    again.read(&backups.encode()).expect("just written");
+    assert_eq!(again, backups);
     assert!(again.read(b"something else").is_err());
-    assert!(!kept.sweep(NOW));
-    assert!(kept.sweep(until));
-    assert_eq!(kept.bytes(), 0);
+    assert!(!backups.sweep(NOW));
+    assert!(backups.sweep(expires_at));
+    assert_eq!(backups.bytes(), 0);
 }
