--- a/crates/bluebellreel_keeper/src/calls.rs
+++ b/crates/bluebellreel_keeper/src/calls.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for an answer: a gateway answers from memory.
+/// Timeout of a call; gateways answer from memory.
 const TIMEOUT: Duration = Duration::from_millis(600);
 async fn call(
     pool: &Pool,
@@ -19,27 +19,26 @@
     body: Bytes,
 ) -> Result<Bytes, CallError> {
     let answer = bluebellreel_net::call(pool, to, method, path, body, TIMEOUT).await?;
-    good(answer)
+    expect_ok(answer)
 }
 
-fn good((status, body): (StatusCode, Bytes)) -> Result<Bytes, CallError> {
+fn expect_ok((status, body): (StatusCode, Bytes)) -> Result<Bytes, CallError> {
     match status {
         StatusCode::OK => Ok(body),
         status => Err(format!("status {status}")),
     }
 }
 
-/// What a gateway says of itself. It is told where this keeper is called, and
-/// where it stands.
+/// Fetches the state of a gateway, and gives it this keeper's address and data centre.
 pub(crate) async fn state(
     pool: &Pool,
     to: SocketAddr,
     own: SocketAddr,
-    place: &DataCentre,
+    data_centre: &DataCentre,
 ) -> Result<GatewayState, CallError> {
     let query = form_urlencoded::Serializer::new(String::new())
         .append_pair("keeper", &own.to_string())
-        .append_pair("data_centre", place.as_str())
+        .append_pair("data_centre", data_centre.as_str())
         .finish();
     let body = call(
         pool,
@@ -52,23 +51,23 @@
     postcard::from_bytes(&body).map_err(|e| e.to_string())
 }
 
-/// What a gateway knows beyond these revisions; all that it knows of workers if it
-/// does not know who has left since.
-pub(crate) async fn ask(
+/// Fetches what a gateway knows beyond the revisions `newest`. If the gateway cannot
+/// tell which workers have been removed since, all of its workers are fetched.
+pub(crate) async fn fetch_facts(
     pool: &Pool,
     to: SocketAddr,
     newest: Revisions,
 ) -> Result<SharedFacts, CallError> {
-    let (status, body) = ask_after(pool, to, newest).await?;
+    let (status, body) = fetch_facts_after(pool, to, newest).await?;
     let is_full_list = status == StatusCode::CONFLICT;
     let body = if is_full_list {
         let all = Revisions {
             workers: 0,
             ..newest
         };
-        good(ask_after(pool, to, all).await?)?
+        expect_ok(fetch_facts_after(pool, to, all).await?)?
     } else {
-        good((status, body))?
+        expect_ok((status, body))?
     };
     let facts = postcard::from_bytes(&body).map_err(|e| e.to_string())?;
     Ok(SharedFacts {
@@ -77,7 +76,7 @@
     })
 }
 
-async fn ask_after(
+async fn fetch_facts_after(
     pool: &Pool,
     to: SocketAddr,
     newest: Revisions,
@@ -89,8 +88,8 @@
     bluebellreel_net::call(pool, to, Method::GET, &path, Bytes::new(), TIMEOUT).await
 }
 
-/// Brings a snapshot to a gateway.
-pub(crate) async fn offer(
+/// Sends a snapshot to a gateway.
+pub(crate) async fn send_snapshot(
     pool: &Pool,
     to: SocketAddr,
     facts: &SharedFacts,
--- a/crates/bluebellreel_keeper/src/disk.rs
+++ b/crates/bluebellreel_keeper/src/disk.rs
@@ -1,8 +1,8 @@
-//! The keeper's disk.
+//! Writes to and reads from the keeper's disk.
 //!
-//! A disk may be full, refuse writes or hang for seconds. A thread of its own
-//! waits for it, so that gateways are visited meanwhile; what it holds is a
-//! moment older then, which its age says.
+//! A disk may be full, fail writes or hang for seconds. A separate thread waits for it,
+//! so that visits to gateways continue. The stored snapshot is then slightly older,
+//! which its confirmation time shows.
 
 use bluebellreel_snapshot::{Snapshot, SnapshotError, newest, write_slot};
 use log::warn;
@@ -12,77 +12,79 @@
 use std::thread;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// A pair of files that are written by turns.
+/// Names of a pair of files that are written alternately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pair([&'static str; 2]);
+pub struct SlotFiles([&'static str; 2]);
 
-/// What gateways know of the store.
-pub const SNAPSHOT: Pair = Pair(["snapshot-a", "snapshot-b"]);
-/// How far the items of jobs are.
-pub const PROGRESS: Pair = Pair(["progress-a", "progress-b"]);
+/// Files of the snapshot.
+pub const SNAPSHOT: SlotFiles = SlotFiles(["snapshot-a", "snapshot-b"]);
+/// Files of the progress backups.
+pub const PROGRESS: SlotFiles = SlotFiles(["progress-a", "progress-b"]);
 
-/// What came of a write.
+/// Outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DiskOutcome {
-    /// It lasts.
+    /// The data is on stable storage.
     Written,
-    /// There is no room.
+    /// The disk is full.
     Full,
-    /// The disk refuses it.
+    /// The write failed for another reason.
     Refused(String),
 }
 
-/// A snapshot on its way to the disk.
-struct Order {
-    count: u64,
+/// A write for the disk thread.
+struct WriteRequest {
+    sequence: u64,
     body: Vec<u8>,
 }
 
-/// Writes snapshots, one after the other, on a thread of its own.
+/// Writes to a pair of files on a separate thread, one write at a time.
 pub struct Disk {
-    orders: std::sync::mpsc::Sender<Order>,
+    requests: std::sync::mpsc::Sender<WriteRequest>,
     outcomes: UnboundedReceiver<DiskOutcome>,
-    /// Count of the newest that lasts.
-    count: u64,
-    underway: bool,
+    /// Sequence number of the newest successful write.
+    sequence: u64,
+    in_progress: bool,
 }
 
 impl Disk {
-    /// Writes to a pair of files from now on; `count` is that of the newer one.
+    /// Starts the disk thread for a pair of files. `sequence` is the sequence number of
+    /// the newer file.
     #[must_use]
-    pub fn start(folder: PathBuf, pair: Pair, count: u64) -> Self {
-        let (orders, due) = std::sync::mpsc::channel();
+    pub fn start(folder: PathBuf, files: SlotFiles, sequence: u64) -> Self {
+        let (requests, queue) = std::sync::mpsc::channel();
         let (tx, outcomes) = unbounded_channel();
-        thread::spawn(move || write_all(&folder, pair, &due, &tx));
+        thread::spawn(move || write_all(&folder, files, &queue, &tx));
         Self {
-            orders,
+            requests,
             outcomes,
-            count,
-            underway: false,
+            sequence,
+            in_progress: false,
         }
     }
 
-    /// Begins a write. Nothing, while one is under way.
+    /// Starts a write. Does nothing while another write is in progress.
     pub fn write(&mut self, body: Vec<u8>) {
-        if self.underway {
+        if self.in_progress {
             return;
         }
-        // After a write that failed, the same place again: it is torn, and going
-        // on by turns would write over the only one that is whole.
-        let order = Order {
-            count: self.count + 1,
+        // The sequence number selects the file. After a failed write the same number is
+        // used again: that file may be torn, and alternating would overwrite the only
+        // intact one.
+        let request = WriteRequest {
+            sequence: self.sequence + 1,
             body,
         };
-        // The thread lives as long as this does.
-        self.underway = self.orders.send(order).is_ok();
+        // The thread runs as long as `self` exists.
+        self.in_progress = self.requests.send(request).is_ok();
     }
 
-    /// Waits for the end of the write under way.
+    /// Waits until the write in progress ends.
     pub async fn outcome(&mut self) -> Option<DiskOutcome> {
         let outcome = self.outcomes.recv().await;
-        self.underway = false;
+        self.in_progress = false;
         if outcome == Some(DiskOutcome::Written) {
-            self.count += 1;
+            self.sequence += 1;
         }
         outcome
     }
@@ -90,12 +92,12 @@
 
 fn write_all(
     folder: &Path,
-    pair: Pair,
-    due: &std::sync::mpsc::Receiver<Order>,
+    files: SlotFiles,
+    queue: &std::sync::mpsc::Receiver<WriteRequest>,
     tx: &UnboundedSender<DiskOutcome>,
 ) {
-    while let Ok(order) = due.recv() {
-        let outcome = match write_one(folder, pair, &order) {
+    while let Ok(request) = queue.recv() {
+        let outcome = match write_one(folder, files, &request) {
             Ok(()) => DiskOutcome::Written,
             Err(e) if e.kind() == ErrorKind::StorageFull => DiskOutcome::Full,
             Err(e) => DiskOutcome::Refused(e.to_string()),
@@ -106,18 +108,17 @@
     }
 }
 
-/// Writes over the older of the two places, so that a write which is cut leaves
-/// the newer one whole.
-fn write_one(folder: &Path, pair: Pair, order: &Order) -> std::io::Result<()> {
-    let slot = usize::from(order.count % 2 == 1);
-    let path = folder.join(pair.0[slot]);
+/// Overwrites the older file, so that an interrupted write leaves the newer one intact.
+fn write_one(folder: &Path, files: SlotFiles, request: &WriteRequest) -> std::io::Result<()> {
+    let slot = usize::from(request.sequence % 2 == 1);
+    let path = folder.join(files.0[slot]);
     let is_new = !path.exists();
     let mut file = OpenOptions::new()
         .create(true)
         .truncate(false)
         .write(true)
         .open(&path)?;
-    file.write_all(&write_slot(order.count, &order.body))?;
+    file.write_all(&write_slot(request.sequence, &request.body))?;
     file.sync_data()?;
     if is_new {
         File::open(folder)?.sync_all()?;
@@ -125,32 +126,32 @@
     Ok(())
 }
 
-/// Reads the newer of a pair, with its count. What cannot be read is told of and
-/// passed over: the keeper begins with less, which gateways bring.
+/// Reads the newer file of a pair and its sequence number. Unreadable files are logged
+/// and skipped: the keeper then starts with less data and gets the rest from gateways.
 #[must_use]
 pub fn load<T>(
     folder: &Path,
-    pair: Pair,
+    files: SlotFiles,
     read_body: impl Fn(&[u8]) -> Result<T, SnapshotError>,
 ) -> (u64, Option<T>) {
-    let slots = pair.0.map(|name| read(&folder.join(name)));
-    let Some((at, count, body)) = newest([&slots[0], &slots[1]]) else {
+    let slots = files.0.map(|name| read(&folder.join(name)));
+    let Some((at, sequence, body)) = newest([&slots[0], &slots[1]]) else {
         return (0, None);
     };
     match read_body(body) {
-        Ok(read) => (count, Some(read)),
+        Ok(read) => (sequence, Some(read)),
         Err(e) => {
-            warn!(target: "keeper", path = pair.0[at], error:% = e; "snapshot not read");
-            (count, None)
+            warn!(target: "keeper", path = files.0[at], error:% = e; "snapshot not read");
+            (sequence, None)
         }
     }
 }
 
-/// Reads the newest snapshot of a folder, with its count.
+/// Reads the newest snapshot in a folder and its sequence number.
 #[must_use]
 pub fn load_snapshot(folder: &Path) -> (u64, Snapshot) {
-    let (count, read) = load(folder, SNAPSHOT, |body| Snapshot::try_from(body));
-    (count, read.unwrap_or_default())
+    let (sequence, read) = load(folder, SNAPSHOT, |body| Snapshot::try_from(body));
+    (sequence, read.unwrap_or_default())
 }
 
 fn read(path: &Path) -> Vec<u8> {
@@ -158,7 +159,7 @@
         Ok(bytes) => bytes,
         Err(e) if e.kind() == ErrorKind::NotFound => return Vec::new(),
         Err(e) => {
-            warn!(target: "keeper", path:% = path.display(), error:% = e; "disk not read");
+            warn!(target: "keeper", path:% = path.display(), error:% = e; "disk read failed");
             return Vec::new();
         }
     };
--- a/crates/bluebellreel_keeper/src/keeper.rs
+++ b/crates/bluebellreel_keeper/src/keeper.rs
@@ -1,11 +1,11 @@
-//! The life of a keeper.
+//! Main loop of a keeper.
 
 use crate::calls;
 use crate::disk::{Disk, PROGRESS, SNAPSHOT};
-use crate::held::{Held, read_held};
-use crate::leaving::{Ended, Parts, leave};
-use crate::rounds::{Rounds, Visited, is_near};
-use crate::writing::{Due, write_progress, write_snapshots};
+use crate::persistence::{PendingWrite, write_progress, write_snapshots};
+use crate::shutdown::{KeeperTasks, StopSummary, shut_down};
+use crate::stored_state::{StoredState, read_stored_state};
+use crate::visit_schedule::{VisitResult, VisitSchedule, is_near};
 use bluebellreel_net::{Pool, PoolLimits, Served, Stop, listen, serve};
 use bluebellreel_settings::{KeeperSettings, SettingsError};
 use bluebellreel_snapshot::{
@@ -22,18 +22,19 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
-/// Time between looks which visit is due.
-const LOOK: Duration = Duration::from_millis(50);
-/// Longest wait for a connection to a gateway.
-const CONNECT: Duration = Duration::from_millis(250);
-/// Idle time of connections to gateways: longer than the pause between visits.
-const IDLE: Duration = Duration::from_secs(25);
-/// Time between looks at the settings file.
-const READ_SETTINGS: Duration = Duration::from_secs(5);
-/// Longest that a gateway's connection may stay without a request.
-const SERVED_IDLE: Duration = Duration::from_secs(30);
+/// Time between two checks for due visits.
+const VISIT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of connecting to a gateway.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time for which idle connections to gateways stay open. It exceeds the interval
+/// between visits.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(25);
+/// Time between two reads of the settings file.
+const SETTINGS_INTERVAL: Duration = Duration::from_secs(5);
+/// Time for which a gateway's connection may stay open without a request.
+const SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Reads the settings anew.
+/// Reads the settings file again.
 pub type ReadSettings = Box<dyn Fn() -> Result<KeeperSettings, SettingsError>>;
 
 pub(crate) struct Keeper {
@@ -43,13 +44,13 @@
     pool: Pool,
     pub(crate) snapshot: RefCell<Snapshot>,
     pub(crate) progress: RefCell<ProgressBackups>,
-    rounds: RefCell<Rounds>,
-    /// What is not on the disk yet.
-    pub(crate) snapshot_due: Due,
-    pub(crate) progress_due: Due,
-    /// Whether it takes nothing more: the last write is under way.
+    schedule: RefCell<VisitSchedule>,
+    /// Changes that are not on the disk yet.
+    pub(crate) pending_snapshot: PendingWrite,
+    pub(crate) pending_progress: PendingWrite,
+    /// Whether new backups are refused because the last write is in progress.
     pub(crate) closed: Cell<bool>,
-    /// Visits under way.
+    /// Number of visits in progress.
     pub(crate) visits: Cell<usize>,
     /// Time from the request to stop until the process is killed.
     pub(crate) grace: Cell<Duration>,
@@ -60,53 +61,57 @@
         self.clock.now()
     }
 
-    fn plan_rounds(&self) {
+    fn update_schedule(&self) {
         let snapshot = self.snapshot.borrow();
         let known = snapshot.gateways().map(|(_, g)| g.calls);
         let seeds = self.seeds.borrow();
         let all = known.chain(seeds.iter().copied());
-        self.rounds.borrow_mut().follow(all, self.now());
+        self.schedule.borrow_mut().set_gateways(all, self.now());
     }
 }
 
-/// Runs a keeper until it is asked to stop by a signal; what was finished.
+/// Runs a keeper until a signal requests a stop. Returns what was completed.
 ///
 /// # Errors
 ///
-/// Gives the reason when the process cannot wait for signals.
-pub fn run_keeper(settings: KeeperSettings, read_settings: ReadSettings) -> eyre::Result<Ended> {
+/// Returns an error if the process cannot set up its runtime or wait for signals, or if
+/// the keeper does not start.
+pub fn run_keeper(
+    settings: KeeperSettings,
+    read_settings: ReadSettings,
+) -> eyre::Result<StopSummary> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     LocalSet::new().block_on(&runtime, async {
-        // Settings are read now and then in any case.
+        // The settings file is read periodically, so this signal needs no action.
         let stop_asked = bluebellreel_signals::stop_asked(|| {})?;
         run_keeper_until(settings, read_settings, stop_asked).await
     })
 }
 
-/// Runs a keeper on the present local task set until `stop_asked` ends; what was
-/// finished.
+/// Runs a keeper on the current local task set until `stop_asked` completes. Returns
+/// what was completed.
 ///
 /// # Errors
 ///
-/// Gives the reason when its address cannot be listened on.
+/// Returns an error if the keeper cannot listen on its address or read its disk.
 pub async fn run_keeper_until(
     settings: KeeperSettings,
     read_settings: ReadSettings,
     stop_asked: impl Future<Output = ()>,
-) -> eyre::Result<Ended> {
-    let listener = listen(settings.calls).wrap_err("address for calls")?;
+) -> eyre::Result<StopSummary> {
+    let listener = listen(settings.calls).wrap_err("cannot listen on the address for calls")?;
     let mut stop_asked = pin!(stop_asked);
-    let held = tokio::select! {
-        held = read_held(settings.folder.clone()) => held,
+    let stored = tokio::select! {
+        stored = read_stored_state(settings.folder.clone()) => stored,
         () = &mut stop_asked => {
-            // Nothing was taken yet, so nothing is left to do.
-            info!(target: "keeper", keeper:% = settings.name; "stopped before its start");
-            return Ok(Ended::BEFORE_START);
+            // No backup has been accepted yet, so there is nothing to write.
+            info!(target: "keeper", keeper:% = settings.name; "stopped before start completed");
+            return Ok(StopSummary::STOPPED_BEFORE_START);
         }
     };
-    let Held { snapshot, progress } = held?;
+    let StoredState { snapshot, progress } = stored?;
     let (count, snapshot) = snapshot;
     let (progress_count, progress) = progress;
     let newest = snapshot.newest();
@@ -118,15 +123,15 @@
         seeds: RefCell::new(settings.seeds.clone()),
         clock: Clock::start(),
         pool: Pool::new(PoolLimits {
-            connect: CONNECT,
-            idle: IDLE,
+            connect: CONNECT_TIMEOUT,
+            idle: IDLE_TIMEOUT,
             idle_per_address: 1,
         }),
         snapshot: RefCell::new(snapshot),
         progress: RefCell::new(progress),
-        rounds: RefCell::default(),
-        snapshot_due: Due::default(),
-        progress_due: Due::default(),
+        schedule: RefCell::default(),
+        pending_snapshot: PendingWrite::default(),
+        pending_progress: PendingWrite::default(),
         closed: Cell::new(false),
         visits: Cell::new(0),
         grace: Cell::new(settings.grace),
@@ -139,28 +144,28 @@
         listener,
         stop.clone(),
         served.clone(),
-        || SERVED_IDLE,
+        || SERVER_IDLE_TIMEOUT,
         move |req| crate::serve::answer(k.clone(), req),
     );
     spawn_local(serving);
-    let parts = Parts {
-        visiting: spawn_local(visit_all(keeper.clone())),
-        following: spawn_local(follow_settings(keeper.clone(), read_settings)),
+    let tasks = KeeperTasks {
+        visitor: spawn_local(visit_all(keeper.clone())),
+        settings_watcher: spawn_local(watch_settings(keeper.clone(), read_settings)),
         snapshots: spawn_local(write_snapshots(keeper.clone(), snapshots)),
         progress: spawn_local(write_progress(keeper.clone(), progresses)),
         stop,
         served,
     };
     stop_asked.await;
-    let ended = leave(&keeper, parts).await;
+    let ended = shut_down(&keeper, tasks).await;
     info!(target: "keeper", keeper:% = keeper.settings.name, calls_cut = ended.calls_cut, visits_cut = ended.visits_cut, snapshot_kept = ended.snapshot_kept, progress_kept = ended.progress_kept; "stopped");
     Ok(ended)
 }
 
-async fn follow_settings(keeper: Rc<Keeper>, read_settings: ReadSettings) {
+async fn watch_settings(keeper: Rc<Keeper>, read_settings: ReadSettings) {
     let mut known_error = String::new();
     loop {
-        sleep(READ_SETTINGS).await;
+        sleep(SETTINGS_INTERVAL).await;
         match read_settings() {
             Ok(read) => {
                 known_error.clear();
@@ -183,93 +188,94 @@
 
 async fn visit_all(keeper: Rc<Keeper>) {
     loop {
-        keeper.plan_rounds();
-        let due = keeper.rounds.borrow_mut().next(keeper.now());
+        keeper.update_schedule();
+        let due = keeper.schedule.borrow_mut().start_next(keeper.now());
         let Some(at) = due else {
             keeper.pool.sweep();
-            sleep(LOOK).await;
+            sleep(VISIT_CHECK_INTERVAL).await;
             continue;
         };
         let keeper = keeper.clone();
         keeper.visits.update(|n| n + 1);
         spawn_local(async move {
-            let visited = visit(&keeper, at).await;
+            let result = visit(&keeper, at).await;
             keeper.visits.update(|n| n - 1);
             let now = keeper.now();
-            if keeper.rounds.borrow_mut().ended(at, visited, now) {
-                forget(&keeper, at);
+            if keeper.schedule.borrow_mut().record_result(at, result, now) {
+                evict(&keeper, at);
             }
         });
     }
 }
 
-/// A gateway has been silent for so long that it is gone.
-fn forget(keeper: &Keeper, at: SocketAddr) {
+/// Evicts a gateway that has not been reached for too long.
+fn evict(keeper: &Keeper, at: SocketAddr) {
     let mut snapshot = keeper.snapshot.borrow_mut();
-    let at_it = snapshot.gateways().filter(|(_, g)| g.calls == at);
-    let names: Vec<EntryName> = at_it.map(|(name, _)| name.clone()).collect();
+    let at_address = snapshot.gateways().filter(|(_, g)| g.calls == at);
+    let names: Vec<EntryName> = at_address.map(|(name, _)| name.clone()).collect();
     for name in names {
-        info!(target: "keeper", gateway:% = name; "gateway forgotten");
+        info!(target: "keeper", gateway:% = name; "gateway evicted");
         snapshot.remove_gateway(&name);
     }
     drop(snapshot);
-    keeper.snapshot_due.note();
+    keeper.pending_snapshot.mark_changed();
 }
 
 /// Visits a gateway.
-async fn visit(keeper: &Keeper, at: SocketAddr) -> Visited {
+async fn visit(keeper: &Keeper, at: SocketAddr) -> VisitResult {
     let own = &keeper.settings.data_centre;
-    let asked = calls::state(&keeper.pool, at, keeper.settings.calls, own).await;
-    let Ok(state) = asked else {
-        // It is down, or not yet up: nothing that is worth a line each time.
+    let answer = calls::state(&keeper.pool, at, keeper.settings.calls, own).await;
+    let Ok(state) = answer else {
+        // The gateway is down or has not started yet. Logging each attempt would be
+        // noise.
         let snapshot = keeper.snapshot.borrow();
         let mut known = snapshot.gateways().filter(|(_, g)| g.calls == at);
-        return Visited {
+        return VisitResult {
             reached: false,
             is_near: known.all(|(_, g)| is_near(own, g.data_centre.as_ref())),
         };
     };
-    add_gateway(keeper, at, &state);
+    add_gateways(keeper, at, &state);
     let outcome = visit_outcome(&keeper.snapshot.borrow(), &state);
     match outcome {
-        VisitOutcome::FetchFacts => ask(keeper, at, &state).await,
-        VisitOutcome::OfferSnapshot => offer(keeper, at, &state).await,
+        VisitOutcome::FetchFacts => fetch_facts(keeper, at, &state).await,
+        VisitOutcome::OfferSnapshot => offer_snapshot(keeper, at, &state).await,
         VisitOutcome::Confirmed => {
             let now = keeper.now();
             keeper.snapshot.borrow_mut().confirm(now);
         }
         VisitOutcome::Nothing => {}
     }
-    Visited {
+    VisitResult {
         reached: true,
         is_near: is_near(own, Some(&state.data_centre)),
     }
 }
 
-/// Remembers a gateway and the peers that it names.
-fn add_gateway(keeper: &Keeper, at: SocketAddr, state: &GatewayState) {
+/// Adds a gateway and the peers that it reports.
+fn add_gateways(keeper: &Keeper, at: SocketAddr, state: &GatewayState) {
     let mut snapshot = keeper.snapshot.borrow_mut();
-    let met = KnownGateway {
+    let gateway = KnownGateway {
         calls: at,
         data_centre: Some(state.data_centre.clone()),
     };
-    let mut changed = snapshot.add_gateway(state.entry.clone(), met);
+    let mut changed = snapshot.add_gateway(state.entry.clone(), gateway);
     for (name, calls) in &state.peers {
-        let named = KnownGateway {
+        let peer = KnownGateway {
             calls: *calls,
             data_centre: None,
         };
-        changed |= snapshot.add_gateway(name.clone(), named);
+        changed |= snapshot.add_gateway(name.clone(), peer);
     }
     drop(snapshot);
     if changed {
-        keeper.snapshot_due.note();
+        keeper.pending_snapshot.mark_changed();
     }
 }
 
-async fn ask(keeper: &Keeper, at: SocketAddr, state: &GatewayState) {
+async fn fetch_facts(keeper: &Keeper, at: SocketAddr, state: &GatewayState) {
     let known = keeper.snapshot.borrow().newest();
-    let facts = match calls::ask(&keeper.pool, at, known).await {
+    let facts = match calls::fetch_facts(&keeper.pool, at, known).await {
         Ok(facts) => facts,
         Err(e) => {
             warn!(target: "keeper", gateway:% = state.entry, error = e.as_str(); "facts not brought");
@@ -286,22 +292,22 @@
         snapshot.newest()
     };
     info!(target: "keeper", gateway:% = state.entry, configuration = newest.configuration, workers = newest.workers; "facts taken over");
-    keeper.snapshot_due.note();
+    keeper.pending_snapshot.mark_changed();
 }
 
-async fn offer(keeper: &Keeper, at: SocketAddr, state: &GatewayState) {
+async fn offer_snapshot(keeper: &Keeper, at: SocketAddr, state: &GatewayState) {
     let offered = keeper.snapshot.borrow().offer(keeper.now());
     let Some(facts) = offered else {
-        info!(target: "keeper", gateway:% = state.entry; "nothing to offer that may be believed");
+        info!(target: "keeper", gateway:% = state.entry; "no valid snapshot to send");
         return;
     };
     let revision = facts.configuration.as_ref().map_or(0, |(r, _)| *r);
-    match calls::offer(&keeper.pool, at, &facts).await {
+    match calls::send_snapshot(&keeper.pool, at, &facts).await {
         Ok(()) => {
-            info!(target: "keeper", gateway:% = state.entry, revision, workers = facts.workers.len(); "snapshot brought");
+            info!(target: "keeper", gateway:% = state.entry, revision, workers = facts.workers.len(); "snapshot sent");
         }
         Err(e) => {
-            info!(target: "keeper", gateway:% = state.entry, revision, error = e.as_str(); "snapshot not taken");
+            info!(target: "keeper", gateway:% = state.entry, revision, error = e.as_str(); "snapshot not accepted");
         }
     }
 }
--- a/crates/bluebellreel_keeper/src/lib.rs
+++ b/crates/bluebellreel_keeper/src/lib.rs
@@ -1,11 +1,11 @@
-//! A keeper: a small process on a VM with a disk that holds what gateways know
-//! of the store, for gateways that start while the store is away.
+//! A keeper: a small process on a VM with a disk that holds the store's facts for
+//! gateways that start during an outage of the store.
 //!
-//! It visits gateways now and then. From one that has newer facts from the store
-//! it takes them over and writes them to its disk; to one that the store does not
-//! answer it brings what it has. It also keeps how far the items of jobs are, as
-//! their owners tell it. Gateways know those keepers that have visited them. What
-//! a snapshot is and when it may be believed is decided in `bluebellreel_snapshot`.
+//! A keeper visits gateways at intervals. It fetches newer facts from gateways that
+//! have them from the store, and writes them to its disk. It sends its snapshot to
+//! gateways that the store does not answer. It also stores backups of the progress of
+//! job items, which their owners send. Gateways know only the keepers that have visited
+//! them. `bluebellreel_snapshot` defines what a snapshot is and how long it is valid.
 //!
 //! ```no_run
 //! use bluebellreel_settings::load_keeper;
@@ -16,13 +16,13 @@
 
 mod calls;
 mod disk;
-mod held;
 mod keeper;
-mod leaving;
-mod rounds;
+mod persistence;
 mod serve;
-mod writing;
+mod shutdown;
+mod stored_state;
+mod visit_schedule;
 
-pub use disk::{Disk, DiskOutcome, PROGRESS, Pair, SNAPSHOT, load, load_snapshot};
+pub use disk::{Disk, DiskOutcome, PROGRESS, SNAPSHOT, SlotFiles, load, load_snapshot};
 pub use keeper::{ReadSettings, run_keeper, run_keeper_until};
-pub use leaving::Ended;
+pub use shutdown::StopSummary;
--- /dev/null
+++ b/crates/bluebellreel_keeper/src/persistence.rs
@@ -0,0 +1,142 @@
+//! Decides when the keeper's state is written to its disk.
+
+use crate::disk::{Disk, DiskOutcome};
+use crate::keeper::Keeper;
+use log::{info, warn};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::time::{Instant, sleep, timeout, timeout_at};
+
+/// Interval at which the snapshot is written although only its confirmation time has
+/// changed. After a restart, the snapshot may look older than it is by this time.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(10);
+/// Minimum time between two writes of the snapshot, so that a burst of changes is
+/// written once.
+const MIN_SNAPSHOT_INTERVAL: Duration = Duration::from_millis(200);
+/// Minimum time between two writes of progress backups. Owners send them once a second.
+const MIN_PROGRESS_INTERVAL: Duration = Duration::from_millis(300);
+/// Minimum delay after a failed write. A shutdown, which skips longer delays, retries
+/// some times within its deadline.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time without an outcome after which a write counts as hanging.
+const HANG_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// State that is not on the disk yet.
+#[derive(Default)]
+pub(crate) struct PendingWrite {
+    changed: Cell<bool>,
+    finishing: Cell<bool>,
+    wake: Notify,
+}
+
+impl PendingWrite {
+    /// Marks the state as changed.
+    pub(crate) fn mark_changed(&self) {
+        self.changed.set(true);
+        self.wake.notify_one();
+    }
+
+    /// Signals that no more changes follow. Pending changes are written without delay,
+    /// and then the writer ends.
+    pub(crate) fn finish(&self) {
+        self.finishing.set(true);
+        self.wake.notify_one();
+    }
+
+    /// Waits for a change, at most for `max_wait`. Returns whether there is one.
+    async fn wait(&self, max_wait: Duration) -> bool {
+        if !self.changed.get() && !self.finishing.get() {
+            // After a timeout the caller checks again.
+            let _ = timeout(max_wait, self.wake.notified()).await;
+        }
+        self.changed.get()
+    }
+
+    /// Waits until `end`, or until `finish` is called.
+    async fn pause_until(&self, end: Instant) {
+        while !self.finishing.get() && Instant::now() < end {
+            // Changes that arrive meanwhile are seen by the next `wait`.
+            let _ = timeout_at(end, self.wake.notified()).await;
+        }
+    }
+
+    fn is_finished(&self) -> bool {
+        self.finishing.get() && !self.changed.get()
+    }
+
+    /// Writes the state after `delay`. If the write fails, the state stays pending: it
+    /// has been acknowledged, and its sender may not send it again.
+    async fn write(&self, disk: &mut Disk, delay: Duration, encode: impl FnOnce() -> Vec<u8>) {
+        self.pause_until(Instant::now() + delay).await;
+        self.changed.set(false);
+        if write(disk, encode()).await != DiskOutcome::Written {
+            self.changed.set(true);
+            self.pause_until(Instant::now() + REFRESH_INTERVAL).await;
+            sleep(RETRY_DELAY).await;
+        }
+    }
+}
+
+/// Writes the snapshot whenever it has changed, until `finish` is called and everything
+/// is written.
+pub(crate) async fn write_snapshots(keeper: Rc<Keeper>, mut disk: Disk) {
+    let pending = &keeper.pending_snapshot;
+    let mut written = None;
+    while !pending.is_finished() {
+        let changed = pending.wait(REFRESH_INTERVAL).await;
+        let confirmed_at = keeper.snapshot.borrow().confirmed_at();
+        if !changed && confirmed_at == written {
+            continue;
+        }
+        written = confirmed_at;
+        let encode = || keeper.snapshot.borrow().encode();
+        pending
+            .write(&mut disk, MIN_SNAPSHOT_INTERVAL, encode)
+            .await;
+    }
+}
+
+/// Writes the progress backups whenever they have changed, until `finish` is called and
+/// everything is written.
+pub(crate) async fn write_progress(keeper: Rc<Keeper>, mut disk: Disk) {
+    let pending = &keeper.pending_progress;
+    while !pending.is_finished() {
+        let evicted = keeper.progress.borrow_mut().sweep(keeper.now());
+        if !pending.wait(REFRESH_INTERVAL).await && !evicted {
+            continue;
+        }
+        let encode = || keeper.progress.borrow().encode();
+        pending
+            .write(&mut disk, MIN_PROGRESS_INTERVAL, encode)
+            .await;
+    }
+}
+
+/// Writes to the disk, waits for the outcome and logs failures.
+async fn write(disk: &mut Disk, body: Vec<u8>) -> DiskOutcome {
+    let bytes = body.len();
+    disk.write(body);
+    let mut hanging = false;
+    let outcome = loop {
+        match timeout(HANG_TIMEOUT, disk.outcome()).await {
+            Ok(Some(outcome)) => break outcome,
+            Ok(None) => break DiskOutcome::Refused("disk thread has ended".into()),
+            Err(_) => {
+                if !std::mem::replace(&mut hanging, true) {
+                    warn!(target: "keeper", bytes; "disk does not respond");
+                }
+            }
+        }
+    };
+    match &outcome {
+        DiskOutcome::Written if hanging => info!(target: "keeper", bytes; "disk responds again"),
+        DiskOutcome::Written => {}
+        DiskOutcome::Full => warn!(target: "keeper", bytes; "disk full"),
+        DiskOutcome::Refused(reason) => {
+            warn!(target: "keeper", bytes, error = reason.as_str(); "disk write failed");
+        }
+    }
+    outcome
+}
--- a/crates/bluebellreel_keeper/src/serve.rs
+++ b/crates/bluebellreel_keeper/src/serve.rs
@@ -1,4 +1,4 @@
-//! What gateways call: progress of items is brought and fetched.
+//! Server for gateways: stores and returns progress backups.
 
 use crate::keeper::Keeper;
 use bluebellreel_net::{Body, read_body};
@@ -9,13 +9,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest progress of one job.
-const BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Longest wait for it.
-const BODY_TIME: Duration = Duration::from_secs(2);
-/// How long progress is kept after its owner told it last. Longer than an outage
-/// of the store usually lasts: a job is taken over once it is back.
-const KEPT: Duration = Duration::from_mins(2);
+/// Maximum size of one job's progress.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// Timeout of reading the request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Retention of a backup after its owner last sent it. It exceeds the usual length of
+/// an outage of the store, as jobs are taken over once the store is back.
+const PROGRESS_RETENTION: Duration = Duration::from_mins(2);
 
 fn status(code: StatusCode) -> Response<Body> {
     let mut answer = Response::new(Body::full(Bytes::new()));
@@ -23,21 +23,21 @@
     answer
 }
 
-/// Answers a gateway.
+/// Handles a request of a gateway.
 pub(crate) async fn answer(keeper: Rc<Keeper>, req: Request<Incoming>) -> Response<Body> {
     let path = req.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     match (req.method(), parts.as_slice()) {
         (&Method::PUT, ["jobs", id, "progress"]) => {
-            let read = read_body(req.into_body(), BODY_BYTES, BODY_TIME).await;
+            let read = read_body(req.into_body(), MAX_BODY_BYTES, BODY_TIMEOUT).await;
             let Ok(Some(body)) = read else {
                 return status(StatusCode::BAD_REQUEST);
             };
             if keeper.closed.get() {
-                // An acknowledgement would say that it outlives the stop.
+                // A 200 would promise that the backup survives the shutdown.
                 return status(StatusCode::SERVICE_UNAVAILABLE);
             }
-            keep(&keeper, JobId::from(*id), body.to_vec());
+            store_progress(&keeper, JobId::from(*id), body.to_vec());
             status(StatusCode::OK)
         }
         (&Method::GET, ["jobs", id, "progress"]) => {
@@ -51,8 +51,8 @@
     }
 }
 
-fn keep(keeper: &Keeper, id: JobId, progress: Vec<u8>) {
-    let until = keeper.now() + KEPT;
-    keeper.progress.borrow_mut().keep(id, progress, until);
-    keeper.progress_due.note();
+fn store_progress(keeper: &Keeper, id: JobId, progress: Vec<u8>) {
+    let expires_at = keeper.now() + PROGRESS_RETENTION;
+    keeper.progress.borrow_mut().keep(id, progress, expires_at);
+    keeper.pending_progress.mark_changed();
 }
--- /dev/null
+++ b/crates/bluebellreel_keeper/src/stored_state.rs
@@ -0,0 +1,69 @@
+//! State on the keeper's disk at its start.
+
+use crate::disk::{PROGRESS, load, load_snapshot};
+use bluebellreel_snapshot::{ProgressBackups, Snapshot};
+use eyre::eyre;
+use log::{info, warn};
+use std::path::{Path, PathBuf};
+use std::pin::pin;
+use std::thread;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::timeout;
+
+/// Limit of all progress backups: the progress of some thousand half-finished items.
+/// The VMs of keepers have at least 130 MB of memory and disks of at least 310 MB.
+const PROGRESS_BYTES: usize = 32 * 1024 * 1024;
+/// Time without an answer after which the disk counts as hanging.
+const HANG_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// What was read, each with the sequence number of its last write.
+pub(crate) struct StoredState {
+    pub(crate) snapshot: (u64, Snapshot),
+    pub(crate) progress: (u64, ProgressBackups),
+}
+
+/// Reads the disk on a separate thread. If the main thread read a disk that hangs, it
+/// could not handle signals, and the process could only be killed.
+///
+/// # Errors
+///
+/// Returns an error if the thread ended without a result.
+pub(crate) async fn read_stored_state(folder: PathBuf) -> eyre::Result<StoredState> {
+    let (tx, rx) = oneshot::channel();
+    thread::spawn(move || {
+        // The receiver is gone if the process is shutting down.
+        let _ = tx.send(read(&folder));
+    });
+    let mut rx = pin!(rx);
+    let mut hanging = false;
+    loop {
+        match timeout(HANG_TIMEOUT, &mut rx).await {
+            Ok(stored) => {
+                if hanging {
+                    info!(target: "keeper", "disk responds again");
+                }
+                return stored
+                    .map_err(|_| eyre!("the thread that reads the disk ended without a result"));
+            }
+            Err(_) if hanging => {}
+            Err(_) => {
+                hanging = true;
+                warn!(target: "keeper", "disk does not respond");
+            }
+        }
+    }
+}
+
+fn read(folder: &Path) -> StoredState {
+    let snapshot = load_snapshot(folder);
+    let (sequence, progress) = load(folder, PROGRESS, |body| {
+        let mut progress = ProgressBackups::new(PROGRESS_BYTES);
+        progress.read(body).map(|()| progress)
+    });
+    let progress = progress.unwrap_or_else(|| ProgressBackups::new(PROGRESS_BYTES));
+    StoredState {
+        snapshot,
+        progress: (sequence, progress),
+    }
+}
--- a/crates/bluebellreel_keeper/tests/disk.rs
+++ b/crates/bluebellreel_keeper/tests/disk.rs
@@ -1,4 +1,4 @@
-//! Disks that are empty, torn, foreign, or no folder at all.
+//! Disks that are empty, torn, hold other files, or are not a folder at all.
 
 use bluebellreel_keeper::{Disk, DiskOutcome, SNAPSHOT, load_snapshot};
 use bluebellreel_snapshot::{KnownGateway, Snapshot};
@@ -18,7 +18,7 @@
     snapshot
 }
 
-/// Writes snapshots of 1, 2, 3 … gateways.
+/// Writes snapshots with 1, 2, 3 … gateways.
 fn write(folder: &Path, count: u16) -> Vec<DiskOutcome> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
@@ -28,7 +28,7 @@
         let mut outcomes = Vec::new();
         for gateways in 1..=count {
             disk.write(snapshot(gateways).encode());
-            outcomes.push(disk.outcome().await.expect("its thread lives"));
+            outcomes.push(disk.outcome().await.expect("the disk thread runs"));
         }
         outcomes
     })
@@ -47,8 +47,8 @@
     assert_eq!(read(folder.path()), (3, 3));
 }
 
-/// Power is lost in the middle of a write. The keeper is back with what it had
-/// written before, and goes on counting from there.
+/// Power is lost in the middle of a write. The keeper starts with the previous snapshot
+/// and continues its sequence numbers.
 #[test]
 fn a_torn_write_costs_one_snapshot() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -58,12 +58,16 @@
     fs::write(&newer, &whole[..whole.len() / 2]).expect("torn");
     assert_eq!(read(folder.path()), (3, 3));
     fs::write(folder.path().join("snapshot-b"), b"no snapshot").expect("written");
-    assert_eq!(read(folder.path()), (0, 0), "it begins with nothing");
+    assert_eq!(
+        read(folder.path()),
+        (0, 0),
+        "the keeper starts with nothing"
+    );
 }
 
-/// The disk is gone. Each write says so, and the keeper does not end.
+/// The disk is gone. Each write reports that, and the keeper does not end.
 #[test]
-fn a_disk_that_refuses_is_told_of() {
+fn a_failing_disk_is_reported() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("file");
     fs::write(&file, b"").expect("written");
@@ -76,11 +80,11 @@
     );
 }
 
-/// A write fails in the middle, as a full disk does, and the process is killed in
-/// the next one. The second try went over the newest snapshot that was whole,
-/// and the keeper began with nothing.
+/// A write fails in the middle, as it does on a full disk, and the process is killed
+/// during the next one. The second attempt overwrote the newest intact snapshot, and
+/// the keeper started with nothing.
 #[test]
-fn a_write_after_one_that_failed_leaves_the_newest_whole() {
+fn a_write_after_a_failed_one_keeps_the_newest_snapshot() {
     let folder = tempfile::tempdir().expect("a folder");
     write(folder.path(), 4);
     let newest = folder.path().join("snapshot-a");
@@ -92,15 +96,17 @@
         .build()
         .expect("a runtime");
     let mut disk = Disk::start(folder.path().to_owned(), SNAPSHOT, 4);
-    let mut again = || {
+    let mut retry = || {
         disk.write(snapshot(9).encode());
-        runtime.block_on(disk.outcome()).expect("its thread lives")
+        runtime
+            .block_on(disk.outcome())
+            .expect("the disk thread runs")
     };
     for _ in 0..3 {
-        assert!(matches!(again(), DiskOutcome::Refused(_)));
+        assert!(matches!(retry(), DiskOutcome::Refused(_)));
         assert_eq!(fs::read(&newest).expect("written"), whole);
     }
     fs::remove_dir(&older).expect("it is empty");
-    assert_eq!(again(), DiskOutcome::Written);
+    assert_eq!(retry(), DiskOutcome::Written);
     assert_eq!(read(folder.path()), (5, 9));
 }
--- a/crates/bluebellreel_keeper/tests/stop.rs
+++ b/crates/bluebellreel_keeper/tests/stop.rs
@@ -1,6 +1,6 @@
-//! Visits to gateways that are under way when a keeper is stopped.
+//! Visits to gateways in progress while a keeper is stopped.
 
-use bluebellreel_keeper::{Ended, load_snapshot, run_keeper_until};
+use bluebellreel_keeper::{StopSummary, load_snapshot, run_keeper_until};
 use bluebellreel_members::Revisions;
 use bluebellreel_net::{Body, Served, Stop, listen, serve};
 use bluebellreel_settings::KeeperSettings;
@@ -20,18 +20,19 @@
 /// Revision of the configuration that the gateway has.
 const REVISION: i64 = 7;
 
-/// Time after which a keeper gives a gateway's answer up: a machine that stands
-/// still for as long proves nothing, and the test tries again.
-const VISIT: Duration = Duration::from_millis(600);
-/// Tries at the most.
-const TRIES: usize = 20;
+/// Timeout after which a keeper stops waiting for a gateway's answer. If the test
+/// machine stalls for this long, the test proves nothing and is repeated.
+const VISIT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Maximum number of attempts.
+const MAX_ATTEMPTS: usize = 20;
 
 fn free_address() -> SocketAddr {
     let bound = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr());
     bound.expect("a free port")
 }
 
-/// A gateway that has a configuration from the store, and answers when it is let.
+/// A gateway that has a configuration from the store, and answers only when the test
+/// allows it.
 #[derive(Clone, Default)]
 struct Gateway {
     asked: Rc<Notify>,
@@ -42,7 +43,7 @@
 impl Gateway {
     fn start(&self) -> SocketAddr {
         let listener = listen(free_address()).expect("a free port");
-        let at = listener.local_addr().expect("it is bound");
+        let at = listener.local_addr().expect("a bound listener");
         let gateway = self.clone();
         spawn_local(serve(
             listener,
@@ -89,7 +90,7 @@
 }
 
 fn encoded(value: &impl serde::Serialize) -> Response<Body> {
-    let bytes = postcard::to_allocvec(value).expect("plain data");
+    let bytes = postcard::to_allocvec(value).expect("the value serializes to postcard");
     Response::new(Body::full(Bytes::from(bytes)))
 }
 
@@ -105,7 +106,7 @@
 }
 
 /// Runs a keeper that is stopped during its first visit to a gateway.
-fn stopped_in_a_visit(gateway: &Gateway, folder: &Path, answers: bool) -> Ended {
+fn stopped_in_a_visit(gateway: &Gateway, folder: &Path, answers: bool) -> StopSummary {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -122,16 +123,16 @@
         };
         run_keeper_until(settings, read, stop_asked)
             .await
-            .expect("it starts")
+            .expect("the keeper starts")
     })
 }
 
-/// A keeper is stopped while a gateway tells it of a new configuration. The visit
-/// was cut, and after the next start the keeper did not have what it had been
-/// about to learn; it ends, and its snapshot is written.
+/// A keeper is stopped while a gateway reports a new configuration to it. The visit was
+/// cut off, and after the next start the keeper lacked the configuration that it had
+/// been about to fetch. The visit must complete, and the snapshot must be written.
 #[test]
-fn a_visit_under_way_ends_and_is_kept() {
-    for _ in 0..TRIES {
+fn a_visit_in_progress_completes_and_is_saved() {
+    for _ in 0..MAX_ATTEMPTS {
         let folder = tempfile::tempdir().expect("a folder");
         let gateway = Gateway::default();
         let begun = Instant::now();
@@ -143,15 +144,15 @@
             assert_eq!(*gateway.paths.borrow(), ["/state", "/facts"]);
             return;
         }
-        assert!(begun.elapsed() > VISIT, "the visit was cut");
+        assert!(begun.elapsed() > VISIT_TIMEOUT, "the visit was cut off");
     }
-    panic!("the machine stands still in each try");
+    panic!("the machine stalled in each attempt");
 }
 
-/// A gateway does not answer a visit. The stop goes on without it, and writes
-/// what there is.
+/// A gateway does not answer a visit. The shutdown continues without it and writes what
+/// there is.
 #[test]
-fn a_visit_that_is_not_answered_is_given_up() {
+fn an_unanswered_visit_is_abandoned() {
     let folder = tempfile::tempdir().expect("a folder");
     let gateway = Gateway::default();
     let ended = stopped_in_a_visit(&gateway, folder.path(), false);
--- a/tests/keeper_process.rs
+++ b/tests/keeper_process.rs
@@ -172,7 +172,7 @@
         std::fs::create_dir(slot).expect("nothing is written yet");
     }
     assert_eq!(vm.put("job", b"so far"), 200);
-    vm.until_logged("disk refuses a write");
+    vm.until_logged("disk write failed");
     for slot in &slots {
         std::fs::remove_dir(slot).expect("it is empty");
     }
