--- a/crates/bluebellreel_batch/src/progress_copies.rs
+++ b/crates/bluebellreel_batch/src/progress_copies.rs
@@ -76,17 +76,17 @@
     /// are not recorded.
     #[must_use]
     pub fn progress(&self) -> Vec<ItemProgress> {
-        let begun = self.items.iter().filter(|i| i.phase != ItemPhase::Ended);
-        let begun = begun.filter_map(ItemProgress::of);
-        begun
+        let unfinished = self.items.iter().filter(|i| i.phase != ItemPhase::Ended);
+        let unfinished = unfinished.filter_map(ItemProgress::of);
+        unfinished
             .chain(self.unrecorded().map(ItemProgress::of_result))
             .collect()
     }
 
     /// Applies copied progress to waiting items: items whose copy is further along
     /// resume from it, and items that had ended in the copy end here too.
-    pub fn restore(&mut self, begun: Vec<ItemProgress>, now: Moment) {
-        for known in begun {
+    pub fn restore(&mut self, copied: Vec<ItemProgress>, now: Moment) {
+        for known in copied {
             let at = self.items.iter().position(|i| i.input.id == known.item);
             if let Some(at) = at {
                 self.restore_item(at, known, now);
--- a/crates/bluebellreel_batch/src/record.rs
+++ b/crates/bluebellreel_batch/src/record.rs
@@ -19,7 +19,7 @@
 pub enum JobPhase {
     /// Items may run.
     Open,
-    /// The sender cancelled the job; no items run any more.
+    /// The caller cancelled the job; no items run any more.
     Cancelled,
     /// Every item has a result.
     Done,
@@ -34,10 +34,11 @@
     pub route: Arc<str>,
     /// When the job was accepted, by the wall clock of the accepting daemon.
     pub accepted_at: Moment,
-    /// When the results are due, by the same clock.
+    /// When the results are due, by the clock of the accepting daemon.
     pub due_at: Moment,
-    /// When waiting items are given up, by the same clock. Records of versions without
-    /// this field read as `Moment::FAR`, so their items are never given up.
+    /// When waiting items are given up, by the clock of the accepting daemon. Records
+    /// of versions without this field read as `Moment::FAR`, so their items are never
+    /// given up.
     #[serde(default = "never")]
     pub give_up_at: Moment,
     /// Number of its items.
--- a/crates/bluebellreel_batch/src/start_lease.rs
+++ b/crates/bluebellreel_batch/src/start_lease.rs
@@ -1,6 +1,6 @@
 //! Limits how long an owner may start items after the store confirmed its job.
 //!
-//! The sender of a job may cancel it at any daemon, and a successor may take it over.
+//! A caller may cancel its job at any daemon, and a successor may take the job over.
 //! Either one writes the job's record, and may die or be cut off before it notifies the
 //! owner. The right to start items is therefore a lease: it runs from the moment at
 //! which the owner sent its request to the store, and each new confirmation renews it.
--- a/crates/bluebellreel_batch/tests/cancellation_at_scale.rs
+++ b/crates/bluebellreel_batch/tests/cancellation_at_scale.rs
@@ -319,8 +319,8 @@
     }
 }
 
-/// Guards the same in an hour in which every owner holds as many jobs as fit into one
-/// call.
+/// Guards that every owner stops in time in an hour in which each holds as many jobs as
+/// fit into one call, although all notifications are lost.
 #[test]
 fn owners_learn_of_cancellations_in_time_in_a_busy_hour() {
     for daemons in FLEETS {
--- a/crates/bluebellreel_batch/tests/jobs.rs
+++ b/crates/bluebellreel_batch/tests/jobs.rs
@@ -253,16 +253,16 @@
 
 proptest! {
     #[test]
-    fn input_comes_back_from_its_chunks(sizes in prop::collection::vec(0usize..400, 1..30)) {
+    fn input_round_trips_through_chunks(sizes in prop::collection::vec(0usize..400, 1..30)) {
         let items: Vec<NewItem> = sizes.iter().enumerate().map(|(n, s)| item(n, *s)).collect();
         let chunks = split_input(&items, SEGMENT_BYTES);
-        let mut back = Vec::new();
+        let mut decoded = Vec::new();
         for chunk in chunks {
             let stored = encode_items(chunk);
             prop_assert!(stored.len() <= SEGMENT_BYTES || chunk.len() == 1);
-            back.extend(decode_items(&stored).expect("just encoded"));
+            decoded.extend(decode_items(&stored).expect("just encoded"));
         }
-        prop_assert_eq!(back, items);
+        prop_assert_eq!(decoded, items);
     }
 }
 
@@ -270,7 +270,7 @@
 /// items already run again. The copy must not reset items that are further along, and
 /// ended items stay ended.
 #[test]
-fn a_copy_never_sets_an_item_back() {
+fn a_copy_never_resets_an_item() {
     let mut old_owner = job("j", 3, NOW);
     for item in 0..3 {
         old_owner.items[item].phase = ItemPhase::Running;
--- a/crates/bluebellreel_keeper/tests/disk.rs
+++ b/crates/bluebellreel_keeper/tests/disk.rs
@@ -54,8 +54,8 @@
     let folder = tempfile::tempdir().expect("a folder");
     write(folder.path(), 4);
     let newer = folder.path().join("snapshot-a");
-    let whole = fs::read(&newer).expect("written");
-    fs::write(&newer, &whole[..whole.len() / 2]).expect("torn");
+    let intact = fs::read(&newer).expect("written");
+    fs::write(&newer, &intact[..intact.len() / 2]).expect("torn");
     assert_eq!(read(folder.path()), (3, 3));
     fs::write(folder.path().join("snapshot-b"), b"no snapshot").expect("written");
     assert_eq!(
@@ -89,7 +89,7 @@
     write(folder.path(), 4);
     let newest = folder.path().join("snapshot-a");
     let older = folder.path().join("snapshot-b");
-    let whole = fs::read(&newest).expect("written");
+    let intact = fs::read(&newest).expect("written");
     fs::remove_file(&older).expect("written");
     fs::create_dir(&older).expect("it is removed");
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -104,7 +104,7 @@
     };
     for _ in 0..3 {
         assert!(matches!(retry(), DiskOutcome::Refused(_)));
-        assert_eq!(fs::read(&newest).expect("written"), whole);
+        assert_eq!(fs::read(&newest).expect("written"), intact);
     }
     fs::remove_dir(&older).expect("it is empty");
     assert_eq!(retry(), DiskOutcome::Written);
--- a/crates/bluebellreel_members/tests/divergence.rs
+++ b/crates/bluebellreel_members/tests/divergence.rs
@@ -65,10 +65,10 @@
 /// Answers a request in the way that daemons do.
 fn answer_request(peer: &Catalog, asker: &mut Catalog, request: SyncRequest) {
     let seen = asker.revision();
-    let whole = request == SyncRequest::All || !peer.tells_all_after(seen);
-    let facts = peer.facts_after(if whole { 0 } else { seen });
+    let full = request == SyncRequest::All || !peer.tells_all_after(seen);
+    let facts = peer.facts_after(if full { 0 } else { seen });
     let facts = facts.map(|(revision, id, record)| (revision, id.clone(), record.cloned()));
-    asker.learn(peer.revision(), facts.collect(), whole);
+    asker.learn(peer.revision(), facts.collect(), full);
 }
 
 /// Lets one daemon ask another as `Divergence` decides, for some seconds.
--- a/crates/bluebellreel_members/tests/members.rs
+++ b/crates/bluebellreel_members/tests/members.rs
@@ -42,10 +42,10 @@
 }
 
 /// A job's owner is killed and restarts within half a second. Its peers never see it as
-/// silent. If its new incarnation did not count as news, no daemon would check the jobs
+/// silent. If they did not notice its new incarnation, no daemon would check the jobs
 /// of the previous one, which stayed open forever.
 #[test]
-fn a_new_run_of_a_known_daemon_is_news() {
+fn the_first_report_of_a_new_incarnation_is_recognized() {
     let mut members = Members::default();
     assert!(members.record_report(name(1), peer(1, NOW)));
     assert!(!members.record_report(name(1), peer(1, NOW + TICK)));
@@ -54,10 +54,10 @@
     assert_eq!((run(1), run(2)), (Presence::Gone, Presence::Reporting));
 }
 
-/// The registration of a daemon was read before its first report. The report still
-/// counts as news, as the daemon may have jobs that no peer knows of.
+/// The registration of a daemon was read before its first report. The report must still
+/// be recognized as the first one, as the daemon may have jobs that no peer knows of.
 #[test]
-fn the_first_report_of_a_registered_daemon_is_news() {
+fn the_first_report_of_a_registered_daemon_is_recognized() {
     let mut members = Members::default();
     members.apply_registrations(vec![(name(1), entry(1))], 5);
     assert!(members.record_report(name(1), peer(1, NOW)));
@@ -81,8 +81,8 @@
     assert_eq!(presence(&members, PEER_TIMEOUT), Presence::Gone);
 }
 
-/// A delayed list arrives after a newer one and brings back a registration that has
-/// ended. The jobs of the dead daemon would wait for it.
+/// A delayed list that arrives after a newer one must not bring back a registration
+/// that has ended. The jobs of the dead daemon would not be taken over.
 #[test]
 fn an_older_list_changes_nothing() {
     let mut members = Members::default();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_lost_peer_shows_once() {
+fn a_lost_peer_is_reported_once() {
     let mut members = alive_members(2);
     assert!(!members.has_lost_peer(NOW));
     let later = NOW + PEER_TIMEOUT + TICK;
@@ -184,7 +184,8 @@
     assert!(!members.has_lost_peer(later));
 }
 
-/// Otherwise reports would be sent forever to addresses of daemons that are gone.
+/// If they were kept, reports would be sent forever to addresses of daemons that are
+/// gone.
 #[test]
 fn peers_that_are_gone_are_evicted() {
     let mut members = alive_members(2);
@@ -235,8 +236,8 @@
     assert_eq!(members.tokens("book", NOW + TICK * 3), 600);
 }
 
-/// The same if the new incarnation's registration is read before its first report, and
-/// its jobs end.
+/// Tokens of a killed incarnation also count if the registration of the new incarnation
+/// is read before its first report. They stop counting when the jobs end.
 #[test]
 fn tokens_of_a_killed_incarnation_outlast_its_new_registration() {
     let mut members = Members::default();
--- a/crates/bluebellreel_snapshot/tests/slots.rs
+++ b/crates/bluebellreel_snapshot/tests/slots.rs
@@ -14,12 +14,12 @@
 
 #[test]
 fn read_errors_are_distinguished() {
-    let whole = write_slot(1, b"body");
-    assert_eq!(read_slot(&whole[..20]), Err(SlotError::TooShort));
-    assert_eq!(read_slot(&whole[..34]), Err(SlotError::Damaged));
+    let intact = write_slot(1, b"body");
+    assert_eq!(read_slot(&intact[..20]), Err(SlotError::TooShort));
+    assert_eq!(read_slot(&intact[..34]), Err(SlotError::Damaged));
     assert_eq!(read_slot(&[0; 64]), Err(SlotError::UnknownFormat));
     // The remainder of a longer snapshot after the body is ignored.
-    let mut longer = whole.clone();
+    let mut longer = intact.clone();
     longer.extend_from_slice(b"rest of a longer one");
     assert_eq!(read_slot(&longer), Ok((1, &b"body"[..])));
 }
