--- a/crates/bluebellreel_members/tests/divergence.rs
+++ b/crates/bluebellreel_members/tests/divergence.rs
@@ -65,7 +65,7 @@
 /// Answers a request in the way that daemons do.
 fn answer_request(peer: &Catalog, asker: &mut Catalog, request: SyncRequest) {
     let seen = asker.revision();
-    let full = request == SyncRequest::All || !peer.tells_all_after(seen);
+    let full = request == SyncRequest::All || !peer.has_all_changes_after(seen);
     let facts = peer.facts_after(if full { 0 } else { seen });
     let facts = facts.map(|(revision, id, record)| (revision, id.clone(), record.cloned()));
     asker.learn(peer.revision(), facts.collect(), full);
@@ -220,7 +220,7 @@
     assert_eq!(watched.digest(), read.digest());
     read.take(9, &WorkerName::from("b"), Some(record("b")));
     assert_ne!(watched.digest(), read.digest(), "b has been written again");
-    watched.miss(9, &WorkerName::from("b"), START);
+    watched.mark_missing(9, &WorkerName::from("b"), START);
     watched.expire(START);
     read.remove(10, &WorkerName::from("b"));
     assert_eq!(watched.digest(), read.digest());
@@ -293,6 +293,6 @@
     }
     for (revision, id, record) in writes.iter().filter(|(revision, ..)| *revision > seen) {
         catalog.take(*revision, id, record.clone());
-        catalog.seen_to(*revision);
+        catalog.advance_to(*revision);
     }
 }
