--- a/crates/bluebellreel_batch/src/lib.rs
+++ b/crates/bluebellreel_batch/src/lib.rs
@@ -1,11 +1,11 @@
-//! Batch jobs kept in a key-value service, decided without any I/O.
+//! State and rules of batch jobs that are kept in a key-value store. This crate does no
+//! I/O.
 //!
-//! A job is accepted when its record is created, together with its last chunk
-//! of input. The record names the owner; **every write to the job compares the
-//! record's revision**, so a take-over or a cancel ends every right of the
-//! owner before it. Results are appended in segments, each created under a
-//! number that must not be taken yet; once in a segment, a result never
-//! changes.
+//! A job is accepted when its record is created, in the same transaction as its last
+//! chunk of input. The record names the owner, and **every write to the job compares
+//! the record's revision**, so a take-over or a cancellation revokes all rights of the
+//! previous owner. Results are appended in segments; each segment is created under a
+//! number that must not exist yet, and a recorded result never changes.
 //!
 //! ```
 //! use bluebellreel_batch::keys;
@@ -15,29 +15,29 @@
 //! assert_eq!(keys::segment(&id, 2).as_str(), "job/out/7c41/00002");
 //! ```
 
-mod confirmation;
-mod copies;
-mod custody;
 mod input;
 mod job;
 pub mod keys;
-mod ledger;
-mod open;
+mod open_job;
 mod progress;
+mod progress_copies;
+mod quota_ledger;
 mod record;
+mod registration_span;
 mod result;
 mod schedule;
-mod tenure;
+mod start_lease;
+mod takeover;
 
-pub use confirmation::{JOBS_PER_CHECK, StartLease, StartTerms, jobs_to_check};
-pub use copies::{ItemProgress, ProgressCopies};
-pub use custody::{Custody, OwnerSign, custody};
 pub use input::{NewItem, decode_items, encode_items, split_input};
 pub use job::{Item, ItemEnd, ItemPhase, Job, Segment};
-pub use ledger::QuotaLedger;
-pub use open::OpenJob;
+pub use open_job::OpenJob;
 pub use progress::{EventGap, Progress};
+pub use progress_copies::{ItemProgress, ProgressCopies};
+pub use quota_ledger::QuotaLedger;
 pub use record::{JobPhase, JobRecord, Owner, RecordError};
+pub use registration_span::{RegistrationSpan, Stamp};
 pub use result::{ItemResult, ResultState, decode_segment, encode_segment};
 pub use schedule::{Candidate, next_item};
-pub use tenure::{Stamp, Tenure};
+pub use start_lease::{JOBS_PER_CHECK, StartLease, StartTerms, jobs_to_check};
+pub use takeover::{OwnerPresence, TakeoverDecision, decide_takeover};
--- a/crates/bluebellreel_gateway/src/reports/mod.rs
+++ b/crates/bluebellreel_gateway/src/reports/mod.rs
@@ -246,7 +246,10 @@
         list,
         reads_briefs,
     };
-    let is_new_incarnation = gw.members.borrow_mut().hear(report.entry.clone(), peer);
+    let is_new_incarnation = gw
+        .members
+        .borrow_mut()
+        .record_report(report.entry.clone(), peer);
     if is_new_incarnation {
         // The jobs of the peer's previous incarnation, if any, have no owner now.
         gw.jobs.borrow().orphans_due.notify_one();
