--- a/crates/bluebellreel_batch/src/record.rs
+++ b/crates/bluebellreel_batch/src/record.rs
@@ -37,7 +37,7 @@
     /// When the results are due, by the clock of the accepting daemon.
     pub due_at: Moment,
     /// When waiting items are given up, by the clock of the accepting daemon. Records
-    /// of versions without this field read as `Moment::FAR`, so their items are never
+    /// of versions without this field read as `Moment::DISTANT_FUTURE`, so their items are never
     /// given up.
     #[serde(default = "never")]
     pub give_up_at: Moment,
@@ -54,7 +54,7 @@
 }
 
 fn never() -> Moment {
-    Moment::FAR
+    Moment::DISTANT_FUTURE
 }
 
 /// A stored value that cannot be decoded.
--- a/crates/bluebellreel_claim/src/resolve.rs
+++ b/crates/bluebellreel_claim/src/resolve.rs
@@ -1,7 +1,7 @@
 //! Decisions from an existing claim and from a side process's verdict.
 
 use crate::ClaimState;
-use bluebellreel_types::{AttemptEnd, AttemptVerdict, Moment, NEVER_SEEN_BELIEVED};
+use bluebellreel_types::{AttemptEnd, AttemptVerdict, Moment, NEVER_SEEN_VALIDITY};
 use std::sync::Arc;
 
 /// How a resend of a claimed call is handled.
@@ -39,7 +39,7 @@
     deadline: Moment,
     now: Moment,
 ) -> Option<ClaimState> {
-    let verdict_expired = (deadline + NEVER_SEEN_BELIEVED).is_past(now);
+    let verdict_expired = (deadline + NEVER_SEEN_VALIDITY).is_past(now);
     Some(match verdict {
         AttemptVerdict::Running => return None,
         AttemptVerdict::NeverSeen if verdict_expired => ClaimState::Unknown,
@@ -92,10 +92,10 @@
     fn never_seen_is_accepted_for_a_limited_time() {
         let verdict = AttemptVerdict::NeverSeen;
         let deadline = Moment(0);
-        let soon = deadline + NEVER_SEEN_BELIEVED;
+        let soon = deadline + NEVER_SEEN_VALIDITY;
         let state = state_after_verdict(&verdict, deadline, deadline);
         assert_eq!(state, Some(ClaimState::NotRun));
-        let state = state_after_verdict(&verdict, deadline, soon + NEVER_SEEN_BELIEVED);
+        let state = state_after_verdict(&verdict, deadline, soon + NEVER_SEEN_VALIDITY);
         assert_eq!(state, Some(ClaimState::Unknown));
     }
 }
--- a/crates/bluebellreel_entry/src/jobs/part/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/part/tests.rs
@@ -33,7 +33,7 @@
 impl Fixture {
     /// A daemon whose queue is full.
     fn full() -> Self {
-        let clock = Clock::standing_at(Moment(1_000_000));
+        let clock = Clock::manual_at(Moment(1_000_000));
         let (tx, queue) = bounded::<Task>(1);
         let parts = parts(KvPool::Threads(tx), &clock);
         assert!(parts.pool.run(|_| ()), "one fits");
@@ -79,7 +79,7 @@
     };
     let send = |_: &str, _: &serde_json::Value| Err(KvError::NotDone("no service".into()));
     let run = Incarnation(1);
-    let kv = KvClient::over(Box::new(send), kv_settings, run, clock.clone());
+    let kv = KvClient::with_transport(Box::new(send), kv_settings, run, clock.clone());
     Parts {
         run,
         clock: clock.clone(),
@@ -204,7 +204,7 @@
         side: Incarnation(2),
         class: Class::Batch,
         work: Arc::new(work),
-        deadline: Moment::FAR,
+        deadline: Moment::DISTANT_FUTURE,
         resume: Arc::default(),
         trace: TraceContext::fresh(),
     }
--- a/crates/bluebellreel_gateway/src/crash.rs
+++ b/crates/bluebellreel_gateway/src/crash.rs
@@ -10,7 +10,7 @@
 use bluebellreel_dispatch::{
     CrashNotice, CrashedRun, Fingerprint, QuarantineStatus, Sender, Ticket, WorkerState, WorkerTag,
 };
-use bluebellreel_net::Knock;
+use bluebellreel_net::ProbeResult;
 use bluebellreel_types::Moment;
 use log::warn;
 use std::net::SocketAddr;
@@ -59,10 +59,10 @@
     if has_restarted(&gw, &run.ticket) {
         return record_crash(&gw, &run, at, "started again");
     }
-    match gw.workers.knock(address).await {
-        Knock::Refused => record_crash(&gw, &run, at, "refuses connections"),
-        Knock::Unknown => {}
-        Knock::Open => {
+    match gw.workers.probe(address).await {
+        ProbeResult::Refused => record_crash(&gw, &run, at, "refuses connections"),
+        ProbeResult::Unknown => {}
+        ProbeResult::Open => {
             sleep(RECHECK_DELAY).await;
             if has_restarted(&gw, &run.ticket) {
                 record_crash(&gw, &run, at, "started again");
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -9,7 +9,7 @@
     jobs, lease, peer_api, quarantine_store, registration, reload, reports, serve, store_proxy,
     watching,
 };
-use bluebellreel_net::{Served, Stop, every, listen};
+use bluebellreel_net::{ConnectionTracker, Stop, every, listen};
 use bluebellreel_settings::GatewaySettings;
 use bluebellreel_types::Moment;
 use eyre::Context;
@@ -53,10 +53,10 @@
 /// installed when this function returns.
 fn stop_signal(settings_changed: Rc<Notify>) -> eyre::Result<impl Future<Output = ()>> {
     let on_hangup = move || settings_changed.notify_one();
-    Ok(bluebellreel_signals::stop_asked(on_hangup)?)
+    Ok(bluebellreel_signals::stop_requested(on_hangup)?)
 }
 
-/// Runs a gateway on the current local task set until `stop_asked` completes. Returns
+/// Runs a gateway on the current local task set until `stop_requested` completes. Returns
 /// whether every request was answered in full.
 ///
 /// # Errors
@@ -64,7 +64,7 @@
 /// Returns an error if an address cannot be bound.
 pub async fn run_gateway_until(
     settings: GatewaySettings,
-    stop_asked: impl Future<Output = ()>,
+    stop_requested: impl Future<Output = ()>,
     hooks: ProcessHooks,
 ) -> eyre::Result<bool> {
     let gw = Gateway::new(settings);
@@ -72,7 +72,7 @@
     let handles = ServerHandles::default();
     start(&gw, &handles, Rc::new(hooks)).await?;
     info!(target: "gateway", entry:% = gw.me(), run:% = gw.run, data_centre:% = gw.settings.data_centre, requests:% = gw.settings.requests; "started");
-    stop_asked.await;
+    stop_requested.await;
     let clean = shut_down(&gw, &handles).await;
     Ok(clean)
 }
@@ -105,7 +105,7 @@
     spawn_local(bluebellreel_net::serve(
         balancer,
         internal_stop.clone(),
-        Served::default(),
+        ConnectionTracker::default(),
         || INTERNAL_IDLE_TIMEOUT,
         move |_| {
             let answer = serve::readiness(&g);
@@ -125,7 +125,7 @@
     spawn_local(bluebellreel_net::serve(
         metrics,
         internal_stop,
-        Served::default(),
+        ConnectionTracker::default(),
         || INTERNAL_IDLE_TIMEOUT,
         move |_| {
             let answer = crate::answers::bytes(metrics_text(&g, (metrics_hooks.lines_dropped)()));
--- a/crates/bluebellreel_gateway/src/shutdown.rs
+++ b/crates/bluebellreel_gateway/src/shutdown.rs
@@ -127,7 +127,7 @@
         }
         for handle in [&self.handles.callers, &self.handles.peers] {
             // `log_cut` logs the requests that are still in progress.
-            let _ = timeout_at(self.end, handle.connection_tracker.over()).await;
+            let _ = timeout_at(self.end, handle.connection_tracker.wait_closed()).await;
         }
     }
 
--- a/crates/bluebellreel_job/src/owned/poll.rs
+++ b/crates/bluebellreel_job/src/owned/poll.rs
@@ -127,7 +127,7 @@
             // a write whose answer was lost is found instead of written twice.
             if self.flush_at.is_past(now) {
                 let (seq, results) = (*seq, results.clone());
-                self.flush_at = Moment::FAR;
+                self.flush_at = Moment::DISTANT_FUTURE;
                 effects.push(JobEffect::Record { seq, results });
             }
             return;
@@ -146,7 +146,7 @@
         let results = self.next_group();
         let seq = self.next_seq;
         self.recording = Some((seq, results.clone()));
-        self.flush_at = Moment::FAR;
+        self.flush_at = Moment::DISTANT_FUTURE;
         effects.push(JobEffect::Record { seq, results });
     }
 
--- a/crates/bluebellreel_job/src/owned/report.rs
+++ b/crates/bluebellreel_job/src/owned/report.rs
@@ -3,7 +3,7 @@
 use super::{ItemState, OwnedJob, RESULT_OVERHEAD, is_final};
 use crate::{ItemEnd, ItemResult, LeaseState};
 use bluebellreel_types::{
-    AttemptEnd, AttemptId, AttemptVerdict, BrokenReason, Moment, NEVER_SEEN_BELIEVED, NotRunReason,
+    AttemptEnd, AttemptId, AttemptVerdict, BrokenReason, Moment, NEVER_SEEN_VALIDITY, NotRunReason,
     WorkerName,
 };
 use std::sync::Arc;
@@ -183,7 +183,7 @@
         let Some(lease) = in_doubt else {
             return;
         };
-        let verdict_expired = (lease.expires_at + NEVER_SEEN_BELIEVED).is_past(now);
+        let verdict_expired = (lease.expires_at + NEVER_SEEN_VALIDITY).is_past(now);
         match verdict {
             AttemptVerdict::Running => {}
             AttemptVerdict::NeverSeen if verdict_expired => self.note_outcome_lost(attempt, now),
--- a/crates/bluebellreel_keeper/src/keeper.rs
+++ b/crates/bluebellreel_keeper/src/keeper.rs
@@ -6,7 +6,7 @@
 use crate::shutdown::{KeeperTasks, StopSummary, shut_down};
 use crate::stored_state::{StoredState, read_stored_state};
 use crate::visit_schedule::{VisitResult, VisitSchedule, is_near};
-use bluebellreel_net::{Pool, PoolLimits, Served, Stop, listen, serve};
+use bluebellreel_net::{ConnectionTracker, Pool, PoolLimits, Stop, listen, serve};
 use bluebellreel_settings::{KeeperSettings, SettingsError};
 use bluebellreel_snapshot::{
     GatewayState, KnownGateway, ProgressBackups, Snapshot, VisitOutcome, visit_outcome,
@@ -85,12 +85,12 @@
         .build()?;
     LocalSet::new().block_on(&runtime, async {
         // The settings file is read periodically, so this signal needs no action.
-        let stop_asked = bluebellreel_signals::stop_asked(|| {})?;
-        run_keeper_until(settings, read_settings, stop_asked).await
+        let stop_requested = bluebellreel_signals::stop_requested(|| {})?;
+        run_keeper_until(settings, read_settings, stop_requested).await
     })
 }
 
-/// Runs a keeper on the current local task set until `stop_asked` completes. Returns
+/// Runs a keeper on the current local task set until `stop_requested` completes. Returns
 /// what was completed.
 ///
 /// # Errors
@@ -99,13 +99,13 @@
 pub async fn run_keeper_until(
     settings: KeeperSettings,
     read_settings: ReadSettings,
-    stop_asked: impl Future<Output = ()>,
+    stop_requested: impl Future<Output = ()>,
 ) -> eyre::Result<StopSummary> {
     let listener = listen(settings.calls).wrap_err("cannot listen on the address for calls")?;
-    let mut stop_asked = pin!(stop_asked);
+    let mut stop_requested = pin!(stop_requested);
     let stored = tokio::select! {
         stored = read_stored_state(settings.folder.clone()) => stored,
-        () = &mut stop_asked => {
+        () = &mut stop_requested => {
             // No backup has been accepted yet, so there is nothing to write.
             info!(target: "keeper", keeper:% = settings.name; "stopped before start completed");
             return Ok(StopSummary::STOPPED_BEFORE_START);
@@ -138,7 +138,7 @@
         settings,
     });
     let stop = Stop::default();
-    let served = Served::default();
+    let served = ConnectionTracker::default();
     let k = keeper.clone();
     let serving = serve(
         listener,
@@ -156,7 +156,7 @@
         stop,
         served,
     };
-    stop_asked.await;
+    stop_requested.await;
     let ended = shut_down(&keeper, tasks).await;
     info!(target: "keeper", keeper:% = keeper.settings.name, calls_cut = ended.calls_cut, visits_cut = ended.visits_cut, snapshot_kept = ended.snapshot_kept, progress_kept = ended.progress_kept; "stopped");
     Ok(ended)
--- a/crates/bluebellreel_keeper/src/shutdown.rs
+++ b/crates/bluebellreel_keeper/src/shutdown.rs
@@ -6,7 +6,7 @@
 //! run again from the beginning.
 
 use crate::keeper::Keeper;
-use bluebellreel_net::{Served, Stop};
+use bluebellreel_net::{ConnectionTracker, Stop};
 use log::{info, warn};
 use std::time::Duration;
 use tokio::task::JoinHandle;
@@ -29,7 +29,7 @@
     pub(crate) snapshots: JoinHandle<()>,
     pub(crate) progress: JoinHandle<()>,
     pub(crate) stop: Stop,
-    pub(crate) served: Served,
+    pub(crate) served: ConnectionTracker,
 }
 
 /// What a keeper had completed when it ended.
@@ -98,9 +98,9 @@
 }
 
 /// Waits until no call of a gateway and no visit is in progress, at most until `end`.
-async fn wait_until_idle(keeper: &Keeper, served: &Served, end: Instant) {
+async fn wait_until_idle(keeper: &Keeper, served: &ConnectionTracker, end: Instant) {
     // Remaining connections are counted afterwards.
-    let _ = timeout_at(end, served.over()).await;
+    let _ = timeout_at(end, served.wait_closed()).await;
     while keeper.visits.get() > 0 && Instant::now() < end {
         sleep(VISIT_CHECK_INTERVAL).await;
     }
--- a/crates/bluebellreel_keeper/tests/stop.rs
+++ b/crates/bluebellreel_keeper/tests/stop.rs
@@ -2,7 +2,7 @@
 
 use bluebellreel_keeper::{StopSummary, load_snapshot, run_keeper_until};
 use bluebellreel_members::Revisions;
-use bluebellreel_net::{Body, Served, Stop, listen, serve};
+use bluebellreel_net::{Body, ConnectionTracker, Stop, listen, serve};
 use bluebellreel_settings::KeeperSettings;
 use bluebellreel_snapshot::{GatewayState, SharedFacts};
 use bluebellreel_types::{DataCentre, EntryName};
@@ -48,7 +48,7 @@
         spawn_local(serve(
             listener,
             Stop::default(),
-            Served::default(),
+            ConnectionTracker::default(),
             || Duration::from_secs(30),
             move |req| gateway.clone().answer(req),
         ));
@@ -115,13 +115,13 @@
         let settings = settings(folder, gateway.start());
         let again = settings.clone();
         let read = Box::new(move || Ok(again.clone()));
-        let stop_asked = async {
+        let stop_requested = async {
             gateway.asked.notified().await;
             if answers {
                 gateway.may_answer.notify_one();
             }
         };
-        run_keeper_until(settings, read, stop_asked)
+        run_keeper_until(settings, read, stop_requested)
             .await
             .expect("the keeper starts")
     })
