--- a/crates/bluebellreel_admission/src/settle.rs
+++ b/crates/bluebellreel_admission/src/settle.rs
@@ -3,7 +3,7 @@
 use crate::{Admission, Effect, LedgerEntry, Queued};
 use bluebellreel_types::{
     AttemptEnd, AttemptId, AttemptVerdict, BrokenReason, Dispatch, Moment, NotRunReason,
-    OUTCOME_KEPT,
+    OUTCOME_RETENTION,
 };
 use std::sync::Arc;
 
@@ -32,7 +32,7 @@
     let keep = if dispatch.work.repeatable {
         state.limits.ledger_keep
     } else {
-        OUTCOME_KEPT
+        OUTCOME_RETENTION
     };
     dispatch.deadline + keep
 }
@@ -100,7 +100,7 @@
         }
         Some(LedgerEntry::Tombstone) => AttemptVerdict::NeverSeen,
         None => {
-            let expiry = now + OUTCOME_KEPT;
+            let expiry = now + OUTCOME_RETENTION;
             state.ledger.put(attempt, LedgerEntry::Tombstone, expiry);
             AttemptVerdict::NeverSeen
         }
--- a/crates/bluebellreel_claim/src/resolve.rs
+++ b/crates/bluebellreel_claim/src/resolve.rs
@@ -1,7 +1,7 @@
 //! What a claim that is found means.
 
 use crate::ClaimState;
-use bluebellreel_types::{AttemptEnd, AttemptVerdict, Moment, NEVER_SEEN_BELIEVED};
+use bluebellreel_types::{AttemptEnd, AttemptVerdict, Moment, NEVER_SEEN_VALIDITY};
 use std::sync::Arc;
 
 /// What a resend of a claimed call may do.
@@ -38,7 +38,7 @@
     deadline: Moment,
     now: Moment,
 ) -> Option<ClaimState> {
-    let may_be_forgotten = (deadline + NEVER_SEEN_BELIEVED).is_past(now);
+    let may_be_forgotten = (deadline + NEVER_SEEN_VALIDITY).is_past(now);
     Some(match verdict {
         AttemptVerdict::Running => return None,
         AttemptVerdict::NeverSeen if may_be_forgotten => ClaimState::Unknown,
@@ -91,10 +91,10 @@
     fn never_seen_is_not_believed_for_ever() {
         let verdict = AttemptVerdict::NeverSeen;
         let deadline = Moment(0);
-        let soon = deadline + NEVER_SEEN_BELIEVED;
+        let soon = deadline + NEVER_SEEN_VALIDITY;
         let state = state_after_verdict(&verdict, deadline, deadline);
         assert_eq!(state, Some(ClaimState::NotRun));
-        let state = state_after_verdict(&verdict, deadline, soon + NEVER_SEEN_BELIEVED);
+        let state = state_after_verdict(&verdict, deadline, soon + NEVER_SEEN_VALIDITY);
         assert_eq!(state, Some(ClaimState::Unknown));
     }
 }
--- a/crates/bluebellreel_entry/src/http/online.rs
+++ b/crates/bluebellreel_entry/src/http/online.rs
@@ -7,7 +7,7 @@
 use bluebellreel_claim::ClaimRecord;
 use bluebellreel_http::{ApiError, Reply};
 use bluebellreel_routing::{NewRequest, Outcome};
-use bluebellreel_types::{LONGEST_UNREPEATABLE, Moment, NotRunReason, Ran, RequestId, Work};
+use bluebellreel_types::{MAX_UNREPEATABLE_CALL, Moment, NotRunReason, Ran, RequestId, Work};
 use crossbeam_channel::{Receiver, RecvTimeoutError, unbounded};
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     let deadline = if work.repeatable {
         deadline
     } else {
-        deadline.min(rim.now() + LONGEST_UNREPEATABLE)
+        deadline.min(rim.now() + MAX_UNREPEATABLE_CALL)
     };
     // Bounded by the tokens of one answer.
     let (caller, rx) = unbounded();
--- a/crates/bluebellreel_entry/src/jobs/part/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/part/tests.rs
@@ -33,7 +33,7 @@
 impl Fixture {
     /// A daemon whose queue is full.
     fn full() -> Self {
-        let clock = Clock::standing_at(Moment(1_000_000));
+        let clock = Clock::manual_at(Moment(1_000_000));
         let (tx, queue) = bounded::<Task>(1);
         let parts = parts(KvPool::Threads(tx), &clock);
         assert!(parts.pool.run(|_| ()), "one fits");
--- a/crates/bluebellreel_entry/src/jobs/store/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/store/tests.rs
@@ -21,7 +21,7 @@
 
 impl Fixture {
     fn new() -> Self {
-        let clock = Clock::standing_at(Moment(1_000_000));
+        let clock = Clock::manual_at(Moment(1_000_000));
         let calls = Mutex::new(KvCalls::new(VALUE_BYTES));
         let is_deaf = Arc::new(AtomicBool::new(false));
         let (time, deaf) = (clock.clone(), is_deaf.clone());
--- a/crates/bluebellreel_entry/src/jobs/sweep.rs
+++ b/crates/bluebellreel_entry/src/jobs/sweep.rs
@@ -240,7 +240,7 @@
 
     impl Fixture {
         fn new() -> Self {
-            let clock = Clock::standing_at(Moment(20_000 * DAY_MICROS));
+            let clock = Clock::manual_at(Moment(20_000 * DAY_MICROS));
             let calls = Mutex::new(KvCalls::new(1 << 20));
             let time = clock.clone();
             let send = move |path: &str, body: &serde_json::Value| {
--- a/crates/bluebellreel_faults/src/world.rs
+++ b/crates/bluebellreel_faults/src/world.rs
@@ -115,7 +115,7 @@
     #[must_use]
     pub fn new(plan: &Plan) -> Self {
         bluebellreel_types::seed_ids(plan.seed);
-        let clock = Clock::standing_at(Moment(1_700_000_000_000_000));
+        let clock = Clock::manual_at(Moment(1_700_000_000_000_000));
         let kv = KvHandle::new(clock.clone(), plan);
         let mut world = Self {
             entries: Vec::new(),
--- a/crates/bluebellreel_faults/tests/claims.rs
+++ b/crates/bluebellreel_faults/tests/claims.rs
@@ -29,7 +29,7 @@
 
 impl TwoDaemons {
     fn new() -> Self {
-        let clock = Clock::standing_at(Moment(1_700_000_000_000_000));
+        let clock = Clock::manual_at(Moment(1_700_000_000_000_000));
         let calls = Arc::new(Mutex::new(KvCalls::new(VALUE_BYTES)));
         let mut two = Self {
             first: entry("entry-0", transport(&calls, &clock), &clock),
--- a/crates/bluebellreel_gateway/src/crash.rs
+++ b/crates/bluebellreel_gateway/src/crash.rs
@@ -10,7 +10,7 @@
 use bluebellreel_dispatch::{
     CrashNotice, Fingerprint, Sender, Standing, Strike, Ticket, WorkerState, WorkerTag,
 };
-use bluebellreel_net::Knock;
+use bluebellreel_net::ProbeResult;
 use bluebellreel_types::Moment;
 use log::warn;
 use std::net::SocketAddr;
@@ -59,10 +59,10 @@
     if has_started_again(&gw, &cut.ticket) {
         return note(&gw, &cut, at, "started again");
     }
-    match gw.workers.knock(address).await {
-        Knock::Refused => note(&gw, &cut, at, "refuses connections"),
-        Knock::Unknown => {}
-        Knock::Open => {
+    match gw.workers.probe(address).await {
+        ProbeResult::Refused => note(&gw, &cut, at, "refuses connections"),
+        ProbeResult::Unknown => {}
+        ProbeResult::Open => {
             sleep(CHECK_AGAIN).await;
             if has_started_again(&gw, &cut.ticket) {
                 note(&gw, &cut, at, "started again");
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -50,7 +50,7 @@
 /// settings have changed. The handlers stand once this returns.
 fn asked_to_stop(settings_changed: Rc<Notify>) -> eyre::Result<impl Future<Output = ()>> {
     let hung_up = move || settings_changed.notify_one();
-    Ok(bluebellreel_signals::stop_asked(hung_up)?)
+    Ok(bluebellreel_signals::stop_requested(hung_up)?)
 }
 
 /// Runs a gateway on the present local task set until `stop` ends; whether
@@ -61,7 +61,7 @@
 /// Gives the reason when an address cannot be listened on.
 pub async fn live(
     settings: GatewaySettings,
-    stop_asked: impl Future<Output = ()>,
+    stop_requested: impl Future<Output = ()>,
     around: Surroundings,
 ) -> eyre::Result<bool> {
     let gw = Gateway::new(settings);
@@ -69,7 +69,7 @@
     let doors = Doors::default();
     start(&gw, &doors, Rc::new(around)).await?;
     info!(target: "gateway", entry:% = gw.me(), run:% = gw.run, data_centre:% = gw.settings.data_centre, requests:% = gw.settings.requests; "started");
-    stop_asked.await;
+    stop_requested.await;
     let clean = leave(&gw, &doors).await;
     Ok(clean)
 }
--- a/crates/bluebellreel_gateway/src/watching.rs
+++ b/crates/bluebellreel_gateway/src/watching.rs
@@ -117,7 +117,7 @@
 /// at once. Each watching daemon writes the same; one write suffices.
 async fn report_empty(gw: Rc<Gateway>, vm: String) {
     let key = Key::from(keys::vm_status(&vm));
-    let txn = Txn::create(key, keys::vm_is_empty().to_vec());
+    let txn = Txn::create(key, keys::empty_vm_status().to_vec());
     let outcome = gw
         .store
         .commit(&txn, Instant::now() + REPORT_EMPTY_LONGEST)
--- a/crates/bluebellreel_job/src/owned/report.rs
+++ b/crates/bluebellreel_job/src/owned/report.rs
@@ -3,7 +3,7 @@
 use super::{ItemState, OwnedJob, RESULT_OVERHEAD, is_final};
 use crate::{ItemEnd, ItemResult, LeaseState};
 use bluebellreel_types::{
-    AttemptEnd, AttemptId, AttemptVerdict, BrokenReason, Moment, NEVER_SEEN_BELIEVED, NotRunReason,
+    AttemptEnd, AttemptId, AttemptVerdict, BrokenReason, Moment, NEVER_SEEN_VALIDITY, NotRunReason,
     WorkerName,
 };
 use std::sync::Arc;
@@ -180,7 +180,7 @@
         let Some(lease) = in_doubt else {
             return;
         };
-        let may_be_forgotten = (lease.until + NEVER_SEEN_BELIEVED).is_past(now);
+        let may_be_forgotten = (lease.until + NEVER_SEEN_VALIDITY).is_past(now);
         match verdict {
             AttemptVerdict::Running => {}
             AttemptVerdict::NeverSeen if may_be_forgotten => self.note_untellable(attempt, now),
--- a/crates/bluebellreel_keeper/src/keeper.rs
+++ b/crates/bluebellreel_keeper/src/keeper.rs
@@ -80,12 +80,12 @@
         .build()?;
     LocalSet::new().block_on(&runtime, async {
         // Settings are read now and then in any case.
-        let stop_asked = bluebellreel_signals::stop_asked(|| {})?;
-        live(settings, read_settings, stop_asked).await
+        let stop_requested = bluebellreel_signals::stop_requested(|| {})?;
+        live(settings, read_settings, stop_requested).await
     })
 }
 
-/// Runs a keeper on the present local task set until `stop_asked` ends; what was
+/// Runs a keeper on the present local task set until `stop_requested` ends; what was
 /// finished.
 ///
 /// # Errors
@@ -94,13 +94,13 @@
 pub async fn live(
     settings: KeeperSettings,
     read_settings: ReadSettings,
-    stop_asked: impl Future<Output = ()>,
+    stop_requested: impl Future<Output = ()>,
 ) -> eyre::Result<Ended> {
     let listener = listen(settings.calls).wrap_err("address for calls")?;
-    let mut stop_asked = pin!(stop_asked);
+    let mut stop_requested = pin!(stop_requested);
     let held = tokio::select! {
         held = read_held(settings.folder.clone()) => held,
-        () = &mut stop_asked => {
+        () = &mut stop_requested => {
             // Nothing was taken yet, so nothing is left to do.
             info!(target: "keeper", keeper:% = settings.name; "stopped before its start");
             return Ok(Ended::BEFORE_START);
@@ -151,7 +151,7 @@
         stop,
         served,
     };
-    stop_asked.await;
+    stop_requested.await;
     let ended = leave(&keeper, parts).await;
     info!(target: "keeper", keeper:% = keeper.settings.name, calls_cut = ended.calls_cut, visits_cut = ended.visits_cut, snapshot_kept = ended.snapshot_kept, progress_kept = ended.progress_kept; "stopped");
     Ok(ended)
--- a/crates/bluebellreel_keeper/tests/stop.rs
+++ b/crates/bluebellreel_keeper/tests/stop.rs
@@ -114,13 +114,13 @@
         let settings = settings(folder, gateway.start());
         let again = settings.clone();
         let read = Box::new(move || Ok(again.clone()));
-        let stop_asked = async {
+        let stop_requested = async {
             gateway.asked.notified().await;
             if answers {
                 gateway.may_answer.notify_one();
             }
         };
-        live(settings, read, stop_asked).await.expect("it starts")
+        live(settings, read, stop_requested).await.expect("it starts")
     })
 }
 
--- a/crates/bluebellreel_net/src/pool.rs
+++ b/crates/bluebellreel_net/src/pool.rs
@@ -49,7 +49,7 @@
 
 /// What a look at an address shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Knock {
+pub enum ProbeResult {
     /// Something listens there.
     Open,
     /// The VM answers, and nothing listens there.
@@ -90,7 +90,7 @@
     idle: RefCell<HashMap<SocketAddr, Vec<Kept>>>,
     opened: Cell<u64>,
     /// Looks under way.
-    knocks: RefCell<HashMap<SocketAddr, Shared<LocalBoxFuture<'static, Knock>>>>,
+    knocks: RefCell<HashMap<SocketAddr, Shared<LocalBoxFuture<'static, ProbeResult>>>>,
 }
 
 /// Kept connections by address. Clones share them.
@@ -153,7 +153,7 @@
 
     /// Looks whether something listens at an address. Looks at the same time are one;
     /// a connection that it opens is kept for a call.
-    pub async fn knock(&self, address: SocketAddr) -> Knock {
+    pub async fn probe(&self, address: SocketAddr) -> ProbeResult {
         let under_way = self.0.knocks.borrow().get(&address).cloned();
         if let Some(under_way) = under_way {
             return under_way.await;
@@ -169,16 +169,16 @@
         look.await
     }
 
-    async fn knock_once(&self, address: SocketAddr) -> Knock {
+    async fn knock_once(&self, address: SocketAddr) -> ProbeResult {
         match self.dial(address).await {
             Ok(stream) => {
                 if let Ok(kept) = self.speak(stream).await {
                     self.0.give_back(address, kept, self.0.limits.idle);
                 }
-                Knock::Open
+                ProbeResult::Open
             }
-            Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => Knock::Refused,
-            Err(_) => Knock::Unknown,
+            Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => ProbeResult::Refused,
+            Err(_) => ProbeResult::Unknown,
         }
     }
 
--- a/crates/bluebellreel_signals/src/lib.rs
+++ b/crates/bluebellreel_signals/src/lib.rs
@@ -60,7 +60,7 @@
 /// # Errors
 ///
 /// Gives the system's error when a signal cannot be handled.
-pub fn stop_asked(mut settings_changed: impl FnMut()) -> io::Result<impl Future<Output = ()>> {
+pub fn stop_requested(mut settings_changed: impl FnMut()) -> io::Result<impl Future<Output = ()>> {
     let mut hang_up = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/crates/bluebellreel_types/src/time.rs
+++ b/crates/bluebellreel_types/src/time.rs
@@ -100,7 +100,7 @@
 
     /// A clock that stands until it is set.
     #[must_use]
-    pub fn standing_at(now: Moment) -> Self {
+    pub fn manual_at(now: Moment) -> Self {
         Self(Kind::Set(Arc::new(AtomicU64::new(now.0))))
     }
 
--- a/crates/bluebellreel_types/src/work.rs
+++ b/crates/bluebellreel_types/src/work.rs
@@ -125,15 +125,15 @@
 
 /// How long past its deadline a side process remembers how a call ended that may
 /// not be repeated, and that it refuses one from now on.
-pub const OUTCOME_KEPT: Duration = Duration::from_hours(1);
+pub const OUTCOME_RETENTION: Duration = Duration::from_hours(1);
 /// How long past a call's deadline "never seen" is believed. Later the side
-/// process may have seen it and forgotten; half of [`OUTCOME_KEPT`], for clocks
+/// process may have seen it and forgotten; half of [`OUTCOME_RETENTION`], for clocks
 /// that differ.
-pub const NEVER_SEEN_BELIEVED: Duration = Duration::from_mins(30);
+pub const NEVER_SEEN_VALIDITY: Duration = Duration::from_mins(30);
 /// Longest time that a call may take which may not be repeated. A dispatch that
 /// is sent late, by a daemon that was paused, is past its deadline before the
 /// side process forgets that it refuses it.
-pub const LONGEST_UNREPEATABLE: Duration = Duration::from_mins(30);
+pub const MAX_UNREPEATABLE_CALL: Duration = Duration::from_mins(30);
 
 /// What a side process answers when asked to put an end to an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
