--- a/crates/bluebellreel_gateway/src/doors.rs
+++ b/crates/bluebellreel_gateway/src/doors.rs
@@ -1,12 +1,12 @@
 //! Servers whose connections a stop waits for.
 
-use bluebellreel_net::{Served, Stop};
+use bluebellreel_net::{ConnectionTracker, Stop};
 
 /// A server and what it serves.
 #[derive(Default)]
 pub(crate) struct Door {
     pub(crate) stop: Stop,
-    pub(crate) served: Served,
+    pub(crate) served: ConnectionTracker,
 }
 
 /// Servers whose connections a stop waits for.
--- a/crates/bluebellreel_gateway/src/leave.rs
+++ b/crates/bluebellreel_gateway/src/leave.rs
@@ -127,7 +127,7 @@
         }
         for door in [&self.doors.callers, &self.doors.peers] {
             // What is cut is logged below.
-            let _ = timeout_at(self.end, door.served.over()).await;
+            let _ = timeout_at(self.end, door.served.wait_closed()).await;
         }
     }
 
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -8,7 +8,7 @@
 use crate::{
     detour, jobs, lease, peer_api, quarantine, registration, reload, reports, serve, watching,
 };
-use bluebellreel_net::{Served, Stop, every, listen};
+use bluebellreel_net::{ConnectionTracker, Stop, every, listen};
 use bluebellreel_settings::GatewaySettings;
 use bluebellreel_types::Moment;
 use eyre::Context;
@@ -98,7 +98,7 @@
     spawn_local(bluebellreel_net::serve(
         balancer,
         inner.clone(),
-        Served::default(),
+        ConnectionTracker::default(),
         || INNER_IDLE,
         move |_| {
             let answer = serve::readiness(&g);
@@ -118,7 +118,7 @@
     spawn_local(bluebellreel_net::serve(
         metrics,
         inner,
-        Served::default(),
+        ConnectionTracker::default(),
         || INNER_IDLE,
         move |_| {
             let answer = crate::answers::bytes(metrics_text(&g, (drops.lines_dropped)()));
--- a/crates/bluebellreel_gateway/src/serve.rs
+++ b/crates/bluebellreel_gateway/src/serve.rs
@@ -95,8 +95,8 @@
         return answers::failure(StatusCode::NOT_FOUND, "no route");
     };
     let received = Instant::now();
-    let patience = ingress::patience(req.headers()).unwrap_or(route.timeout);
-    let deadline = received + patience.min(route.timeout);
+    let caller_timeout = ingress::caller_timeout(req.headers()).unwrap_or(route.timeout);
+    let deadline = received + caller_timeout.min(route.timeout);
     let (head, body) = req.into_parts();
     let body = match body_of(&configuration, body, deadline).await {
         Ok(body) => body,
@@ -107,7 +107,7 @@
         return refusal();
     }
     if route.kind == RouteKind::Batch && head.method == Method::POST {
-        let deadline = received + patience;
+        let deadline = received + caller_timeout;
         return jobs::submit(gw, &route, &head, &body, received, deadline).await;
     }
     let request = request(&route, &head, body, received, deadline);
--- a/crates/bluebellreel_http/src/server.rs
+++ b/crates/bluebellreel_http/src/server.rs
@@ -3,7 +3,7 @@
 use crate::answer::response_of;
 use crate::request::InProgress;
 use crate::{ApiError, Request};
-use bluebellreel_net::{Body, Served, Stop};
+use bluebellreel_net::{Body, ConnectionTracker, Stop};
 use bluebellreel_types::Ran;
 use http::header::{CONNECTION, HeaderValue};
 use hyper::Response;
@@ -94,12 +94,12 @@
     thread::Builder::new()
         .name("http-loop".into())
         .spawn(move || {
-            let served = Served::default();
+            let served = ConnectionTracker::default();
             let of_loop = shared.clone();
             LocalSet::new().block_on(&runtime, async {
                 let answer = move |req| answer(shared.clone(), threads, handle.clone(), req);
                 bluebellreel_net::serve(listener, asked, served.clone(), || IDLE, answer).await;
-                served.over().await;
+                served.wait_closed().await;
             });
             of_loop.gone.store(true, Ordering::SeqCst);
         })?;
--- a/crates/bluebellreel_keeper/src/keeper.rs
+++ b/crates/bluebellreel_keeper/src/keeper.rs
@@ -6,7 +6,7 @@
 use crate::leaving::{Ended, Parts, leave};
 use crate::rounds::{Rounds, Visited, is_near};
 use crate::writing::{Due, write_progress, write_snapshots};
-use bluebellreel_net::{Pool, PoolLimits, Served, Stop, listen, serve};
+use bluebellreel_net::{ConnectionTracker, Pool, PoolLimits, Stop, listen, serve};
 use bluebellreel_settings::{KeeperSettings, SettingsError};
 use bluebellreel_snapshot::{
     GatewayState, KeptProgress, KnownGateway, Snapshot, VisitOutcome, after_visit,
@@ -133,7 +133,7 @@
         settings,
     });
     let stop = Stop::default();
-    let served = Served::default();
+    let served = ConnectionTracker::default();
     let k = keeper.clone();
     let serving = serve(
         listener,
--- a/crates/bluebellreel_keeper/src/leaving.rs
+++ b/crates/bluebellreel_keeper/src/leaving.rs
@@ -6,7 +6,7 @@
 //! were half done would run again.
 
 use crate::keeper::Keeper;
-use bluebellreel_net::{Served, Stop};
+use bluebellreel_net::{ConnectionTracker, Stop};
 use log::{info, warn};
 use std::time::Duration;
 use tokio::task::JoinHandle;
@@ -29,7 +29,7 @@
     pub(crate) snapshots: JoinHandle<()>,
     pub(crate) progress: JoinHandle<()>,
     pub(crate) stop: Stop,
-    pub(crate) served: Served,
+    pub(crate) served: ConnectionTracker,
 }
 
 /// What a keeper had finished when it ended.
@@ -98,9 +98,9 @@
 }
 
 /// Waits until no gateway's call and no visit is in progress, at most until then.
-async fn until_quiet(keeper: &Keeper, served: &Served, end: Instant) {
+async fn until_quiet(keeper: &Keeper, served: &ConnectionTracker, end: Instant) {
     // What is left is counted after it.
-    let _ = timeout_at(end, served.over()).await;
+    let _ = timeout_at(end, served.wait_closed()).await;
     while keeper.visits.get() > 0 && Instant::now() < end {
         sleep(LOOK).await;
     }
--- a/crates/bluebellreel_keeper/tests/stop.rs
+++ b/crates/bluebellreel_keeper/tests/stop.rs
@@ -2,7 +2,7 @@
 
 use bluebellreel_keeper::{Ended, live, load_snapshot};
 use bluebellreel_members::Revisions;
-use bluebellreel_net::{Body, Served, Stop, listen, serve};
+use bluebellreel_net::{Body, ConnectionTracker, Stop, listen, serve};
 use bluebellreel_settings::KeeperSettings;
 use bluebellreel_snapshot::{GatewayState, SharedFacts};
 use bluebellreel_types::{DataCentre, EntryName};
@@ -47,7 +47,7 @@
         spawn_local(serve(
             listener,
             Stop::default(),
-            Served::default(),
+            ConnectionTracker::default(),
             || Duration::from_secs(30),
             move |req| gateway.clone().answer(req),
         ));
@@ -120,7 +120,9 @@
                 gateway.may_answer.notify_one();
             }
         };
-        live(settings, read, stop_requested).await.expect("it starts")
+        live(settings, read, stop_requested)
+            .await
+            .expect("it starts")
     })
 }
 
--- a/crates/bluebellreel_net/src/lib.rs
+++ b/crates/bluebellreel_net/src/lib.rs
@@ -22,7 +22,7 @@
 
 pub use body::{Body, Broken, read_body};
 pub use call::{CallError, call};
-pub use pool::{ProbeResult, Pool, PoolLimits, Reuse, SendError};
+pub use pool::{Pool, PoolLimits, ProbeResult, Reuse, SendError};
 pub use reply::{Reply, ReplyBody};
-pub use server::{Served, Stop, listen, serve};
+pub use server::{ConnectionTracker, Stop, listen, serve};
 pub use tasks::{Periodic, every};
--- a/crates/bluebellreel_net/src/server.rs
+++ b/crates/bluebellreel_net/src/server.rs
@@ -69,7 +69,7 @@
     }
 
     /// Closes, and listens no longer. Connections that wait to be accepted are
-    /// still served; [`Served::over`] tells when all is done.
+    /// still served; [`ConnectionTracker::wait_closed`] tells when all is done.
     pub fn finish(&self) {
         self.raise(Stage::Finishing);
     }
@@ -98,9 +98,9 @@
 
 /// What a server holds: its listener and its connections.
 #[derive(Clone, Debug, Default)]
-pub struct Served(Rc<Counts>);
+pub struct ConnectionTracker(Rc<Counts>);
 
-impl Served {
+impl ConnectionTracker {
     /// Connections that are open now.
     #[must_use]
     pub fn open(&self) -> usize {
@@ -114,7 +114,7 @@
     }
 
     /// Waits until that is so, which needs [`Stop::finish`].
-    pub async fn over(&self) {
+    pub async fn wait_closed(&self) {
         loop {
             let changed = self.0.changed.notified();
             if self.is_over() {
@@ -178,7 +178,7 @@
 pub async fn serve<F, A>(
     listener: TcpListener,
     stop: Stop,
-    served: Served,
+    served: ConnectionTracker,
     idle: impl Fn() -> Duration,
     answer: F,
 ) where
--- a/crates/bluebellreel_net/tests/raw/mod.rs
+++ b/crates/bluebellreel_net/tests/raw/mod.rs
@@ -1,6 +1,6 @@
 //! A server on loopback, and callers that write their bytes by hand.
 
-use bluebellreel_net::{Body, Served, Stop, listen, read_body, serve};
+use bluebellreel_net::{Body, ConnectionTracker, Stop, listen, read_body, serve};
 use bytes::Bytes;
 use http::{Request, Response};
 use hyper::body::Incoming;
@@ -25,7 +25,7 @@
 pub struct Server {
     pub address: SocketAddr,
     pub stop: Stop,
-    pub served: Served,
+    pub served: ConnectionTracker,
     /// Paths of the requests that reached the function.
     pub taken: Rc<RefCell<Vec<String>>>,
     /// Lets the answers to `/held` go on.
@@ -49,7 +49,7 @@
         let server = Self {
             address: listener.local_addr().expect("an address"),
             stop: Stop::default(),
-            served: Served::default(),
+            served: ConnectionTracker::default(),
             taken: Rc::default(),
             go_on: Rc::default(),
             held: Rc::default(),
--- a/crates/bluebellreel_net/tests/stop.rs
+++ b/crates/bluebellreel_net/tests/stop.rs
@@ -226,8 +226,8 @@
         let (answer, end) = other.read_to_end().await;
         assert!(is_last(&answer, "/later"), "{answer:?} {end:?}");
         assert_eq!(end, End::Closed);
-        let over = timeout(TIMEOUT, server.served.over()).await;
-        assert!(over.is_ok(), "{:?}", server.served);
+        let wait_closed = timeout(TIMEOUT, server.served.wait_closed()).await;
+        assert!(wait_closed.is_ok(), "{:?}", server.served);
         assert!(connect().is_err());
     });
 }
@@ -243,7 +243,7 @@
         sleep(Duration::from_millis(50)).await;
         assert!(!server.served.is_over());
         server.go_on.notify_one();
-        server.served.over().await;
+        server.served.wait_closed().await;
         // Nothing of the server runs any more.
         let (answer, end) = caller.read_to_end().await;
         assert!(answer.ends_with("end\r\n0\r\n\r\n"), "{answer}");
