--- a/crates/bluebellreel_net/src/body.rs
+++ b/crates/bluebellreel_net/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers.
+//! Request and response bodies.
 
 use bytes::{Bytes, BytesMut};
 use futures::Stream;
@@ -9,38 +9,39 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// An answer that could not be finished. The connection is closed without the
-/// body's end, so that the caller does not take the answer for a whole one.
+/// A body that ended before it was complete. The connection is closed without the
+/// end of the body, so that the caller does not take the response for a complete
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Broken;
 
 impl fmt::Display for Broken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer was broken off")
+        f.write_str("the body ended before it was complete")
     }
 }
 
 impl std::error::Error for Broken {}
 
-/// Pieces of a body as they come.
+/// Stream of the pieces of a body.
 type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, Broken>>>>;
 
-/// The body of an answer.
+/// The body of a response.
 pub enum Body {
-    /// All of it.
+    /// A complete body; `None` once it has been written.
     Full(Option<Bytes>),
-    /// Pieces as they come. Dropped when the caller goes away, and with it
-    /// all that the stream holds.
+    /// A streamed body. When the caller disconnects, the stream is dropped and with
+    /// it everything that it owns.
     Stream(Pieces),
 }
 
 impl Body {
-    /// A body that is there already.
+    /// Creates a body from complete content.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         Self::Full(Some(bytes.into()))
     }
 
-    /// A body that comes piece by piece.
+    /// Creates a body that is sent piece by piece.
     pub fn stream(pieces: impl Stream<Item = Result<Bytes, Broken>> + 'static) -> Self {
         Self::Stream(Box::pin(pieces))
     }
@@ -75,12 +76,11 @@
     }
 }
 
-/// Reads a whole body.
+/// Reads a whole request body. Returns `None` if it is longer than `limit` bytes.
 ///
 /// # Errors
 ///
-/// `Ok(None)` if it is longer than `limit` bytes; `Err` if it broke off or did
-/// not come in time.
+/// Fails if the body ends early or is not complete within `timeout`.
 pub async fn read_body(
     mut body: Incoming,
     limit: usize,
@@ -97,7 +97,7 @@
             if all.len() + only.as_ref().map_or(0, Bytes::len) + data.len() > limit {
                 return Ok(None);
             }
-            // Most bodies come in one piece, which then needs no copy.
+            // Most bodies arrive in one piece, which needs no copy.
             match only.take() {
                 None if all.is_empty() => only = Some(data),
                 first => {
--- a/crates/bluebellreel_net/src/call.rs
+++ b/crates/bluebellreel_net/src/call.rs
@@ -1,4 +1,4 @@
-//! Small calls between the system's own processes.
+//! Small HTTP calls between the system's own processes.
 
 use crate::{Pool, Reuse};
 use bytes::Bytes;
@@ -8,26 +8,26 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest answer read. A configuration has at most a megabyte, the results of a
-/// job some more.
-const ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// Size limit of a response body, in bytes. A configuration has at most a megabyte,
+/// the results of a job somewhat more.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why a process gave no answer.
+/// Why a call returned no response.
 pub type CallError = String;
 
-/// Makes a call over a kept connection, and reads its whole answer.
+/// Makes a call over a pooled connection and reads the whole response body.
 ///
 /// # Errors
 ///
-/// Gives the reason when there was no whole answer within `longest`; the call may
-/// have taken effect all the same.
+/// Fails if no complete response arrives within `max_wait`. The call may have taken
+/// effect nevertheless.
 pub async fn call(
     pool: &Pool,
     to: SocketAddr,
     method: Method,
     path: &str,
     body: Bytes,
-    longest: Duration,
+    max_wait: Duration,
 ) -> Result<(StatusCode, Bytes), CallError> {
     let mut req = Request::new(Full::new(body));
     *req.method_mut() = method;
@@ -39,12 +39,12 @@
             .send(to, req, Reuse::Any)
             .await
             .map_err(|e| e.to_string())?;
-        let body = reply.body.whole(ANSWER_BYTES).await;
+        let body = reply.body.whole(MAX_RESPONSE_BYTES).await;
         Ok((reply.head.status, body.map_err(|e| e.to_string())?))
     };
-    timeout(longest, sent).await.unwrap_or_else(|_| {
-        // Its kept connections may all have fallen silent.
+    timeout(max_wait, sent).await.unwrap_or_else(|_| {
+        // All pooled connections to this address may be dead.
         pool.drop_idle(to);
-        Err("no answer in time".into())
+        Err("no complete response before the timeout".into())
     })
 }
--- a/crates/bluebellreel_net/src/lib.rs
+++ b/crates/bluebellreel_net/src/lib.rs
@@ -1,9 +1,9 @@
-//! HTTP on one event loop: serving, and calls over kept connections.
+//! HTTP/1.1 server and client for a single-threaded event loop.
 //!
-//! A daemon runs on one thread. [`serve`] answers requests by a function;
-//! [`Pool`] sends them on and keeps connections for the next one. What a
-//! connection's end means is told precisely: [`SendError::Unsent`] says that
-//! nothing reached the other side, [`SendError::Unknown`] that it may have.
+//! [`serve`] passes each request to a handler function; [`Pool`] sends requests and
+//! reuses connections. Failed calls say whether the server may have seen the request:
+//! [`SendError::Unsent`] means that no byte of it was sent, [`SendError::Unknown`]
+//! that it may have arrived.
 //!
 //! ```
 //! use bluebellreel_net::Body;
@@ -14,7 +14,7 @@
 
 mod body;
 mod call;
-mod line;
+mod connection;
 mod pool;
 mod reply;
 mod server;
--- a/crates/bluebellreel_net/src/pool.rs
+++ b/crates/bluebellreel_net/src/pool.rs
@@ -1,7 +1,7 @@
-//! Calls over kept connections.
+//! HTTP client with a pool of reusable connections.
 
 use crate::reply::{Reply, ReplyBody};
-use crate::server::prepare;
+use crate::server::set_socket_options;
 use bytes::Bytes;
 use futures::FutureExt;
 use futures::future::{LocalBoxFuture, Shared};
@@ -19,12 +19,12 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// Nothing reached the other side.
+    /// The server received nothing of the request.
     Unsent(String),
-    /// It may have reached the other side.
+    /// The server may have received the request.
     Unknown(String),
 }
 
@@ -32,54 +32,54 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unsent(reason) => write!(f, "not sent: {reason}"),
-            Self::Unknown(reason) => write!(f, "no answer: {reason}"),
+            Self::Unknown(reason) => write!(f, "no response: {reason}"),
         }
     }
 }
 
-/// Which connection a call may use.
+/// Which connections a call may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// Any kept one.
+    /// A pooled connection, or a new one if there is none.
     Any,
-    /// A new one. For calls that cannot be repeated: a kept connection may
-    /// have fallen silent, or bring an extra answer first.
+    /// Always a new connection. For calls that must not be repeated: a pooled
+    /// connection may be dead, or may deliver a stray response first.
     Never,
 }
 
-/// What a look at an address shows.
+/// Result of a connection attempt to an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// Something listens there.
+    /// A process listens on the address.
     Open,
-    /// The VM answers, and nothing listens there.
+    /// The VM is up and refuses the connection: no process listens on the address.
     Refused,
-    /// No answer that tells.
+    /// Neither of these is certain, for example because the attempt timed out.
     Unknown,
 }
 
-/// Bounds of a pool.
+/// Limits of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// Longest wait for a new connection.
+    /// Timeout for opening a connection.
     pub connect: Duration,
-    /// How long an idle connection is kept when the other side does not say.
+    /// How long an idle connection is kept if the server does not state a time.
     pub idle: Duration,
-    /// Idle connections kept for one address.
+    /// Maximum number of idle connections to one address.
     pub idle_per_address: usize,
 }
 
-/// Taken off the idle time that the other side states, as it counts from its
-/// own last byte.
+/// Subtracted from the idle time that the server states, since the server counts
+/// from the last byte that it sent itself.
 const IDLE_MARGIN: Duration = Duration::from_millis(400);
 
-pub(crate) struct Kept {
+pub(crate) struct PooledConnection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
     pub(crate) task: AbortHandle,
     idle_until: Instant,
 }
 
-impl Drop for Kept {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -87,58 +87,58 @@
 
 pub(crate) struct Inner {
     limits: PoolLimits,
-    idle: RefCell<HashMap<SocketAddr, Vec<Kept>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<PooledConnection>>>,
     opened: Cell<u64>,
-    /// Looks under way.
-    knocks: RefCell<HashMap<SocketAddr, Shared<LocalBoxFuture<'static, ProbeResult>>>>,
+    /// Probes in progress; calls for the same address share them.
+    probes: RefCell<HashMap<SocketAddr, Shared<LocalBoxFuture<'static, ProbeResult>>>>,
 }
 
-/// Kept connections by address. Clones share them.
+/// Connections by address. Clones share the same pool.
 #[derive(Clone)]
 pub struct Pool(Rc<Inner>);
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new(limits: PoolLimits) -> Self {
         Self(Rc::new(Inner {
             limits,
             idle: RefCell::default(),
             opened: Cell::new(0),
-            knocks: RefCell::default(),
+            probes: RefCell::default(),
         }))
     }
 
-    /// Connections opened so far.
+    /// Number of connections opened so far.
     #[must_use]
     pub fn opened(&self) -> u64 {
         self.0.opened.get()
     }
 
-    /// Sends a request and waits for the answer's head.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// Tells whether the request may have reached the other side.
+    /// The error tells whether the server may have received the request.
     pub async fn send(
         &self,
         address: SocketAddr,
         mut req: http::Request<Full<Bytes>>,
         reuse: Reuse,
     ) -> Result<Reply, SendError> {
-        while let Some(mut kept) = self.0.take(address, reuse) {
-            match kept.sender.try_send_request(req).await {
-                Ok(answer) => return Ok(self.reply(address, kept, answer)),
+        while let Some(mut pooled) = self.0.take(address, reuse) {
+            match pooled.sender.try_send_request(req).await {
+                Ok(answer) => return Ok(self.reply(address, pooled, answer)),
                 Err(mut e) => match e.take_message() {
-                    // The connection ended before the request was written.
-                    Some(back) => req = back,
+                    // The connection was closed before the request was written.
+                    Some(unsent_req) => req = unsent_req,
                     None => return Err(SendError::Unknown(e.error().to_string())),
                 },
             }
         }
-        let mut kept = self.connect(address).await?;
-        match kept.sender.try_send_request(req).await {
-            Ok(answer) => Ok(self.reply(address, kept, answer)),
+        let mut pooled = self.connect(address).await?;
+        match pooled.sender.try_send_request(req).await {
+            Ok(answer) => Ok(self.reply(address, pooled, answer)),
             Err(mut e) => {
                 let unsent = e.take_message().is_some();
                 let reason = e.error().to_string();
@@ -151,29 +151,30 @@
         }
     }
 
-    /// Looks whether something listens at an address. Looks at the same time are one;
-    /// a connection that it opens is kept for a call.
+    /// Checks whether a process listens on an address by opening a connection,
+    /// which is kept in the pool for the next call. Concurrent probes of one
+    /// address share one attempt.
     pub async fn probe(&self, address: SocketAddr) -> ProbeResult {
-        let under_way = self.0.knocks.borrow().get(&address).cloned();
-        if let Some(under_way) = under_way {
-            return under_way.await;
+        let in_progress = self.0.probes.borrow().get(&address).cloned();
+        if let Some(in_progress) = in_progress {
+            return in_progress.await;
         }
         let pool = self.clone();
-        let look = async move {
-            let found = pool.knock_once(address).await;
-            pool.0.knocks.borrow_mut().remove(&address);
+        let attempt = async move {
+            let found = pool.probe_once(address).await;
+            pool.0.probes.borrow_mut().remove(&address);
             found
         };
-        let look = look.boxed_local().shared();
-        self.0.knocks.borrow_mut().insert(address, look.clone());
-        look.await
+        let attempt = attempt.boxed_local().shared();
+        self.0.probes.borrow_mut().insert(address, attempt.clone());
+        attempt.await
     }
 
-    async fn knock_once(&self, address: SocketAddr) -> ProbeResult {
+    async fn probe_once(&self, address: SocketAddr) -> ProbeResult {
         match self.dial(address).await {
             Ok(stream) => {
-                if let Ok(kept) = self.speak(stream).await {
-                    self.0.give_back(address, kept, self.0.limits.idle);
+                if let Ok(pooled) = self.start_http(stream).await {
+                    self.0.put_back(address, pooled, self.0.limits.idle);
                 }
                 ProbeResult::Open
             }
@@ -182,45 +183,45 @@
         }
     }
 
-    /// Drops the idle connections that have outlived their time.
+    /// Closes connections that have been idle for longer than their idle time.
     pub fn sweep(&self) {
         let now = Instant::now();
         let mut idle = self.0.idle.borrow_mut();
-        for kept in idle.values_mut() {
-            kept.retain(|k| k.idle_until > now && !k.sender.is_closed());
+        for pooled in idle.values_mut() {
+            pooled.retain(|k| k.idle_until > now && !k.sender.is_closed());
         }
-        idle.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, pooled| !pooled.is_empty());
     }
 
-    /// Drops all idle connections to an address.
+    /// Closes all idle connections to an address.
     pub fn drop_idle(&self, address: SocketAddr) {
         self.0.idle.borrow_mut().remove(&address);
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<Kept, SendError> {
+    async fn connect(&self, address: SocketAddr) -> Result<PooledConnection, SendError> {
         let unsent = |e: io::Error| SendError::Unsent(e.to_string());
         let stream = self.dial(address).await.map_err(unsent)?;
-        self.speak(stream)
+        self.start_http(stream)
             .await
             .map_err(|e| SendError::Unsent(e.to_string()))
     }
 
     async fn dial(&self, address: SocketAddr) -> io::Result<TcpStream> {
-        let late = |_| io::Error::new(io::ErrorKind::TimedOut, "no connection in time");
+        let timed_out = |_| io::Error::new(io::ErrorKind::TimedOut, "connection attempt timed out");
         tokio::time::timeout(self.0.limits.connect, TcpStream::connect(address))
             .await
-            .map_err(late)?
+            .map_err(timed_out)?
     }
 
-    async fn speak(&self, stream: TcpStream) -> hyper::Result<Kept> {
-        prepare(&stream);
+    async fn start_http(&self, stream: TcpStream) -> hyper::Result<PooledConnection> {
+        set_socket_options(&stream);
         self.0.opened.set(self.0.opened.get() + 1);
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let task = tokio::task::spawn_local(async move {
-            // Its end shows in the call that used it.
+            // The call that uses the connection observes its failure.
             let _ = connection.await;
         });
-        Ok(Kept {
+        Ok(PooledConnection {
             sender,
             task: task.abort_handle(),
             idle_until: Instant::now(),
@@ -230,17 +231,18 @@
     fn reply(
         &self,
         address: SocketAddr,
-        kept: Kept,
+        pooled: PooledConnection,
         answer: http::Response<hyper::body::Incoming>,
     ) -> Reply {
         let (head, body) = answer.into_parts();
         let idle = idle_time(&head.headers).unwrap_or(self.0.limits.idle);
-        let body = ReplyBody::new(body, kept, self.0.clone(), address, idle);
+        let body = ReplyBody::new(body, pooled, self.0.clone(), address, idle);
         Reply { head, body }
     }
 }
 
-/// The time that the other side keeps an idle connection.
+/// How long the server keeps an idle connection, according to its `Keep-Alive`
+/// header.
 fn idle_time(headers: &http::HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let stated = text
@@ -251,29 +253,35 @@
 }
 
 impl Inner {
-    fn take(&self, address: SocketAddr, reuse: Reuse) -> Option<Kept> {
+    fn take(&self, address: SocketAddr, reuse: Reuse) -> Option<PooledConnection> {
         if reuse == Reuse::Never {
             return None;
         }
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&address)?;
-        kept.retain(|k| k.idle_until > now && !k.sender.is_closed());
-        // The one used last is the least likely to be closed by the other side.
-        let at = kept.iter().rposition(|k| k.sender.is_ready())?;
-        Some(kept.remove(at))
+        let pooled = idle.get_mut(&address)?;
+        pooled.retain(|k| k.idle_until > now && !k.sender.is_closed());
+        // The most recently used connection is the least likely to have been closed
+        // by the server.
+        let at = pooled.iter().rposition(|k| k.sender.is_ready())?;
+        Some(pooled.remove(at))
     }
 
-    pub(crate) fn give_back(&self, address: SocketAddr, mut kept: Kept, idle: Duration) {
-        if kept.sender.is_closed() {
+    pub(crate) fn put_back(
+        &self,
+        address: SocketAddr,
+        mut pooled: PooledConnection,
+        idle: Duration,
+    ) {
+        if pooled.sender.is_closed() {
             return;
         }
-        kept.idle_until = Instant::now() + idle;
+        pooled.idle_until = Instant::now() + idle;
         let mut all = self.idle.borrow_mut();
         let list = all.entry(address).or_default();
         if list.len() >= self.limits.idle_per_address {
             list.remove(0);
         }
-        list.push(kept);
+        list.push(pooled);
     }
 }
--- a/crates/bluebellreel_net/src/reply.rs
+++ b/crates/bluebellreel_net/src/reply.rs
@@ -1,7 +1,7 @@
-//! Answers to calls.
+//! Responses to calls.
 
 use crate::Broken;
-use crate::pool::{Inner, Kept};
+use crate::pool::{Inner, PooledConnection};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An answer whose body is still to come.
+/// A response whose body has not been read yet.
 pub struct Reply {
     /// Status and headers.
     pub head: http::response::Parts,
@@ -17,13 +17,13 @@
     pub body: ReplyBody,
 }
 
-/// A body that arrives. Read to its end, its connection is kept for the next
-/// call; dropped before, its connection is closed, which ends the run behind
-/// it.
+/// The body of a response. Reading it to its end returns the connection to the
+/// pool; dropping it earlier closes the connection, which cancels the request on
+/// the server.
 pub struct ReplyBody {
     incoming: Incoming,
     broken: bool,
-    kept: Option<Kept>,
+    pooled: Option<PooledConnection>,
     pool: Rc<Inner>,
     address: SocketAddr,
     idle: Duration,
@@ -32,7 +32,7 @@
 impl ReplyBody {
     pub(crate) fn new(
         incoming: Incoming,
-        kept: Kept,
+        pooled: PooledConnection,
         pool: Rc<Inner>,
         address: SocketAddr,
         idle: Duration,
@@ -40,18 +40,19 @@
         Self {
             incoming,
             broken: false,
-            kept: Some(kept),
+            pooled: Some(pooled),
             pool,
             address,
             idle,
         }
     }
 
-    /// The next piece; `None` at the end.
+    /// Reads the next piece; `None` at the end of the body.
     ///
     /// # Errors
     ///
-    /// `Broken` if the body ended before its end, however often it is asked for.
+    /// Returns `Broken` if the connection ended before the body did; later calls
+    /// return it as well.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
         if self.broken {
             return Err(Broken);
@@ -59,14 +60,14 @@
         loop {
             match self.incoming.frame().await {
                 None => {
-                    if let Some(kept) = self.kept.take() {
-                        self.pool.give_back(self.address, kept, self.idle);
+                    if let Some(pooled) = self.pooled.take() {
+                        self.pool.put_back(self.address, pooled, self.idle);
                     }
                     return Ok(None);
                 }
                 Some(Err(_)) => {
                     self.broken = true;
-                    self.kept = None;
+                    self.pooled = None;
                     return Err(Broken);
                 }
                 Some(Ok(frame)) => {
@@ -78,11 +79,11 @@
         }
     }
 
-    /// The whole body, at most `limit` bytes.
+    /// Reads the whole body.
     ///
     /// # Errors
     ///
-    /// `Broken` if it ended early or is longer.
+    /// Returns `Broken` if the body ends early or is longer than `limit` bytes.
     pub async fn whole(&mut self, limit: usize) -> Result<Bytes, Broken> {
         let mut all = BytesMut::new();
         while let Some(piece) = self.next().await? {
--- a/crates/bluebellreel_net/src/server.rs
+++ b/crates/bluebellreel_net/src/server.rs
@@ -1,7 +1,7 @@
-//! Serving HTTP on the loop.
+//! HTTP server on a single-threaded event loop.
 
 use crate::Body;
-use crate::line::{Bytewise, Guarded, Line, Wait};
+use crate::connection::{Awaiting, ConnectionIo, ConnectionState, GuardedBody};
 use http::header::{CONNECTION, HeaderValue};
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -21,36 +21,37 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep};
 
-/// Connections that wait to be accepted. When the queue is full, the kernel
-/// drops the first packet and the caller repeats it after a second.
+/// Length of the accept queue. When it is full, the kernel drops the first packet
+/// of a connection and the caller repeats it after a second.
 const BACKLOG: u32 = 1024;
-/// How long accepting rests after it failed, as it does without descriptors.
-const ACCEPT_REST: Duration = Duration::from_millis(20);
-/// Longest that written bytes may stay unacknowledged. A peer without power
-/// never answers; the kernel alone would hold its connection for minutes.
-const DEAD_PEER: Duration = Duration::from_secs(10);
+/// Pause after a failed accept, for example when no file descriptors are left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How long written bytes may stay unacknowledged before the connection counts as
+/// dead. A machine without power never acknowledges; with the kernel's default its
+/// connection would be held for minutes.
+const DEAD_PEER_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long after its accept a connection of a stopping server may stay without a
-/// request: callers give a new connection a second.
-const FIRST_REQUEST: Duration = Duration::from_secs(1);
-/// Longest wait of a stopping server for the rest of a request's head. Callers
-/// usually may take three seconds.
-const REST: Duration = Duration::from_secs(3);
+/// request. Callers allow one second for a new connection.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a stopping server waits for the rest of a request's head. Callers
+/// usually have three seconds to send it.
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A connection as the HTTP library takes it.
-type Io = TokioIo<Bytewise>;
+/// The I/O type that the HTTP library drives.
+type Io = TokioIo<ConnectionIo>;
 
-/// How far a server's stop is.
+/// Progress of a server's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
-    /// It does not stop.
+    /// Normal operation.
     Serving,
-    /// Connections end after their answer.
+    /// Connections close after their current response.
     Closing,
-    /// No new ones are taken.
+    /// The listener is closed as well.
     Finishing,
 }
 
-/// Asks a server to stop, in two stages.
+/// Stops a server in two stages.
 #[derive(Clone, Debug)]
 pub struct Stop(watch::Sender<Stage>);
 
@@ -61,20 +62,21 @@
 }
 
 impl Stop {
-    /// Closes idle connections now and the others after their answer, which says
-    /// that it is the last one. A connection that comes later is served one
+    /// Closes idle connections at once and the others after their current response,
+    /// which carries `Connection: close`. A connection accepted later serves one
     /// request.
     pub fn close(&self) {
-        self.raise(Stage::Closing);
+        self.advance_to(Stage::Closing);
     }
 
-    /// Closes, and listens no longer. Connections that wait to be accepted are
-    /// still served; [`ConnectionTracker::wait_closed`] tells when all is done.
+    /// Does the same as [`Stop::close`] and closes the listener. Connections in the
+    /// accept queue are still served; [`ConnectionTracker::wait_closed`] waits for
+    /// the end of all.
     pub fn finish(&self) {
-        self.raise(Stage::Finishing);
+        self.advance_to(Stage::Finishing);
     }
 
-    fn raise(&self, stage: Stage) {
+    fn advance_to(&self, stage: Stage) {
         self.0.send_modify(|now| *now = stage.max(*now));
     }
 
@@ -82,65 +84,67 @@
         *self.0.borrow() >= Stage::Closing
     }
 
-    /// Ends once the stop has come to a stage.
+    /// Waits until the shutdown has reached a stage.
     async fn reached(&self, stage: Stage) {
-        // The sender lives as long as `self`.
+        // Cannot fail: `self` owns the sender.
         let _ = self.0.subscribe().wait_for(|now| *now >= stage).await;
     }
 }
 
 #[derive(Debug, Default)]
-struct Counts {
+struct ConnectionCounts {
     listeners: Cell<usize>,
     open: Cell<usize>,
     changed: Notify,
 }
 
-/// What a server holds: its listener and its connections.
+/// Counts a server's open listeners and connections.
 #[derive(Clone, Debug, Default)]
-pub struct ConnectionTracker(Rc<Counts>);
+pub struct ConnectionTracker(Rc<ConnectionCounts>);
 
 impl ConnectionTracker {
-    /// Connections that are open now.
+    /// Number of open connections.
     #[must_use]
     pub fn open(&self) -> usize {
         self.0.open.get()
     }
 
-    /// Whether nothing is open and nothing can come: the process may end.
+    /// Whether the listener and all connections are closed, so that the process may
+    /// exit.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.0.listeners.get() == 0 && self.open() == 0
     }
 
-    /// Waits until that is so, which needs [`Stop::finish`].
+    /// Waits until the listener and all connections are closed. The listener closes
+    /// only after [`Stop::finish`].
     pub async fn wait_closed(&self) {
         loop {
             let changed = self.0.changed.notified();
-            if self.is_over() {
+            if self.is_closed() {
                 return;
             }
             changed.await;
         }
     }
 
-    fn listen(&self) -> Counted {
-        Counted::new(&self.0, |counts| &counts.listeners)
+    fn listen(&self) -> CountGuard {
+        CountGuard::new(&self.0, |counts| &counts.listeners)
     }
 
-    fn accept(&self) -> Counted {
-        Counted::new(&self.0, |counts| &counts.open)
+    fn accept(&self) -> CountGuard {
+        CountGuard::new(&self.0, |counts| &counts.open)
     }
 }
 
-/// Something that is counted while it lasts.
-struct Counted {
-    counts: Rc<Counts>,
-    of: fn(&Counts) -> &Cell<usize>,
+/// Decrements its counter when dropped.
+struct CountGuard {
+    counts: Rc<ConnectionCounts>,
+    of: fn(&ConnectionCounts) -> &Cell<usize>,
 }
 
-impl Counted {
-    fn new(counts: &Rc<Counts>, of: fn(&Counts) -> &Cell<usize>) -> Self {
+impl CountGuard {
+    fn new(counts: &Rc<ConnectionCounts>, of: fn(&ConnectionCounts) -> &Cell<usize>) -> Self {
         let count = of(counts);
         count.set(count.get() + 1);
         Self {
@@ -150,7 +154,7 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         let count = (self.of)(&self.counts);
         count.set(count.get().saturating_sub(1));
@@ -158,11 +162,11 @@
     }
 }
 
-/// Listens on an address, also when an earlier process has just left it.
+/// Listens on an address, even if a previous process has only just released it.
 ///
 /// # Errors
 ///
-/// Gives the system's error when the address cannot be used.
+/// Returns the system's error if the address cannot be bound.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -173,8 +177,8 @@
     socket.listen(BACKLOG)
 }
 
-/// Serves each connection by `answer` until the server is asked to finish. `idle`
-/// gives how long a new connection may stay without a request.
+/// Serves connections with the handler `answer` until [`Stop::finish`] is called.
+/// `idle` returns how long a new connection may stay without a request.
 pub async fn serve<F, A>(
     listener: TcpListener,
     stop: Stop,
@@ -203,23 +207,24 @@
         match accepted {
             Ok((stream, _)) => begin(stream),
             Err(e) => {
-                warn!(target: "http", error:% = e; "no connection accepted");
-                sleep(ACCEPT_REST).await;
+                warn!(target: "http", error:% = e; "accept failed");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
-    match waiting(listener) {
+    match accept_pending(listener) {
         Ok(streams) => streams.into_iter().for_each(begin),
-        Err(e) => warn!(target: "http", error:% = e; "no connection accepted"),
+        Err(e) => warn!(target: "http", error:% = e; "accept failed"),
     }
     drop(listening);
 }
 
-/// Closes a listener; gives the connections that waited to be accepted. Their
-/// callers have connected and may have sent a request: the end of the listener
-/// would reset them.
-fn waiting(listener: TcpListener) -> io::Result<Vec<TcpStream>> {
-    // The runtime knows only of those that came before its last look.
+/// Closes a listener and returns the connections in its accept queue. Their callers
+/// are connected and may have sent a request, which closing the listener would
+/// reset.
+fn accept_pending(listener: TcpListener) -> io::Result<Vec<TcpStream>> {
+    // The runtime only knows of connections that had arrived when it last polled
+    // the listener.
     let listener = listener.into_std()?;
     let mut streams = Vec::new();
     while let Ok((stream, _)) = listener.accept() {
@@ -229,63 +234,70 @@
     Ok(streams)
 }
 
-/// Serves one connection until it ends.
+/// Serves one connection until it closes.
 async fn serve_one<F, A>(stream: TcpStream, stop: Stop, idle: Duration, answer: Rc<F>)
 where
     F: Fn(hyper::Request<Incoming>) -> A + 'static,
     A: Future<Output = hyper::Response<Body>> + 'static,
 {
-    prepare(&stream);
-    let line = Line::new(stream);
-    let (of_requests, asked) = (line.clone(), stop.clone());
+    set_socket_options(&stream);
+    let state = ConnectionState::new(stream);
+    let (state_of_requests, stop_of_requests) = (state.clone(), stop.clone());
     let service = service_fn(move |req| {
-        let until_out = of_requests.take();
-        let (line, asked, answer) = (of_requests.clone(), asked.clone(), answer.clone());
+        let request = state_of_requests.take();
+        let (state, stop_of_requests, answer) = (
+            state_of_requests.clone(),
+            stop_of_requests.clone(),
+            answer.clone(),
+        );
         async move {
             let mut answer = answer(req).await;
-            say_last(&line, &asked, &mut answer);
-            Ok::<_, Infallible>(answer.map(|body| Guarded::new(body, until_out)))
+            announce_close(&state, &stop_of_requests, &mut answer);
+            Ok::<_, Infallible>(answer.map(|body| GuardedBody::new(body, request)))
         }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(idle)
-        .serve_connection(TokioIo::new(Bytewise::new(line.clone())), service);
+        .serve_connection(TokioIo::new(ConnectionIo::new(state.clone())), service);
     let mut connection = pin!(connection);
     tokio::select! {
-        // How a caller's connection ends is the caller's affair: what it meant
-        // for a request is logged where the request is.
+        // Not an error of the server: its effect on a request is logged with the
+        // request.
         _ = connection.as_mut() => return,
         () = stop.reached(Stage::Closing) => {}
     }
-    end(connection, &line).await;
+    close_when_idle(connection, &state).await;
 }
 
-/// Serves a connection of a stopping server until nothing of a request has come
-/// on it. Asked for its end before, the HTTP library drops requests that are not
-/// read yet, or half read, and closes new connections under their first one.
-async fn end<S>(mut connection: Pin<&mut http1::Connection<Io, S>>, line: &Line)
-where
-    S: HttpService<Incoming, ResBody = Guarded, Error = Infallible>,
+/// Serves a connection of a stopping server until no part of a further request has
+/// arrived on it, then closes it. If told to shut down earlier, the HTTP library
+/// drops requests that are unread or half read, and closes a new connection before
+/// its first request has arrived.
+async fn close_when_idle<S>(
+    mut connection: Pin<&mut http1::Connection<Io, S>>,
+    state: &ConnectionState,
+) where
+    S: HttpService<Incoming, ResBody = GuardedBody, Error = Infallible>,
 {
     let mut due = pin!(sleep(Duration::ZERO));
-    let mut rest_due = None;
-    let mut is_asked = false;
+    let mut head_due = None;
+    let mut shutdown_requested = false;
     poll_fn(|cx| {
         loop {
             if connection.as_mut().poll(cx).is_ready() {
                 return Poll::Ready(());
             }
-            if is_asked || line.is_looked_after() {
-                rest_due = None;
+            if shutdown_requested || state.is_busy_or_closing() {
+                head_due = None;
                 return Poll::Pending;
             }
             let now = Instant::now();
-            let wait = line.wait();
-            let until = match wait {
-                Wait::First => line.accepted_at + FIRST_REQUEST,
-                Wait::Rest => *rest_due.get_or_insert(now + REST),
-                Wait::Nothing => now,
+            let awaiting = state.awaiting();
+            let until = match awaiting {
+                Awaiting::FirstRequest => state.accepted_at + FIRST_REQUEST_TIMEOUT,
+                Awaiting::RestOfRequest => *head_due.get_or_insert(now + REQUEST_HEAD_TIMEOUT),
+                Awaiting::Nothing => now,
             };
             if until > now {
                 due.as_mut().reset(until);
@@ -293,18 +305,19 @@
                     return Poll::Pending;
                 }
             }
-            if wait == Wait::Rest {
+            if awaiting == Awaiting::RestOfRequest {
                 return Poll::Ready(());
             }
-            is_asked = true;
+            shutdown_requested = true;
             connection.as_mut().graceful_shutdown();
         }
     })
     .await;
 }
 
-/// Has an answer say that it is the last one if the server stops, and notes it.
-fn say_last(line: &Line, stop: &Stop, answer: &mut hyper::Response<Body>) {
+/// Adds `Connection: close` to a response if the server is stopping, and records a
+/// response that carries it.
+fn announce_close(state: &ConnectionState, stop: &Stop, answer: &mut hyper::Response<Body>) {
     if stop.is_closing() {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(CONNECTION, close);
@@ -314,17 +327,17 @@
         .get(CONNECTION)
         .is_some_and(|v| v == "close")
     {
-        line.say_last();
+        state.announce_close();
     }
 }
 
-/// Sends small writes at once, and notices a peer that is gone.
-pub(crate) fn prepare(stream: &TcpStream) {
+/// Disables Nagle's algorithm and sets the timeout for unacknowledged data.
+pub(crate) fn set_socket_options(stream: &TcpStream) {
     if let Err(e) = stream.set_nodelay(true) {
-        warn!(target: "http", error:% = e; "no-delay not set");
+        warn!(target: "http", error:% = e; "cannot set TCP_NODELAY");
     }
     let socket = socket2::SockRef::from(stream);
-    if let Err(e) = socket.set_tcp_user_timeout(Some(DEAD_PEER)) {
-        warn!(target: "http", error:% = e; "user timeout not set");
+    if let Err(e) = socket.set_tcp_user_timeout(Some(DEAD_PEER_TIMEOUT)) {
+        warn!(target: "http", error:% = e; "cannot set TCP_USER_TIMEOUT");
     }
 }
--- a/crates/bluebellreel_net/src/tasks.rs
+++ b/crates/bluebellreel_net/src/tasks.rs
@@ -1,14 +1,14 @@
-//! Work that comes again and again.
+//! Periodic tasks.
 
 use std::time::Duration;
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, MissedTickBehavior, interval_at};
 
-/// A task that [`every`] started; dropped, it goes on.
+/// Handle of a task started by [`every`]. Dropping it does not stop the task.
 pub type Periodic = JoinHandle<()>;
 
-/// Calls `work` once each `span`. After a pause of the process it goes on
-/// from the present and does not make up for what it missed.
+/// Calls `work` once per `span`. Calls missed while the process was suspended are
+/// skipped.
 pub fn every(span: Duration, mut work: impl FnMut() + 'static) -> Periodic {
     tokio::task::spawn_local(async move {
         let mut ticks = interval_at(Instant::now() + span, span);
--- a/crates/bluebellreel_net/tests/raw/mod.rs
+++ b/crates/bluebellreel_net/tests/raw/mod.rs
@@ -1,4 +1,4 @@
-//! A server on loopback, and callers that write their bytes by hand.
+//! A server on the loopback interface, and callers that write raw bytes.
 
 use bluebellreel_net::{Body, ConnectionTracker, Stop, listen, read_body, serve};
 use bytes::Bytes;
@@ -16,26 +16,27 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a test waits for what must come, however slow the machine is.
+/// Timeout for events that must happen, generous enough for a slow machine.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
-/// Time a connection may stay without a request while nothing stops.
+/// How long a connection may stay without a request while the server is not
+/// stopping.
 const IDLE: Duration = Duration::from_mins(2);
 
-/// A server that a test stops.
+/// A server under test.
 pub struct Server {
     pub address: SocketAddr,
     pub stop: Stop,
     pub served: ConnectionTracker,
-    /// Paths of the requests that reached the function.
+    /// Paths of the requests passed to the handler.
     pub taken: Rc<RefCell<Vec<String>>>,
-    /// Lets the answers to `/held` go on.
+    /// Completes the responses to `/held`.
     pub go_on: Rc<Notify>,
-    /// Whether answers to `/held` have begun.
+    /// Whether a response to `/held` has started.
     pub held: Rc<Cell<bool>>,
 }
 
 impl Server {
-    /// Runs a test before a server.
+    /// Runs a test against a new server.
     pub fn test<T: Future<Output = ()>>(test: impl FnOnce(Self) -> T) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -69,7 +70,7 @@
         server
     }
 
-    /// Waits until something is so.
+    /// Waits until a condition holds.
     pub async fn until(&self, what: &str, is_so: impl Fn(&Self) -> bool) {
         let until = Instant::now() + TIMEOUT;
         while !is_so(self) {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Connects a caller that the server has accepted.
+    /// Opens a connection and waits until the server has accepted it.
     pub async fn connect(&self) -> Caller {
         let open = self.served.open();
         let caller = Caller(TcpStream::connect(self.address).await.expect("accepted"));
@@ -87,7 +88,7 @@
         caller
     }
 
-    /// Connects a caller whose connection has answered a request.
+    /// Opens a connection and completes one request on it.
     pub async fn connect_and_ask(&self) -> Caller {
         let mut caller = self.connect().await;
         caller.write("GET /first HTTP/1.1\r\nhost: a\r\n\r\n");
@@ -106,7 +107,7 @@
     let path = req.uri().path().to_owned();
     taken.borrow_mut().push(path.clone());
     if path == "/refused" {
-        // Without reading the body.
+        // Answers without reading the body.
         return Response::new(Body::full(path));
     }
     let read = read_body(req.into_body(), 1 << 20, TIMEOUT).await;
@@ -126,9 +127,9 @@
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// In order.
+    /// Orderly, by a FIN.
     Closed,
-    /// By a reset.
+    /// By a RST.
     Reset,
 }
 
@@ -136,14 +137,14 @@
 pub struct Caller(pub TcpStream);
 
 impl Caller {
-    /// Writes bytes at once: the server can't run before they are with the
-    /// kernel.
+    /// Writes bytes synchronously: the server cannot run before the kernel has
+    /// them.
     pub fn write(&self, text: &str) {
         let written = self.0.try_write(text.as_bytes());
         assert_eq!(written.ok(), Some(text.len()));
     }
 
-    /// Reads one answer of known length.
+    /// Reads one response that has a `Content-Length`.
     pub async fn read_answer(&mut self) -> String {
         let mut all = Vec::new();
         loop {
--- a/crates/bluebellreel_net/tests/stop.rs
+++ b/crates/bluebellreel_net/tests/stop.rs
@@ -1,4 +1,5 @@
-//! Connections of a server that is asked to stop, as callers see their bytes.
+//! How a stopping server treats its connections, checked on the bytes that callers
+//! see.
 
 mod raw;
 
@@ -8,10 +9,11 @@
 use tokio::time::{sleep, timeout};
 
 const LATER: &str = "GET /later HTTP/1.1\r\nhost: a\r\n\r\n";
-/// A request that says how long its body is, and half of that.
+/// A request with half of the body that its `Content-Length` states.
 const HALF_BODY: &str = "POST /body HTTP/1.1\r\nhost: a\r\ncontent-length: 8\r\n\r\nhalf";
 
-/// Whether these bytes are one whole answer that asks for the connection's end.
+/// Whether these bytes are exactly one complete response that carries `Connection:
+/// close`.
 fn is_last(answer: &str, body: &str) -> bool {
     answer.starts_with("HTTP/1.1 200 ")
         && answer.to_lowercase().contains("\r\nconnection: close\r\n")
@@ -29,10 +31,10 @@
     });
 }
 
-/// A caller's kept connection takes its next request just when the server stops:
-/// the bytes are there and the server has not looked. It saw its connection reset
-/// with no answer, and could not tell whether the request had run. The server
-/// took a connection for idle whose bytes it had not read.
+/// Guards against taking a connection with unread bytes for an idle one. A caller
+/// sends the next request on its open connection just as the server stops: the
+/// kernel has the bytes, the server has not polled. The connection was reset
+/// without a response, and the caller could not tell whether the request had run.
 #[test]
 fn a_request_that_came_before_the_close_is_answered() {
     Server::test(|server| async move {
@@ -45,7 +47,7 @@
     });
 }
 
-/// The same, and the rest of the request's head comes a moment after the close.
+/// As above, but the rest of the request's head arrives shortly after the close.
 /// The server had read the first half and dropped it.
 #[test]
 fn a_request_half_read_at_the_close_is_answered() {
@@ -96,8 +98,9 @@
     });
 }
 
-/// A caller connects, and its first request is on its way when the server stops.
-/// The connection was closed under it, as nothing had been read from it yet.
+/// Guards against closing a new connection whose first request is on its way when
+/// the server stops. The server closed it because it had not read anything from it
+/// yet.
 #[test]
 fn a_new_connection_is_given_its_first_request() {
     Server::test(|server| async move {
@@ -111,9 +114,10 @@
     });
 }
 
-/// Two requests are written at once while the server goes on; it stops during the
-/// first answer, whose head promised that the connection stays. The second had
-/// been read by then and was dropped without an answer.
+/// Guards against dropping a pipelined request. A caller writes two requests at
+/// once; the server stops during the first response, whose head had promised to
+/// keep the connection open. The second request had been read by then and was
+/// dropped without a response.
 #[test]
 fn a_request_behind_another_is_answered() {
     Server::test(|server| async move {
@@ -133,8 +137,8 @@
     });
 }
 
-/// Once an answer has said that it is the last one, nothing behind it is run: the
-/// caller sends it again elsewhere.
+/// After a response with `Connection: close`, no further request on that connection
+/// runs: the caller sends it again elsewhere.
 #[test]
 fn nothing_runs_behind_the_last_answer() {
     Server::test(|server| async move {
@@ -148,9 +152,10 @@
     });
 }
 
-/// A stopping server refuses a request whose long body is still being sent. The
-/// caller saw a reset instead of the refusal, and could not tell that the request
-/// had not run: closing a connection with unread bytes resets it.
+/// Guards against resetting a connection with unread bytes. A stopping server
+/// refuses a request whose long body is still being sent. Closing the connection
+/// with unread bytes reset it, so that the caller saw no refusal and could not tell
+/// that the request had not run.
 #[test]
 fn a_refusal_outlives_the_body_that_nobody_reads() {
     Server::test(|server| async move {
@@ -172,8 +177,8 @@
     });
 }
 
-/// Callers that connect and say nothing, or stop in the middle of a request's
-/// head, held the stop until its very end.
+/// Guards against connections that delay a stop: callers that connect and send
+/// nothing, or only part of a request's head, delayed it until its deadline.
 #[test]
 fn silent_callers_do_not_hold_a_stop() {
     Server::test(|server| async move {
@@ -188,7 +193,7 @@
     });
 }
 
-/// The same for callers that connect after the close.
+/// As above, for callers that connect after the close.
 #[test]
 fn late_silent_callers_do_not_hold_a_stop() {
     Server::test(|server| async move {
@@ -201,8 +206,8 @@
     });
 }
 
-/// A caller's connection, with its request, waits to be accepted at the moment in
-/// which the listener ends. It was reset, and with it the request.
+/// Guards against losing requests in the accept queue: closing the listener reset
+/// connections that had not been accepted yet, together with their requests.
 #[test]
 fn what_waits_to_be_accepted_is_served() {
     Server::test(|server| async move {
@@ -214,7 +219,8 @@
         };
         let mut caller = Caller(connect().expect("listened on"));
         caller.0.writable().await.expect("connected");
-        // The server has no turn between this and the end of its listener.
+        // The server's task does not run between this connect and the close of its
+        // listener.
         let mut other = Caller(connect().expect("listened on"));
         server.stop.finish();
         caller.write(LATER);
@@ -226,13 +232,13 @@
         let (answer, end) = other.read_to_end().await;
         assert!(is_last(&answer, "/later"), "{answer:?} {end:?}");
         assert_eq!(end, End::Closed);
-        let wait_closed = timeout(TIMEOUT, server.served.wait_closed()).await;
-        assert!(wait_closed.is_ok(), "{:?}", server.served);
+        let closed = timeout(TIMEOUT, server.served.wait_closed()).await;
+        assert!(closed.is_ok(), "{:?}", server.served);
         assert!(connect().is_err());
     });
 }
 
-/// The end is told only once the last answer is out.
+/// The server reports its end only after the last response is written.
 #[test]
 fn a_server_is_over_after_its_last_answer() {
     Server::test(|server| async move {
@@ -241,10 +247,10 @@
         server.until("it has begun", |s| s.held.get()).await;
         server.stop.finish();
         sleep(Duration::from_millis(50)).await;
-        assert!(!server.served.is_over());
+        assert!(!server.served.is_closed());
         server.go_on.notify_one();
         server.served.wait_closed().await;
-        // Nothing of the server runs any more.
+        // No task of the server runs any more.
         let (answer, end) = caller.read_to_end().await;
         assert!(answer.ends_with("end\r\n0\r\n\r\n"), "{answer}");
         assert_eq!(end, End::Closed);
