--- a/crates/bluebellreel_entry/src/jobs/part/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/part/tests.rs
@@ -79,7 +79,7 @@
     };
     let send = |_: &str, _: &serde_json::Value| Err(KvError::NotDone("no service".into()));
     let run = Incarnation(1);
-    let kv = KvClient::over(Box::new(send), kv_settings, run, clock.clone());
+    let kv = KvClient::with_transport(Box::new(send), kv_settings, run, clock.clone());
     Parts {
         run,
         clock: clock.clone(),
--- a/crates/bluebellreel_entry/src/jobs/store/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/store/tests.rs
@@ -38,7 +38,7 @@
             call_timeout: Duration::from_secs(1),
             calls_per_second: 1_000_000,
         };
-        let kv = KvClient::over(Box::new(send), settings, Incarnation(1), clock.clone());
+        let kv = KvClient::with_transport(Box::new(send), settings, Incarnation(1), clock.clone());
         Self {
             kv,
             data: ChunkAccess::default(),
--- a/crates/bluebellreel_entry/src/jobs/sweep.rs
+++ b/crates/bluebellreel_entry/src/jobs/sweep.rs
@@ -252,7 +252,8 @@
                 call_timeout: Duration::from_secs(1),
                 calls_per_second: 1_000_000,
             };
-            let kv = KvClient::over(Box::new(send), settings, Incarnation(1), clock.clone());
+            let kv =
+                KvClient::with_transport(Box::new(send), settings, Incarnation(1), clock.clone());
             let data = ChunkAccess::default();
             Self { kv, data, clock }
         }
--- a/crates/bluebellreel_kv/src/client.rs
+++ b/crates/bluebellreel_kv/src/client.rs
@@ -58,12 +58,17 @@
     #[must_use]
     pub fn new(settings: KvSettings, run: Incarnation, clock: Clock) -> Self {
         let send = http_transport(&settings);
-        Self::over(send, settings, run, clock)
+        Self::with_transport(send, settings, run, clock)
     }
 
     /// A client over any transport.
     #[must_use]
-    pub fn over(send: KvTransport, settings: KvSettings, run: Incarnation, clock: Clock) -> Self {
+    pub fn with_transport(
+        send: KvTransport,
+        settings: KvSettings,
+        run: Incarnation,
+        clock: Clock,
+    ) -> Self {
         let budget = CallBudget::new(settings.calls_per_second, clock.now());
         Self {
             settings,
