--- a/crates/bluebellreel_kv/src/budget.rs
+++ b/crates/bluebellreel_kv/src/budget.rs
@@ -1,40 +1,41 @@
-//! A bound on the calls that one process makes.
+//! Rate limit for the calls of one process.
 
 use bluebellreel_types::Moment;
 use std::time::Duration;
 
-/// Calls a second, with a second's worth saved up.
+/// Token bucket that holds at most one second's calls.
 ///
-/// The service counts each call of the whole fleet: one process that loops on
-/// an error must not use up what the others need.
+/// The service limits the calls of the whole fleet together: a process that retries
+/// an error in a loop must not use up the calls of the others.
 #[derive(Debug)]
 pub struct CallBudget {
     rate: f64,
-    left: f64,
-    at: Moment,
+    available: f64,
+    updated_at: Moment,
 }
 
 impl CallBudget {
-    /// A full budget of `rate` calls a second.
+    /// Creates a full budget of `rate` calls per second.
     #[must_use]
     pub fn new(rate: u32, now: Moment) -> Self {
         let rate = f64::from(rate.max(1));
         Self {
             rate,
-            left: rate,
-            at: now,
+            available: rate,
+            updated_at: now,
         }
     }
 
-    /// Takes one call; the pause to keep before it is made.
+    /// Takes one call from the budget and returns how long to wait before making
+    /// it.
     pub fn take(&mut self, now: Moment) -> Duration {
-        let gained = now.since(self.at).as_secs_f64() * self.rate;
-        self.left = (self.left + gained).min(self.rate) - 1.0;
-        self.at = now;
-        if self.left >= 0.0 {
+        let gained = now.since(self.updated_at).as_secs_f64() * self.rate;
+        self.available = (self.available + gained).min(self.rate) - 1.0;
+        self.updated_at = now;
+        if self.available >= 0.0 {
             return Duration::ZERO;
         }
-        Duration::from_secs_f64(-self.left / self.rate)
+        Duration::from_secs_f64(-self.available / self.rate)
     }
 }
 
--- a/crates/bluebellreel_kv/src/client.rs
+++ b/crates/bluebellreel_kv/src/client.rs
@@ -1,6 +1,6 @@
-//! Calls to the key-value service.
+//! Client of the key-value service.
 
-use crate::gateway::{self, LeaseAnswer, RangeAnswer, Streamed, TxnAnswer};
+use crate::gateway::{self, LeaseAnswer, RangeAnswer, StreamMessage, TxnAnswer};
 use crate::outage::Outage;
 use crate::{Backoff, CallBudget, Commit, Key, KeyValue, KvError, Txn};
 use bluebellreel_http::is_unsent;
@@ -11,24 +11,24 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Keys that one read of a range brings.
+/// Number of keys read per page of a range.
 const RANGE_PAGE: usize = 64;
 
-/// How the service is reached.
+/// Settings of a client.
 #[derive(Clone, Debug)]
 pub struct KvSettings {
-    /// Its address as a URL, without a path.
+    /// URL of the service, without a path.
     pub url: String,
-    /// Longest wait for one call.
+    /// Timeout of one call.
     pub call_timeout: Duration,
-    /// Calls a second that this process makes at the most.
+    /// Maximum number of calls per second of this process.
     pub calls_per_second: u32,
 }
 
 /// Calls made so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KvCounts {
-    /// Guarded writes and lease calls.
+    /// Writes and lease calls.
     pub writes: u64,
     /// Reads.
     pub reads: u64,
@@ -36,10 +36,10 @@
     pub failures: u64,
 }
 
-/// Sends one call, by its path and body, and gives the answer's body.
+/// Sends one call, given its path and body, and returns the body of the response.
 pub type KvTransport = Box<dyn Fn(&str, &Value) -> Result<Value, KvError> + Send + Sync>;
 
-/// A client; share it by reference.
+/// A client of the key-value service, shared by reference.
 pub struct KvClient {
     settings: KvSettings,
     send: KvTransport,
@@ -54,14 +54,14 @@
 }
 
 impl KvClient {
-    /// A client for one run of a process, over HTTP.
+    /// Creates a client over HTTP for one run of a process.
     #[must_use]
     pub fn new(settings: KvSettings, run: Incarnation, clock: Clock) -> Self {
         let send = http_transport(&settings);
         Self::with_transport(send, settings, run, clock)
     }
 
-    /// A client over any transport.
+    /// Creates a client over a given transport.
     #[must_use]
     pub fn with_transport(
         send: KvTransport,
@@ -84,10 +84,10 @@
         }
     }
 
-    /// Whether the service seems to be down: calls have failed for a while and
-    /// none has come through. New work that needs it is then refused at once
-    /// instead of being held for an answer that will not come; calls that go on
-    /// in the background, such as the lease's, find out when it is back.
+    /// Whether the service seems to be down: calls have been failing for a while
+    /// and none has succeeded. New work that needs the service is then refused at
+    /// once instead of waiting for a response that will not come. Calls made in the
+    /// background, such as lease renewals, detect when the service is back.
     #[must_use]
     pub fn seems_down(&self) -> bool {
         self.outage
@@ -95,7 +95,7 @@
             .is_ok_and(|outage| outage.seems_down(self.clock.now()))
     }
 
-    /// The present, by the client's clock.
+    /// The current time by the client's clock.
     #[must_use]
     pub fn now(&self) -> Moment {
         self.clock.now()
@@ -107,7 +107,7 @@
         &self.settings.url
     }
 
-    /// Calls made so far.
+    /// Number of calls made so far.
     #[must_use]
     pub fn counts(&self) -> KvCounts {
         KvCounts {
@@ -121,28 +121,29 @@
     ///
     /// # Errors
     ///
-    /// Gives the reason when the service cannot be read.
+    /// Fails if the service cannot be read.
     pub fn get(&self, key: &Key) -> Result<Option<KeyValue>, KvError> {
         let (mut found, _) = self.range_page(key, &[], 1, false)?;
         Ok(found.pop())
     }
 
-    /// Reads all keys that start with `prefix`, and the revision read at.
-    /// Pages follow each other, so keys changed meanwhile may be seen either
-    /// way; a watch from the returned revision brings them again.
+    /// Reads all keys that start with `prefix`, and returns the revision of the
+    /// first page. The pages are read one after the other, so a change made
+    /// meanwhile may or may not be included; a watch from the returned revision
+    /// delivers it in any case.
     ///
     /// # Errors
     ///
-    /// Gives the reason when the service cannot be read.
+    /// Fails if the service cannot be read.
     pub fn list(&self, prefix: &Key) -> Result<(Vec<KeyValue>, i64), KvError> {
         self.list_from(prefix, prefix)
     }
 
-    /// Reads the keys under `prefix` that do not lie before `from`.
+    /// Reads the keys that start with `prefix` and are not less than `from`.
     ///
     /// # Errors
     ///
-    /// Gives the reason when the service cannot be read.
+    /// Fails if the service cannot be read.
     pub fn list_from(&self, prefix: &Key, from: &Key) -> Result<(Vec<KeyValue>, i64), KvError> {
         let mut all = Vec::new();
         let mut revision = None;
@@ -161,11 +162,12 @@
         }
     }
 
-    /// Reads up to `limit` keys from `key` up to `end`.
+    /// Reads up to `limit` keys from `key` (inclusive) to `end` (exclusive), and
+    /// returns whether more follow.
     ///
     /// # Errors
     ///
-    /// Gives the reason when the service cannot be read.
+    /// Fails if the service cannot be read.
     pub fn range_page(
         &self,
         key: &Key,
@@ -191,13 +193,14 @@
         Ok((found, answer.header.revision, answer.more))
     }
 
-    /// Writes, and finds out what became of it until `deadline`.
+    /// Commits a transaction. Retries until the outcome is known or `deadline` has
+    /// passed.
     pub fn commit(&self, txn: &Txn, deadline: Moment) -> Commit {
         let number = self.next_write.fetch_add(1, Ordering::Relaxed);
         let writer = format!("{}-{number}", self.run);
         let body = gateway::txn_body(txn, &writer);
         let mut backoff = Backoff::default();
-        let mut may_be_done = false;
+        let mut may_have_applied = false;
         loop {
             self.writes.fetch_add(1, Ordering::Relaxed);
             let reason = match self.call::<TxnAnswer>("/v3/kv/txn", &body) {
@@ -205,20 +208,20 @@
                     let revision = answer.header.revision;
                     return Commit::Applied { revision };
                 }
-                Ok(answer) => match resolve(answer, txn, &writer) {
+                Ok(answer) => match resolve_failed_guard(answer, txn, &writer) {
                     Ok(commit) => return commit,
                     Err(reason) => reason,
                 },
                 Err(KvError::Refused(reason)) => return Commit::NotDone(reason),
                 Err(KvError::NotDone(reason)) => reason,
                 Err(KvError::Unknown(reason)) => {
-                    may_be_done = true;
+                    may_have_applied = true;
                     reason
                 }
             };
             let pause = backoff.next(&mut rand::rng());
             if deadline.is_past(self.clock.now() + pause) {
-                return if may_be_done {
+                return if may_have_applied {
                     Commit::Unknown(reason)
                 } else {
                     Commit::NotDone(reason)
@@ -228,12 +231,12 @@
         }
     }
 
-    /// Deletes all keys that start with `prefix`. Deleting again does no harm,
-    /// so it is tried until `deadline`.
+    /// Deletes all keys that start with `prefix`. Deletion is idempotent and is
+    /// retried until `deadline`.
     ///
     /// # Errors
     ///
-    /// Gives the reason when it could not be done.
+    /// Returns the last error if no attempt succeeds before `deadline`.
     pub fn delete_prefix(&self, prefix: &Key, deadline: Moment) -> Result<(), KvError> {
         let body = gateway::delete_body(prefix);
         let mut backoff = Backoff::default();
@@ -250,11 +253,11 @@
         }
     }
 
-    /// Asks for a lease; its id.
+    /// Requests a lease and returns its id.
     ///
     /// # Errors
     ///
-    /// Gives the reason when the service does not grant one.
+    /// Fails if the service does not grant a lease.
     pub fn grant(&self, ttl: Duration) -> Result<i64, KvError> {
         self.writes.fetch_add(1, Ordering::Relaxed);
         let body = json!({ "TTL": ttl.as_secs().to_string() });
@@ -262,23 +265,23 @@
         Ok(answer.id)
     }
 
-    /// Renews a lease; whether it was still there.
+    /// Renews a lease and returns whether it still existed.
     ///
     /// # Errors
     ///
-    /// Gives the reason when the service cannot be asked.
+    /// Fails if the service does not answer.
     pub fn keep_alive(&self, lease: i64) -> Result<bool, KvError> {
         self.writes.fetch_add(1, Ordering::Relaxed);
         let body = json!({ "ID": lease.to_string() });
-        let answer: Streamed<LeaseAnswer> = self.call("/v3/lease/keepalive", &body)?;
+        let answer: StreamMessage<LeaseAnswer> = self.call("/v3/lease/keepalive", &body)?;
         Ok(answer.result.ttl > 0)
     }
 
-    /// Gives a lease back.
+    /// Revokes a lease.
     ///
     /// # Errors
     ///
-    /// Gives the reason when the service cannot be asked.
+    /// Fails if the service does not answer.
     pub fn revoke(&self, lease: i64) -> Result<(), KvError> {
         self.writes.fetch_add(1, Ordering::Relaxed);
         let body = json!({ "ID": lease.to_string() });
@@ -299,7 +302,7 @@
             self.failures.fetch_add(1, Ordering::Relaxed);
         }
         if let Ok(mut outage) = self.outage.lock() {
-            outage.note(answered, self.clock.now());
+            outage.record(answered, self.clock.now());
         }
         result
     }
@@ -327,16 +330,20 @@
             .limit(u64::MAX)
             .read_json()
             .map_err(unknown),
-        429 => Err(KvError::NotDone("too many calls".into())),
+        429 => Err(KvError::NotDone(
+            "rate limited by the service (status 429)".into(),
+        )),
         400..500 => {
             let text = answer.body_mut().read_to_string().unwrap_or_default();
             Err(KvError::Refused(text))
         }
-        _ => Err(KvError::Unknown(format!("status {status}"))),
+        _ => Err(KvError::Unknown(format!(
+            "expected status 200, got {status}"
+        ))),
     }
 }
 
-/// Tells errors that came before anything was sent from all others.
+/// Separates errors that occurred before anything was sent from all others.
 fn classify(error: &ureq::Error) -> KvError {
     let reason = error.to_string();
     if is_unsent(error) {
@@ -346,19 +353,19 @@
     }
 }
 
-/// What a failed guard means: our own earlier try took effect, or another's
-/// write came first.
-fn resolve(answer: TxnAnswer, txn: &Txn, writer: &str) -> Result<Commit, String> {
+/// Interprets a failed guard: either an earlier attempt of this write took effect,
+/// or another client's write came first.
+fn resolve_failed_guard(answer: TxnAnswer, txn: &Txn, writer: &str) -> Result<Commit, String> {
     let mut found = Vec::new();
     for response in answer.responses {
         let raw = response.response_range.unwrap_or_default().kvs;
         found.extend(gateway::key_values(raw)?);
     }
     let first = txn.puts.first().map(|put| &put.key);
-    let ours = found
+    let own_write = found
         .iter()
         .find(|kv| Some(&kv.key) == first && kv.writer == writer);
-    Ok(match ours {
+    Ok(match own_write {
         Some(kv) => Commit::Applied {
             revision: kv.revision,
         },
--- a/crates/bluebellreel_kv/src/commit.rs
+++ b/crates/bluebellreel_kv/src/commit.rs
@@ -1,20 +1,21 @@
-//! How a guarded write came out.
+//! Outcome of a guarded write.
 
 use crate::KeyValue;
 
-/// The fate of a transaction.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Commit {
-    /// It took effect, now or in a try whose answer was lost.
+    /// It took effect, in this or in an earlier attempt whose response was lost.
     Applied {
-        /// The revision that it made.
+        /// Revision of the store after the transaction.
         revision: i64,
     },
-    /// Another's write came first. Holds what the keys to read held, the first
-    /// put's key first; absent keys are left out.
+    /// A guard failed because of another client's write. Holds the current values
+    /// of the keys that the transaction reads on failure, the first put's key
+    /// first; keys that do not exist are omitted.
     Beaten(Vec<KeyValue>),
-    /// It was never done.
+    /// It did not take effect and will not.
     NotDone(String),
-    /// It may have taken effect, or may do so yet.
+    /// It may have taken effect, or may still do so.
     Unknown(String),
 }
--- a/crates/bluebellreel_kv/src/error.rs
+++ b/crates/bluebellreel_kv/src/error.rs
@@ -1,15 +1,15 @@
-//! Why a call to the key-value service failed.
+//! Errors of calls to the key-value service.
 
 use std::fmt;
 
 /// A failed call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KvError {
-    /// It was never sent, or refused before it took effect.
+    /// It was not sent, or was refused before it took effect.
     NotDone(String),
     /// It may have taken effect.
     Unknown(String),
-    /// The service refused it for good, as malformed or too large.
+    /// The service refused it permanently, as malformed or too large.
     Refused(String),
 }
 
--- a/crates/bluebellreel_kv/src/gateway.rs
+++ b/crates/bluebellreel_kv/src/gateway.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::{Value, json};
 
-/// Ends the write id at the start of a value.
+/// Separates the write id at the start of a stored value from the value.
 const WRITER_END: u8 = b'\n';
 
 #[derive(Debug, Default, Deserialize)]
@@ -59,7 +59,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub(crate) struct Streamed<T> {
+pub(crate) struct StreamMessage<T> {
     pub(crate) result: T,
 }
 
@@ -80,14 +80,14 @@
     pub(crate) kv: RawKeyValue,
 }
 
-/// Proto3 JSON writes 64-bit numbers as strings.
+/// Proto3 JSON encodes 64-bit numbers as strings.
 fn number<'de, D: Deserializer<'de>>(from: D) -> Result<i64, D::Error> {
     let value = Value::deserialize(from)?;
     let parsed = match &value {
         Value::String(text) => text.parse().ok(),
         other => other.as_i64(),
     };
-    parsed.ok_or_else(|| serde::de::Error::custom("not a 64-bit number"))
+    parsed.ok_or_else(|| serde::de::Error::custom("expected a 64-bit number"))
 }
 
 impl TryFrom<RawKeyValue> for KeyValue {
--- a/crates/bluebellreel_kv/src/key.rs
+++ b/crates/bluebellreel_kv/src/key.rs
@@ -14,7 +14,7 @@
         &self.0
     }
 
-    /// The first key after all that start with this one.
+    /// The first key after all keys that start with this one.
     #[must_use]
     pub fn prefix_end(&self) -> Vec<u8> {
         let mut end = self.0.as_bytes().to_vec();
@@ -52,14 +52,14 @@
     }
 }
 
-/// A stored value, its write id taken off.
+/// A stored value, with its write id removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValue {
-    /// Its key.
+    /// The key.
     pub key: Key,
-    /// Revision of its last change; zero for a key that is not there.
+    /// Revision of the key's last change; zero for a key that does not exist.
     pub revision: i64,
-    /// Id of the write that put it there.
+    /// Id of the write that stored the value.
     pub writer: String,
     /// The value.
     pub value: Vec<u8>,
--- a/crates/bluebellreel_kv/src/lib.rs
+++ b/crates/bluebellreel_kv/src/lib.rs
@@ -1,10 +1,10 @@
-//! Client of the platform's key-value service, by etcd v3's JSON gateway.
+//! Client of the platform's key-value service, over etcd v3's JSON gateway.
 //!
-//! Every value carries the id of the write that put it there. When an answer
-//! is lost, the same guarded transaction is sent again; if its guard no longer
-//! holds, the id that is found tells whether it was our own write that took
-//! effect. What stays open at the deadline is [`Commit::Unknown`], and is never
-//! guessed at.
+//! Every value starts with the id of the write that stored it. When the response to
+//! a guarded transaction is lost, the client sends the same transaction again. If
+//! its guard no longer holds, the stored write id shows whether the client's own
+//! earlier attempt took effect. An outcome that cannot be determined before the
+//! deadline is [`Commit::Unknown`].
 //!
 //! ```
 //! use bluebellreel_kv::{Key, Txn};
@@ -13,6 +13,7 @@
 //! assert_eq!(txn.compares.len(), 1);
 //! ```
 
+mod backoff;
 mod budget;
 mod client;
 mod commit;
@@ -20,15 +21,14 @@
 mod gateway;
 mod key;
 mod outage;
-mod pace;
 mod txn;
 mod watch;
 
+pub use backoff::Backoff;
 pub use budget::CallBudget;
 pub use client::{KvClient, KvCounts, KvSettings, KvTransport};
 pub use commit::Commit;
 pub use error::KvError;
 pub use key::{Key, KeyValue};
-pub use pace::Backoff;
 pub use txn::{Compare, Put, Txn};
 pub use watch::{Watch, WatchEvent};
--- a/crates/bluebellreel_kv/src/outage.rs
+++ b/crates/bluebellreel_kv/src/outage.rs
@@ -1,14 +1,14 @@
-//! Telling an outage from a failed call.
+//! Distinguishes an outage of the service from single failed calls.
 
 use bluebellreel_types::Moment;
 use std::time::Duration;
 
-/// How long calls must have failed.
-const SPAN: Duration = Duration::from_millis(300);
-/// How many must have failed in a row.
-const FAILURES: u32 = 3;
+/// Minimum time over which all calls have failed.
+const MIN_OUTAGE: Duration = Duration::from_millis(300);
+/// Minimum number of consecutive failures.
+const MIN_FAILURES: u32 = 3;
 
-/// Failures in a row.
+/// Consecutive failed calls.
 #[derive(Debug, Default)]
 pub(crate) struct Outage {
     since: Option<Moment>,
@@ -16,8 +16,8 @@
 }
 
 impl Outage {
-    /// Takes in how a call came out.
-    pub(crate) fn note(&mut self, answered: bool, now: Moment) {
+    /// Records whether a call was answered.
+    pub(crate) fn record(&mut self, answered: bool, now: Moment) {
         if answered {
             *self = Self::default();
             return;
@@ -26,10 +26,12 @@
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Whether the service seems to be down.
+    /// Whether the failures amount to an outage.
     pub(crate) fn seems_down(&self, now: Moment) -> bool {
-        let lasted = self.since.is_some_and(|since| (since + SPAN).is_past(now));
-        lasted && self.failures >= FAILURES
+        let lasted = self
+            .since
+            .is_some_and(|since| (since + MIN_OUTAGE).is_past(now));
+        lasted && self.failures >= MIN_FAILURES
     }
 }
 
@@ -41,15 +43,15 @@
     fn one_answer_ends_an_outage() {
         let start = Moment(0);
         let mut outage = Outage::default();
-        for _ in 0..FAILURES {
-            outage.note(false, start);
+        for _ in 0..MIN_FAILURES {
+            outage.record(false, start);
         }
         assert!(
             !outage.seems_down(start),
-            "a burst of failures is no outage yet"
+            "a burst of failures is not yet an outage"
         );
-        assert!(outage.seems_down(start + SPAN));
-        outage.note(true, start + SPAN);
-        assert!(!outage.seems_down(start + SPAN));
+        assert!(outage.seems_down(start + MIN_OUTAGE));
+        outage.record(true, start + MIN_OUTAGE);
+        assert!(!outage.seems_down(start + MIN_OUTAGE));
     }
 }
--- a/crates/bluebellreel_kv/src/txn.rs
+++ b/crates/bluebellreel_kv/src/txn.rs
@@ -1,29 +1,29 @@
-//! Guarded writes.
+//! Guarded transactions.
 
 use crate::Key;
 
-/// A guard.
+/// A condition that must hold for a transaction to take effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Compare {
     /// The key was last changed at this revision.
     Unchanged(Key, i64),
-    /// The key is not there.
+    /// The key does not exist.
     Absent(Key),
 }
 
-/// One write.
+/// A write of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Put {
     /// The key.
     pub key: Key,
-    /// The value, without the write id.
+    /// The value, without the write id, which the client adds.
     pub value: Vec<u8>,
-    /// Lease that the key ends with; zero for none.
+    /// Lease with which the key expires; zero for none.
     pub lease: i64,
 }
 
 impl Put {
-    /// A write that stays until it is replaced or removed.
+    /// A write without a lease: the value stays until it is replaced or deleted.
     #[must_use]
     pub fn lasting(key: Key, value: Vec<u8>) -> Self {
         Self {
@@ -34,23 +34,24 @@
     }
 }
 
-/// Writes that take effect together if all guards hold. The first put is the
-/// one by which a lost answer is resolved, so its guard must fail once the
+/// Writes that take effect together if all guards hold. The first put resolves a
+/// lost response by its write id, so one of the guards must fail once the
 /// transaction has taken effect.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
     /// The guards.
     pub compares: Vec<Compare>,
-    /// The writes.
+    /// Keys written.
     pub puts: Vec<Put>,
     /// Keys deleted.
     pub deletes: Vec<Key>,
-    /// Keys read when a guard fails, after that of the first put.
+    /// Keys read when a guard fails, in addition to the key of the first put, which
+    /// is read before them.
     pub read_on_failure: Vec<Key>,
 }
 
 impl Txn {
-    /// Creates a key that must not be there yet.
+    /// Creates a key that must not exist yet.
     #[must_use]
     pub fn create(key: Key, value: Vec<u8>) -> Self {
         Self {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Replaces a value that was last changed at `revision`.
+    /// Replaces a value whose key was last changed at `revision`.
     #[must_use]
     pub fn replace(key: Key, revision: i64, value: Vec<u8>) -> Self {
         Self {
@@ -84,7 +85,7 @@
         self
     }
 
-    /// Ties the first put to a lease.
+    /// Attaches the first put to a lease.
     #[must_use]
     pub fn leased(mut self, lease: i64) -> Self {
         if let Some(put) = self.puts.first_mut() {
--- a/crates/bluebellreel_kv/src/watch.rs
+++ b/crates/bluebellreel_kv/src/watch.rs
@@ -1,46 +1,46 @@
-//! Watching keys change.
+//! Watches on ranges of keys.
 
-use crate::gateway::{self, Streamed, WatchAnswer};
+use crate::gateway::{self, StreamMessage, WatchAnswer};
 use crate::{Key, KeyValue, KvClient, KvError};
 use std::io::{BufRead, BufReader};
 use std::time::Duration;
 
-/// How long one watch is held. Guards against a connection that has silently
-/// died: it would otherwise bring nothing for ever; the next watch goes on
-/// from the last revision seen.
-const HOLD: Duration = Duration::from_secs(30);
+/// Maximum duration of one watch. Guards against a connection that has died
+/// silently and would never deliver an event again: the caller opens the next watch
+/// at the last revision seen.
+const MAX_WATCH_DURATION: Duration = Duration::from_secs(30);
 
-/// One change.
+/// One change of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// A value was put.
+    /// A value was written.
     Put(KeyValue),
     /// A key was deleted.
     Deleted {
         /// The key.
         key: Key,
-        /// The revision.
+        /// Revision of the deletion.
         revision: i64,
     },
 }
 
-/// A watch over all keys of a prefix.
+/// A watch on all keys with a common prefix.
 pub struct Watch {
     reader: BufReader<Box<dyn std::io::Read + Send>>,
     next: i64,
 }
 
 impl Watch {
-    /// Opens a watch on keys that start with `prefix`, from `revision` on.
+    /// Opens a watch on keys that start with `prefix`, beginning at `revision`.
     ///
     /// # Errors
     ///
-    /// Gives the reason when the service cannot be asked.
+    /// Fails if the service does not accept the watch.
     pub fn open(client: &KvClient, prefix: &Key, revision: i64) -> Result<Self, KvError> {
         let config = ureq::Agent::config_builder()
             .timeout_connect(Some(Duration::from_secs(2)))
             .timeout_recv_response(Some(Duration::from_secs(2)))
-            .timeout_recv_body(Some(HOLD))
+            .timeout_recv_body(Some(MAX_WATCH_DURATION))
             .http_status_as_error(false)
             .build();
         let url = format!("{}/v3/watch", client.url());
@@ -50,7 +50,10 @@
             .send_json(gateway::watch_body(prefix, revision))
             .map_err(|e| KvError::NotDone(e.to_string()))?;
         if answer.status().as_u16() != 200 {
-            return Err(KvError::NotDone(format!("status {}", answer.status())));
+            return Err(KvError::NotDone(format!(
+                "expected status 200, got {}",
+                answer.status()
+            )));
         }
         let reader: Box<dyn std::io::Read + Send> = Box::new(answer.into_body().into_reader());
         Ok(Self {
@@ -59,29 +62,30 @@
         })
     }
 
-    /// The revision to go on from after this watch.
+    /// The revision at which the next watch must begin so that no change is missed.
     #[must_use]
     pub fn next_revision(&self) -> i64 {
         self.next
     }
 
-    /// Waits for the next message; empty ones only show that all is well.
+    /// Waits for the next message. A message without events shows that the
+    /// connection is alive.
     ///
     /// # Errors
     ///
-    /// Gives the reason when the watch has ended.
+    /// Fails if the watch has ended.
     pub fn wait(&mut self) -> Result<Vec<WatchEvent>, KvError> {
         let mut line = String::new();
         let ended = |reason: String| KvError::NotDone(reason);
         let read = self.reader.read_line(&mut line);
         if read.map_err(|e| ended(e.to_string()))? == 0 {
-            return Err(ended("the watch was closed".into()));
+            return Err(ended("the service closed the watch".into()));
         }
-        let message: Streamed<WatchAnswer> =
+        let message: StreamMessage<WatchAnswer> =
             serde_json::from_str(&line).map_err(|e| ended(e.to_string()))?;
         let message = message.result;
         if message.canceled {
-            return Err(KvError::Refused("the watch was cancelled".into()));
+            return Err(KvError::Refused("the service cancelled the watch".into()));
         }
         let mut events = Vec::new();
         for event in message.events {
@@ -96,7 +100,8 @@
                 WatchEvent::Put(kv)
             });
         }
-        // A progress notice promises that nothing before its revision is left.
+        // A message without events is a progress notification: all changes up to
+        // its revision have been delivered.
         if events.is_empty() {
             self.next = self.next.max(message.header.revision + 1);
         }
--- a/crates/bluebellreel_kv/tests/lost_answers.rs
+++ b/crates/bluebellreel_kv/tests/lost_answers.rs
@@ -1,4 +1,4 @@
-//! Writes whose answers are lost, against the key-value stand-in.
+//! Writes whose responses are lost, against the key-value stand-in.
 
 use bluebellreel_kv::{Commit, Key, KvClient, KvSettings, Txn, Watch, WatchEvent};
 use bluebellreel_standins::{KvFaults, KvLimits, StandIn, start_kv};
@@ -31,9 +31,9 @@
     client.now() + Duration::from_secs(5)
 }
 
-/// A school's job is accepted, but the answer to the write is lost. The entry
-/// must find out that its own write took effect, and not tell the school that
-/// another was faster or that nothing was accepted.
+/// The write that accepts a job takes effect, but its response is lost. The client
+/// must recognise its own write, instead of reporting that another writer was
+/// faster or that nothing was written.
 #[test]
 fn lost_answer_is_found_to_be_applied_by_us() {
     let (stand_in, client) = start();
@@ -57,8 +57,8 @@
     assert_eq!(found.value, b"first");
 }
 
-/// Two phones change the manifest at once; the second one's answer is lost as
-/// well. It must learn what won, not that its own change is in force.
+/// Two writers change the manifest at the same revision. The one that loses must be
+/// given the value that won, not be told that its own change is in force.
 #[test]
 fn beaten_writer_learns_what_won() {
     let (stand_in, client) = start();
@@ -79,8 +79,9 @@
     assert_eq!(found[0].value, b"two");
 }
 
-/// The service is down: a write that was answered "unavailable" may still have
-/// been done, so it is unknown and never called refused.
+/// A write that was answered "unavailable" may still have taken effect, so its
+/// outcome is unknown, not "not done". Only a write that could not be sent is not
+/// done.
 #[test]
 fn outage_is_unknown_and_a_dead_port_is_not_done() {
     let (stand_in, client) = start();
@@ -99,13 +100,16 @@
         call_timeout: Duration::from_secs(1),
         calls_per_second: 100,
     };
-    let nobody = KvClient::new(settings, Incarnation(3), Clock::start());
-    let deadline = nobody.now() + Duration::from_millis(300);
-    assert!(matches!(nobody.commit(&txn, deadline), Commit::NotDone(_)));
+    let unreachable = KvClient::new(settings, Incarnation(3), Clock::start());
+    let deadline = unreachable.now() + Duration::from_millis(300);
+    assert!(matches!(
+        unreachable.commit(&txn, deadline),
+        Commit::NotDone(_)
+    ));
 }
 
-/// A watch that broke goes on from the revision it had seen: no change between
-/// the two watches may be missed.
+/// A watch that resumes at the revision where an earlier one broke off must not
+/// miss changes made between the two.
 #[test]
 fn resumed_watch_misses_nothing() {
     let (_stand_in, client) = start();
