--- a/crates/bluebellreel_batch/src/record.rs
+++ b/crates/bluebellreel_batch/src/record.rs
@@ -53,7 +53,7 @@
 }
 
 fn never() -> Moment {
-    Moment::FAR
+    Moment::DISTANT_FUTURE
 }
 
 /// A record that cannot be read.
--- a/crates/bluebellreel_batch/tests/ends_at_scale.rs
+++ b/crates/bluebellreel_batch/tests/ends_at_scale.rs
@@ -134,7 +134,7 @@
         let leases = self.jobs.iter().map(|j| j.lease);
         self.oldest = leases.min_by_key(|l| l.asked().at);
         let ends = self.jobs.iter().map(|j| j.ends).min();
-        self.first_end = ends.unwrap_or(Moment::FAR);
+        self.first_end = ends.unwrap_or(Moment::DISTANT_FUTURE);
     }
 
     /// Each job has items that want to start at each look.
@@ -255,7 +255,7 @@
             jobs: Vec::new(),
             call: None,
             oldest: None,
-            first_end: Moment::FAR,
+            first_end: Moment::DISTANT_FUTURE,
             minute: 0,
             minute_bytes: 0,
             rng: &mut *rng,
--- a/crates/bluebellreel_batch/tests/jobs.rs
+++ b/crates/bluebellreel_batch/tests/jobs.rs
@@ -167,7 +167,7 @@
     let bytes = stored.to_string().into_bytes();
     let read = JobRecord::try_from(bytes.as_slice()).expect("it is one");
     assert_eq!(read.owner, record.owner);
-    assert_eq!(read.give_up_at, Moment::FAR);
+    assert_eq!(read.give_up_at, Moment::DISTANT_FUTURE);
 }
 
 /// Two daemons accept at the same moment, each seeing room for one job. The
--- a/crates/bluebellreel_entry/src/jobs/part/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/part/tests.rs
@@ -204,7 +204,7 @@
         side: Incarnation(2),
         class: Class::Batch,
         work: Arc::new(work),
-        deadline: Moment::FAR,
+        deadline: Moment::DISTANT_FUTURE,
         resume: Arc::default(),
         trace: TraceContext::fresh(),
     }
--- a/crates/bluebellreel_entry/src/online/reach.rs
+++ b/crates/bluebellreel_entry/src/online/reach.rs
@@ -36,7 +36,7 @@
         Self {
             reach: Reach::new(limits, entry_key, parts.settings.data_centre.clone()),
             listed: BTreeMap::new(),
-            due_at: Moment::FAR,
+            due_at: Moment::DISTANT_FUTURE,
         }
     }
 
--- a/crates/bluebellreel_job/src/owned.rs
+++ b/crates/bluebellreel_job/src/owned.rs
@@ -173,7 +173,7 @@
             unrecorded_bytes: 0,
             recording: None,
             next_seq: 0,
-            flush_at: Moment::FAR,
+            flush_at: Moment::DISTANT_FUTURE,
             retry_at: Moment(0),
             ended: 0,
             counts: JobCounts::default(),
@@ -348,7 +348,7 @@
         self.next_seq += 1;
         self.unrecorded_bytes = self.unrecorded.iter().map(result_size).sum();
         self.flush_at = if self.unrecorded.is_empty() {
-            Moment::FAR
+            Moment::DISTANT_FUTURE
         } else {
             now + self.limits.group_wait
         };
--- a/crates/bluebellreel_job/src/owned/poll.rs
+++ b/crates/bluebellreel_job/src/owned/poll.rs
@@ -126,7 +126,7 @@
             // one whose answer was lost is found instead of doubled.
             if self.flush_at.is_past(now) {
                 let (seq, results) = (*seq, results.clone());
-                self.flush_at = Moment::FAR;
+                self.flush_at = Moment::DISTANT_FUTURE;
                 effects.push(JobEffect::Record { seq, results });
             }
             return;
@@ -145,7 +145,7 @@
         let results = self.next_group();
         let seq = self.next_seq;
         self.recording = Some((seq, results.clone()));
-        self.flush_at = Moment::FAR;
+        self.flush_at = Moment::DISTANT_FUTURE;
         effects.push(JobEffect::Record { seq, results });
     }
 
--- a/crates/bluebellreel_model/src/call.rs
+++ b/crates/bluebellreel_model/src/call.rs
@@ -233,7 +233,7 @@
             key: Arc::from("slot"),
             team: "member".into(),
         }),
-        deadline: Moment::FAR,
+        deadline: Moment::DISTANT_FUTURE,
         resume: Arc::from(""),
         trace: TraceContext {
             trace: 1,
--- a/crates/bluebellreel_side/tests/stop.rs
+++ b/crates/bluebellreel_side/tests/stop.rs
@@ -15,7 +15,7 @@
 /// Longest wait for anything; generous, as machines are busy.
 const LONGEST: Duration = Duration::from_mins(1);
 /// A deadline far away.
-const FAR: Moment = Moment::FAR;
+const DISTANT_FUTURE: Moment = Moment::DISTANT_FUTURE;
 
 /// A side process beside a service that is never reached.
 fn start() -> Side {
@@ -86,7 +86,7 @@
                 key: Arc::from("k"),
                 team: TeamName::from("school"),
             }),
-            deadline: FAR,
+            deadline: DISTANT_FUTURE,
             resume: Arc::from(""),
             trace: TraceContext::fresh(),
         });
--- a/crates/bluebellreel_types/src/time.rs
+++ b/crates/bluebellreel_types/src/time.rs
@@ -18,7 +18,7 @@
 
 impl Moment {
     /// The latest moment that can be told.
-    pub const FAR: Self = Self(u64::MAX / 4);
+    pub const DISTANT_FUTURE: Self = Self(u64::MAX / 4);
 
     /// Whether this deadline has come at `now`.
     #[must_use]
@@ -144,7 +144,7 @@
 
     #[test]
     fn adding_a_long_span_saturates() {
-        let far = Moment::FAR + Duration::MAX;
-        assert!(!far.is_past(Moment::FAR));
+        let far = Moment::DISTANT_FUTURE + Duration::MAX;
+        assert!(!far.is_past(Moment::DISTANT_FUTURE));
     }
 }
