--- a/crates/bluebellreel_signals/src/lib.rs
+++ b/crates/bluebellreel_signals/src/lib.rs
@@ -1,21 +1,21 @@
-//! Signals that ask a process to stop, from its first moment on.
+//! Handling of termination and reload signals, from the start of a process.
 //!
-//! A process has two phases. Before its loop runs it has taken nothing: SIGTERM
-//! and SIGINT end it at once, with the exit code of a stop that cut nothing, and
-//! SIGHUP, which says that the settings have changed, does nothing, as they are
-//! about to be read. Without handlers SIGHUP would kill it and SIGTERM end it as
-//! a crash does. Once the loop waits for signals, it decides what a stop takes.
+//! Before its event loop runs, a process has accepted no work: SIGTERM and SIGINT end it
+//! at once, with the exit code of a clean stop, and SIGHUP, which announces changed
+//! settings, is ignored because the settings have yet to be read. Without handlers,
+//! SIGHUP would kill the process, and SIGTERM would end it with a status that looks
+//! like a crash. Once the event loop waits for signals, it controls the shutdown.
 //!
 //! ```no_run
 //! # fn main() -> std::io::Result<()> {
-//! bluebellreel_signals::take()?;
-//! // Settings are read, logs started.
+//! bluebellreel_signals::install_handlers()?;
+//! // Read the settings and start logging.
 //! let runtime = tokio::runtime::Builder::new_current_thread()
 //!     .enable_all()
 //!     .build()?;
 //! runtime.block_on(async {
-//!     let stop_asked = bluebellreel_signals::stop_asked(|| println!("settings changed"))?;
-//!     stop_asked.await;
+//!     let stop_requested = bluebellreel_signals::stop_requested(|| println!("settings changed"))?;
+//!     stop_requested.await;
 //!     Ok(())
 //! })
 //! # }
@@ -28,43 +28,45 @@
 use std::sync::{Arc, OnceLock};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code of a stop that cut nothing.
+/// Exit code of a stop that interrupted no work.
 const CLEAN: i32 = 0;
 
-/// Whether a stop still ends the process at once. Signals belong to the whole
-/// process, and so does this.
+/// Whether SIGTERM and SIGINT still end the process at once. Static because signal
+/// handlers belong to the whole process.
 static BEFORE_LOOP: OnceLock<Arc<AtomicBool>> = OnceLock::new();
 
-/// Handles signals from now on: the first step of a program.
+/// Installs the signal handlers. Must be the first step of a program.
 ///
 /// # Errors
 ///
-/// Gives the system's error when a signal cannot be handled.
-pub fn take() -> io::Result<()> {
+/// Returns the system's error if a handler cannot be installed.
+pub fn install_handlers() -> io::Result<()> {
     let before_loop = Arc::new(AtomicBool::new(true));
     if BEFORE_LOOP.set(before_loop.clone()).is_err() {
         return Ok(());
     }
-    // Nobody reads this: a handler of whatever kind keeps SIGHUP from killing.
+    // The flag is never read: any handler keeps SIGHUP from killing the process.
     flag::register(SIGHUP, Arc::default())?;
-    for asks in [SIGTERM, SIGINT] {
-        flag::register_conditional_shutdown(asks, CLEAN, before_loop.clone())?;
+    for stop_signal in [SIGTERM, SIGINT] {
+        flag::register_conditional_shutdown(stop_signal, CLEAN, before_loop.clone())?;
     }
     Ok(())
 }
 
-/// Ends when a signal asks for the end, and calls `settings_changed` at each SIGHUP until
-/// then. From this call on no signal ends the process, also not a second one. To
-/// be called on a runtime with I/O.
+/// Completes when SIGTERM or SIGINT arrives, and calls `settings_changed` at each
+/// SIGHUP until then. After this call no signal ends the process by itself, not
+/// even a second SIGTERM or SIGINT. Must be called within a runtime with I/O
+/// enabled.
 ///
 /// # Errors
 ///
-/// Gives the system's error when a signal cannot be handled.
+/// Returns the system's error if a handler cannot be installed.
 pub fn stop_requested(mut settings_changed: impl FnMut()) -> io::Result<impl Future<Output = ()>> {
     let mut hang_up = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    // Only now: a signal between the two would be seen by neither.
+    // Must follow the registration above: a signal between the two steps would be
+    // handled by neither.
     if let Some(before_loop) = BEFORE_LOOP.get() {
         before_loop.store(false, Ordering::SeqCst);
     }
--- a/crates/bluebellreel_types/src/chat.rs
+++ b/crates/bluebellreel_types/src/chat.rs
@@ -1,19 +1,19 @@
-//! Checked chat completion bodies.
+//! Validated bodies of chat completion requests.
 
 use crate::{ModelName, TeamName, Work, WorkKind};
 use serde::Deserialize;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 
-/// Tokens generated when the caller names no number.
+/// Number of tokens to generate if the caller does not specify any.
 pub const DEFAULT_TOKENS: u32 = 16;
-/// Most tokens that a caller may ask for.
-pub const MOST_TOKENS: u32 = 8_192;
-/// Bytes of the first message that decide a prompt's prefix home.
+/// Maximum number of tokens that a caller may request.
+pub const MAX_TOKENS: u32 = 8_192;
+/// Number of bytes of the first message that are hashed into the prefix.
 const PREFIX_BYTES: usize = 256;
 
-/// The fields of a chat completion that bluebellreel itself reads. The rest
-/// passes through to the engine.
+/// The fields of a chat completion that bluebellreel reads. All others are passed
+/// through to the engine.
 #[derive(Clone, Debug, Deserialize)]
 struct RawChat {
     model: String,
@@ -29,18 +29,18 @@
     content: String,
 }
 
-/// A chat completion's body, checked.
+/// The validated body of a chat completion request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChatBody {
-    /// The model asked.
+    /// The requested model.
     pub model: ModelName,
-    /// Tokens to generate at the most.
+    /// Maximum number of tokens to generate.
     pub tokens: u32,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
-    /// Whether the caller wants a stream.
+    /// Whether the caller asked for a streamed response.
     pub stream: bool,
-    /// The body as it came.
+    /// The body as received.
     pub body: Arc<[u8]>,
 }
 
@@ -56,8 +56,8 @@
             return Err("model: must not be empty".into());
         }
         let tokens = raw.max_tokens.unwrap_or(DEFAULT_TOKENS);
-        if tokens == 0 || tokens > MOST_TOKENS {
-            return Err(format!("max_tokens: must be 1 to {MOST_TOKENS}"));
+        if tokens == 0 || tokens > MAX_TOKENS {
+            return Err(format!("max_tokens: must be 1 to {MAX_TOKENS}"));
         }
         let text = first.content.as_bytes();
         let mut hasher = DefaultHasher::new();
@@ -74,8 +74,8 @@
 }
 
 impl ChatBody {
-    /// The unit of work that it asks for. With an idempotency key it is run at
-    /// most once; without one a repetition does no harm.
+    /// Converts the body into a unit of work. With an idempotency key the work runs
+    /// at most once; without one it may safely be repeated.
     #[must_use]
     pub fn into_work(self, team: TeamName, key: Option<&str>) -> Work {
         Work {
--- a/crates/bluebellreel_types/src/id.rs
+++ b/crates/bluebellreel_types/src/id.rs
@@ -1,8 +1,8 @@
 //! Names and ids.
 //!
-//! Names are shared immutable strings, so that cloning one costs a counter and
-//! never an allocation. Ids are random numbers wide enough that two processes
-//! never draw the same one.
+//! Names are shared immutable strings: cloning one increments a reference count and
+//! does not allocate. Ids are random numbers wide enough that two processes do not
+//! draw the same one.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -56,7 +56,7 @@
 name_type! {
     /// Name of a backend server (worker), unique in the fleet.
     WorkerName,
-    /// Name of a caller's team, member or school.
+    /// Name of a caller's team; a team may also be a member or a school.
     TeamName,
     /// Name of a model or of a plain service.
     ModelName,
@@ -76,7 +76,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Draws a fresh id.
+            /// Draws a random id.
             #[must_use]
             pub fn random() -> Self {
                 Self(draw_id())
@@ -98,36 +98,36 @@
 }
 
 thread_local! {
-    static SEEDED: RefCell<Option<SmallRng>> = const { RefCell::new(None) };
+    static SEEDED_RNG: RefCell<Option<SmallRng>> = const { RefCell::new(None) };
 }
 
-/// Makes the ids that this thread draws from now on follow from a seed, so
-/// that a test of failures takes the same course every time.
+/// Seeds the generator of the ids that this thread draws, so that a failure test is
+/// reproducible.
 pub fn seed_ids(seed: u64) {
-    SEEDED.with_borrow_mut(|rng| *rng = Some(SmallRng::seed_from_u64(seed)));
+    SEEDED_RNG.with_borrow_mut(|rng| *rng = Some(SmallRng::seed_from_u64(seed)));
 }
 
 fn draw_id() -> u64 {
-    SEEDED.with_borrow_mut(|rng| match rng {
+    SEEDED_RNG.with_borrow_mut(|rng| match rng {
         Some(rng) => rng.random(),
         None => rand::random(),
     })
 }
 
 wide_id! {
-    /// One caller's request, or one batch item's lease.
+    /// Id of a caller's request or of the lease of a batch item.
     RequestId,
-    /// One run of a process, drawn at its start: a restart is another one.
+    /// Id of one run of a process, drawn at its start.
     Incarnation,
 }
 
-/// One try at a request. Answers are matched by it, so that a late or crossed
-/// answer reaches nobody else.
+/// Id of one attempt at a request. Responses are matched by it, so that a late or
+/// misrouted response is never delivered to another request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The request tried.
+    /// The request.
     pub request: RequestId,
-    /// First try is 1.
+    /// Number of the attempt, starting at 1.
     pub number: u32,
 }
 
@@ -143,11 +143,11 @@
     }
 }
 
-/// Length in characters of an id made by [`digest_id`].
+/// Length in characters of the ids returned by [`digest_id`].
 const DIGEST_ID_LEN: usize = 24;
 
-/// Derives a short id from a team and its idempotency key, so that a resend
-/// through any entry finds the first one.
+/// Derives a short id from a team and its idempotency key, so that a request resent
+/// through any entry daemon is recognised.
 #[must_use]
 pub fn digest_id(team: &TeamName, key: &str) -> String {
     let mut hasher = Sha256::new();
@@ -159,14 +159,14 @@
     text
 }
 
-/// SHA-256 of some bytes in hexadecimal.
+/// Returns the SHA-256 of `bytes` in hexadecimal.
 #[must_use]
 pub fn content_digest(bytes: &[u8]) -> String {
     hex::encode(Sha256::digest(bytes))
 }
 
 impl JobId {
-    /// The job's id for a team's idempotency key.
+    /// Derives the id of a job from a team and its idempotency key.
     #[must_use]
     pub fn derived(team: &TeamName, key: &str) -> Self {
         Self::from(format!("job-{}", digest_id(team, key)))
--- a/crates/bluebellreel_types/src/lib.rs
+++ b/crates/bluebellreel_types/src/lib.rs
@@ -1,7 +1,7 @@
 //! Shared domain types of bluebellreel: names, ids, time, work and outcomes.
 //!
-//! Every other package speaks in these types. They are plain data: no I/O, no
-//! clock and no locks, so that the decision code of the system stays pure.
+//! All other packages use these types. They are plain data, so that the decision
+//! logic of the system stays free of I/O and locks; only [`Clock`] reads the time.
 //!
 //! ```
 //! use bluebellreel_types::prelude::*;
--- a/crates/bluebellreel_types/src/time.rs
+++ b/crates/bluebellreel_types/src/time.rs
@@ -1,7 +1,8 @@
-//! Time as the decision code sees it.
+//! Points in time and clocks.
 //!
-//! Decisions are handed the present [`Moment`]; only a process's outermost
-//! layer reads a clock. State keeps moments (deadlines), never durations.
+//! Decision logic receives the current [`Moment`] as an argument; only the
+//! outermost layer of a process reads a clock. State holds moments (deadlines),
+//! never durations.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
@@ -17,33 +18,33 @@
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// The latest moment that can be told.
+    /// The latest moment in use; far enough from overflow for spans to be added.
     pub const DISTANT_FUTURE: Self = Self(u64::MAX / 4);
 
-    /// Whether this deadline has come at `now`.
+    /// Whether this moment has been reached at `now`.
     #[must_use]
     pub fn is_past(self, now: Self) -> bool {
         now >= self
     }
 
-    /// Time from `earlier` to this moment, zero if it lies behind.
+    /// Time from `earlier` to this moment; zero if `earlier` is the later one.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Writes the moment as RFC 3339, to the millisecond.
+    /// Formats the moment as RFC 3339 with milliseconds.
     #[must_use]
     pub fn to_rfc3339(self) -> String {
         let time = UNIX_EPOCH + Duration::from_micros(self.0);
         humantime::format_rfc3339_millis(time).to_string()
     }
 
-    /// Reads an RFC 3339 moment.
+    /// Parses an RFC 3339 timestamp.
     ///
     /// # Errors
     ///
-    /// Gives the reason when the text is no such moment or lies before 1970.
+    /// Fails if the text is not a timestamp or lies before 1970.
     pub fn from_rfc3339(text: &str) -> Result<Self, String> {
         let time = humantime::parse_rfc3339_weak(text).map_err(|e| e.to_string())?;
         let since = time.duration_since(UNIX_EPOCH).map_err(|e| e.to_string())?;
@@ -71,22 +72,22 @@
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX / 4)
 }
 
-/// A clock that starts at the wall clock's time and never steps back.
+/// A clock that starts at the wall clock's time and then follows the monotonic
+/// clock.
 ///
-/// Guards against a wall clock set back while the process runs, which would
-/// bring deadlines and leases to life again: it advances by the monotonic clock.
-/// Tests set it by hand.
+/// Guards against a wall clock that is set back while the process runs, which would
+/// make expired deadlines and leases valid again. Tests use a manual clock.
 #[derive(Clone, Debug)]
 pub struct Clock(Kind);
 
 #[derive(Clone, Debug)]
 enum Kind {
     Running { base: Moment, started: Instant },
-    Set(Arc<AtomicU64>),
+    Manual(Arc<AtomicU64>),
 }
 
 impl Clock {
-    /// Starts a clock at the present wall time.
+    /// Starts a clock at the current wall time.
     #[must_use]
     pub fn start() -> Self {
         let since = SystemTime::now()
@@ -98,36 +99,37 @@
         })
     }
 
-    /// A clock that stands until it is set.
+    /// Creates a manual clock, which changes only when it is advanced.
     #[must_use]
     pub fn manual_at(now: Moment) -> Self {
-        Self(Kind::Set(Arc::new(AtomicU64::new(now.0))))
+        Self(Kind::Manual(Arc::new(AtomicU64::new(now.0))))
     }
 
-    /// Sets a standing clock on, for all its clones; a running one goes its way.
+    /// Advances a manual clock and all its clones; has no effect on a running
+    /// clock.
     pub fn advance(&self, span: Duration) {
         match &self.0 {
             Kind::Running { .. } => {}
-            Kind::Set(now) => {
+            Kind::Manual(now) => {
                 now.fetch_add(micros(span), Ordering::SeqCst);
             }
         }
     }
 
-    /// Lets time pass: sleeps, or sets a standing clock on.
+    /// Sleeps for `span`, or advances a manual clock by it.
     pub fn wait(&self, span: Duration) {
         match &self.0 {
             Kind::Running { .. } => std::thread::sleep(span),
-            Kind::Set(_) => self.advance(span),
+            Kind::Manual(_) => self.advance(span),
         }
     }
 
-    /// The present moment.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Moment {
         match &self.0 {
             Kind::Running { base, started } => *base + started.elapsed(),
-            Kind::Set(now) => Moment(now.load(Ordering::SeqCst)),
+            Kind::Manual(now) => Moment(now.load(Ordering::SeqCst)),
         }
     }
 }
--- a/crates/bluebellreel_types/src/trace.rs
+++ b/crates/bluebellreel_types/src/trace.rs
@@ -1,4 +1,4 @@
-//! Trace context that travels with a request (W3C Trace Context).
+//! Trace context passed along with a request (W3C Trace Context).
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -6,9 +6,9 @@
 /// The ids of a `traceparent` header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TraceContext {
-    /// Shared by all spans of a request.
+    /// Id of the trace, shared by all spans of a request.
     pub trace: u128,
-    /// The span that caused this one; zero for none.
+    /// Id of the parent span; zero for none.
     pub parent: u64,
 }
 
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The context to hand to the next hop, below the span `span`.
+    /// Returns the context for the next hop, with `span` as the parent.
     #[must_use]
     pub fn child(self, span: u64) -> Self {
         Self {
@@ -44,17 +44,19 @@
     fn try_from(text: &str) -> Result<Self, Self::Error> {
         let mut fields = text.split('-');
         if fields.next() != Some("00") {
-            return Err("unknown version of traceparent");
+            return Err("traceparent: expected version 00");
         }
         let trace = fields.next().filter(|f| f.len() == 32);
         let parent = fields.next().filter(|f| f.len() == 16);
         let (Some(trace), Some(parent)) = (trace, parent) else {
-            return Err("traceparent lacks its ids");
+            return Err("traceparent: expected a trace id of 32 and a parent id of 16 digits");
         };
-        let trace = u128::from_str_radix(trace, 16).map_err(|_| "bad trace id")?;
-        let parent = u64::from_str_radix(parent, 16).map_err(|_| "bad parent id")?;
+        let trace = u128::from_str_radix(trace, 16)
+            .map_err(|_| "traceparent: trace id is not hexadecimal")?;
+        let parent = u64::from_str_radix(parent, 16)
+            .map_err(|_| "traceparent: parent id is not hexadecimal")?;
         if trace == 0 || parent == 0 {
-            return Err("an id of zero");
+            return Err("traceparent: ids must not be zero");
         }
         Ok(Self { trace, parent })
     }
--- a/src/cli/gateway.rs
+++ b/src/cli/gateway.rs
@@ -61,7 +61,7 @@
 
 /// Handles signals before anything else is done; whether it could.
 fn handles_signals() -> bool {
-    let taken = bluebellreel_signals::take();
+    let taken = bluebellreel_signals::install_handlers();
     if let Err(e) = &taken {
         eprintln!("not started: signals: {e}");
     }
