--- a/src/bin/bluebellreel-side.rs
+++ b/src/bin/bluebellreel-side.rs
@@ -4,16 +4,17 @@
 use bluebellreel::side::start_side;
 use std::process::ExitCode;
 
-/// Exit code for settings that cannot be used.
+/// Exit code for invalid settings.
 const BAD_SETTINGS: u8 = 2;
 
-/// The process beside a backend server; the only one that sends to it.
+/// Runs the side process of a backend server; no other process sends requests to
+/// it.
 #[derive(argh::FromArgs)]
 struct Arguments {
     /// settings file (TOML)
     #[argh(option)]
     settings: String,
-    /// only check the settings
+    /// check the settings file and exit
     #[argh(switch)]
     check: bool,
 }
--- a/src/cli/arguments.rs
+++ b/src/cli/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line's words.
+//! Arguments of the command line.
 
 use std::path::PathBuf;
 
@@ -33,37 +33,38 @@
     pub(super) settings: String,
 }
 
-/// run the entry daemon that sends to workers directly
+/// run the entry daemon that sends requests to workers directly
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "gateway")]
 pub(super) struct GatewayCommand {
-    /// settings file (TOML); else the file named by the environment
+    /// settings file (TOML); default: the file named by `BLUEBELLREEL_CONFIG`
     #[argh(option)]
     pub(super) settings: Option<PathBuf>,
 }
 
-/// keep what gateways know of the store, for those that start while it is away
+/// keep the state that gateways read from the store, for gateways that start while
+/// the store is unavailable
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "keeper")]
 pub(super) struct KeeperCommand {
-    /// settings file (TOML); else the file named by the environment
+    /// settings file (TOML); default: the file named by `BLUEBELLREEL_CONFIG`
     #[argh(option)]
     pub(super) settings: Option<PathBuf>,
 }
 
-/// print the story of a request, job or item from gateways' logs
+/// print the lines about a request, job or item from gateways' logs, in time order
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub(super) struct Explain {
     /// id of the request, job or item
     #[argh(positional)]
     pub(super) id: String,
-    /// log files, one of each process
+    /// log file of one process; may be given several times
     #[argh(option)]
     pub(super) logs: Vec<PathBuf>,
 }
 
-/// check settings of any program, or a manifest
+/// check the settings files of any program, or a manifest
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(super) struct Check {
@@ -79,7 +80,7 @@
     /// settings file of a keeper
     #[argh(option)]
     pub(super) keeper: Option<PathBuf>,
-    /// manifest
+    /// manifest file (TOML)
     #[argh(option)]
     pub(super) manifest: Option<String>,
 }
@@ -99,7 +100,7 @@
     Put(ManifestPut),
 }
 
-/// print the manifest that stands
+/// print the current manifest
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "get")]
 pub(super) struct ManifestGet {
@@ -111,7 +112,7 @@
     pub(super) token: Option<String>,
 }
 
-/// put a manifest in place of the one that you saw
+/// replace the manifest; fails if it has changed since the given generation
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "put")]
 pub(super) struct ManifestPut {
@@ -121,7 +122,7 @@
     /// bearer token
     #[argh(option)]
     pub(super) token: Option<String>,
-    /// generation that you saw last; 0 before the first
+    /// generation of the manifest to replace; 0 if there is none yet
     #[argh(option)]
     pub(super) generation: u64,
     /// the manifest (TOML)
@@ -129,7 +130,7 @@
     pub(super) file: String,
 }
 
-/// show whether the outcomes hold
+/// show whether the service's objectives (outcomes) are met
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "outcomes")]
 pub(super) struct Outcomes {
@@ -171,7 +172,7 @@
     /// bearer token
     #[argh(option)]
     pub(super) token: Option<String>,
-    /// idempotency key: a resend with the same key finds the first job
+    /// idempotency key: resubmitting with the same key returns the first job
     #[argh(option)]
     pub(super) key: String,
     /// when the results are due (RFC 3339)
@@ -228,7 +229,7 @@
     /// bearer token
     #[argh(option)]
     pub(super) token: Option<String>,
-    /// use an operator's token: any team's job may be cancelled
+    /// use an operator's token, which may cancel any team's job
     #[argh(switch)]
     pub(super) operator: bool,
     /// print JSON
@@ -253,7 +254,7 @@
     Drain(WorkerDrain),
 }
 
-/// let a worker leave: nothing new, what runs finishes
+/// drain a worker: it accepts no new work and finishes what is running
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub(super) struct WorkerDrain {
@@ -263,12 +264,12 @@
     /// bearer token
     #[argh(option)]
     pub(super) token: Option<String>,
-    /// the worker
+    /// name of the worker
     #[argh(positional)]
     pub(super) name: String,
 }
 
-/// bring the newest accepted manifest into force everywhere at once
+/// put the newest accepted manifest into force everywhere at once
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "roll-forward")]
 pub(super) struct RollForward {
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -1,20 +1,20 @@
-//! Calls to a running daemon.
+//! HTTP client for calls to a running entry daemon.
 
 use eyre::{Context, bail};
 use serde_json::Value;
 use std::time::Duration;
 
-/// Longest wait for an answer.
+/// Timeout of a call.
 const TIMEOUT: Duration = Duration::from_secs(150);
 
-/// A daemon and the token to use there.
+/// Address of a daemon and the token sent to it.
 pub(crate) struct Client {
     url: String,
     token: String,
     agent: ureq::Agent,
 }
 
-/// An answer.
+/// A response.
 pub(crate) struct Answer {
     pub(crate) status: u16,
     pub(crate) tag: Option<String>,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Sends a request; any answer of the daemon is one.
+    /// Sends a request. A response with any status is a success.
     pub(crate) fn send(
         &self,
         method: &str,
@@ -50,7 +50,7 @@
             request = request.header(*name, *value);
         }
         let answer = self.agent.run(request.body(body)?);
-        let mut answer = answer.wrap_err_with(|| format!("no answer from {}", self.url))?;
+        let mut answer = answer.wrap_err_with(|| format!("no response from {}", self.url))?;
         let tag = answer.headers().get("ETag");
         let tag = tag.and_then(|tag| Some(tag.to_str().ok()?.trim_matches('"').to_owned()));
         Ok(Answer {
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Sends a request whose answer must be a good one.
+    /// Sends a request and fails unless the response has a 2xx status.
     pub(crate) fn expect(
         &self,
         method: &str,
@@ -80,7 +80,7 @@
         let error = parsed.as_ref().map(|value| &value["error"]);
         match error.and_then(|e| Some((e["message"].as_str()?, e["ran"].as_str()?))) {
             Some((message, ran)) => bail!("{} (ran: {ran})", message),
-            None => bail!("status {}: {}", answer.status, answer.text),
+            None => bail!("unexpected status {}: {}", answer.status, answer.text),
         }
     }
 }
--- a/src/cli/commands.rs
+++ b/src/cli/commands.rs
@@ -15,11 +15,11 @@
 use serde_json::Value;
 use std::process::ExitCode;
 
-/// Exit code for input that cannot be used.
+/// Exit code for invalid input.
 const BAD_INPUT: u8 = 2;
 /// Exit code of a command that failed.
 const FAILED: u8 = 1;
-/// Variable that holds the token when none is given.
+/// Environment variable with the token to use if `--token` is not given.
 const TOKEN_VARIABLE: &str = "BLUEBELLREEL_TOKEN";
 
 /// Runs the command.
@@ -71,12 +71,12 @@
         let source = path.file_stem().unwrap_or_default().to_string_lossy();
         lines.extend(text.lines().filter_map(|l| LogLine::read(&source, l)));
     }
-    let story = explain::explain(&explain.id, &lines);
-    if story.is_empty() {
-        eprintln!("no line names {}", explain.id);
+    let timeline = explain::explain(&explain.id, &lines);
+    if timeline.is_empty() {
+        eprintln!("no log line mentions {}", explain.id);
         return ExitCode::from(FAILED);
     }
-    print!("{story}");
+    print!("{timeline}");
     ExitCode::SUCCESS
 }
 
@@ -170,7 +170,7 @@
         println!("{}", answer.text);
         return Ok(());
     }
-    let value = serde_json::from_str(&answer.text).wrap_err("an answer that is not JSON")?;
+    let value = serde_json::from_str(&answer.text).wrap_err("the response is not JSON")?;
     print(&value);
     Ok(())
 }
@@ -186,8 +186,8 @@
         }
         ManifestAction::Put(put) => {
             let body = std::fs::read(&put.file).wrap_err_with(|| put.file.clone())?;
-            let seen = put.generation.to_string();
-            let headers = [("If-Match", seen.as_str())];
+            let expected = put.generation.to_string();
+            let headers = [("If-Match", expected.as_str())];
             let client = client(&put.url, put.token)?;
             let answer = client.expect("PUT", "/operator/v1/manifest", &headers, body)?;
             println!("accepted as generation {}", answer.tag.unwrap_or_default());
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,25 +1,25 @@
-//! The story of one request, job or item, from the logs of several processes.
+//! Timeline of one request, job or item, from the logs of several processes.
 //!
-//! Log lines are JSON. The story is every line that names the id, in time
-//! order; with it comes what the same processes learned shortly before and
-//! meanwhile: workers that came or went, the store lost or regained, the
-//! configuration, stops.
+//! Log lines are JSON. The timeline contains every line that mentions the id, in time
+//! order. It also contains what the same processes logged shortly before and
+//! meanwhile about their environment: workers that appeared or disappeared, outages of
+//! the store, changes of the configuration, stops.
 
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::time::{Duration, SystemTime};
 
-/// How long before the first line of a story its surroundings begin. A worker
-/// that left or a store that was lost shows in requests within seconds.
-const BEFORE: Duration = Duration::from_secs(5);
-/// The same after its last line.
-const AFTER: Duration = Duration::from_secs(1);
-/// A log that goes on for so long after a request's last line does not end with
-/// it: callers wait for five seconds.
-const STILL_THERE: Duration = Duration::from_secs(5);
-/// Events that tell what a process believes, apart from any request.
-const SURROUNDINGS: [&str; 16] = [
+/// How long before the first line about the id context events are included. The
+/// loss of a worker or of the store affects requests within seconds.
+const CONTEXT_BEFORE: Duration = Duration::from_secs(5);
+/// How long after the last line about the id context events are included.
+const CONTEXT_AFTER: Duration = Duration::from_secs(1);
+/// If a process logs anything this long after a request's last line, its end is not
+/// the reason why the request has no final event: callers wait for five seconds.
+const ALIVE_AFTER: Duration = Duration::from_secs(5);
+/// Events about the environment of a process, unrelated to a single request.
+const CONTEXT_EVENTS: [&str; 16] = [
     "started",
     "stopping",
     "stop goes on",
@@ -38,8 +38,8 @@
     "lines dropped",
 ];
 
-/// Events after which nothing more comes of a request.
-const ENDS: [&str; 8] = [
+/// Events that end a request.
+const FINAL_EVENTS: [&str; 8] = [
     "served",
     "answered",
     "given up",
@@ -53,16 +53,16 @@
 /// One log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// Where it comes from: the log's name.
+    /// Name of the log, which identifies the process.
     pub source: String,
-    /// When it was written.
+    /// Time at which the line was written.
     pub at: SystemTime,
     fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// Reads a line; text before the JSON is passed over, and lines without
-    /// any are none.
+    /// Parses a line. Text before the JSON object is ignored; a line without an
+    /// object returns `None`.
     #[must_use]
     pub fn read(source: &str, line: &str) -> Option<Self> {
         let json = &line[line.find('{')?..];
@@ -78,11 +78,11 @@
         self.fields.get(field).and_then(Value::as_str).unwrap_or("")
     }
 
-    fn names(&self, id: &str) -> bool {
+    fn mentions(&self, id: &str) -> bool {
         self.text("request") == id || self.text("job") == id
     }
 
-    /// Whether it tells of a whole job, and of none of its items.
+    /// Whether the line is about a whole job and not about one of its items.
     fn is_of_job(&self, jobs: &BTreeSet<&str>) -> bool {
         self.text("request").is_empty() && jobs.contains(self.text("job"))
     }
@@ -91,7 +91,7 @@
         let at = humantime::format_rfc3339_millis(self.at).to_string();
         let time = at.get(11..23).unwrap_or(&at);
         let event = self.text("event");
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = write!(out, "{time}  {:<24} {event}", self.source);
         for (name, value) in &self.fields {
             if ["at", "event", "level", "part"].contains(&name.as_str()) {
@@ -106,10 +106,10 @@
     }
 }
 
-/// The story of an id; empty if no line names it.
+/// Returns the timeline of an id; empty if no line mentions it.
 #[must_use]
 pub fn explain(id: &str, lines: &[LogLine]) -> String {
-    let of_id: Vec<&LogLine> = lines.iter().filter(|l| l.names(id)).collect();
+    let of_id: Vec<&LogLine> = lines.iter().filter(|l| l.mentions(id)).collect();
     let (Some(first), Some(last)) = (
         of_id.iter().map(|l| l.at).min(),
         of_id.iter().map(|l| l.at).max(),
@@ -120,53 +120,57 @@
     let jobs: BTreeSet<&str> = of_id.iter().map(|l| l.text("job")).collect();
     let jobs: BTreeSet<&str> = jobs.into_iter().filter(|job| !job.is_empty()).collect();
     let workers: BTreeSet<&str> = of_id.iter().map(|l| l.text("worker")).collect();
-    let surrounds = |line: &&LogLine| {
-        let in_time = line.at + BEFORE >= first && line.at <= last + AFTER;
+    let is_context = |line: &&LogLine| {
+        let in_time = line.at + CONTEXT_BEFORE >= first && line.at <= last + CONTEXT_AFTER;
         let worker = line.text("worker");
         let of_worker = worker.is_empty() || workers.contains(worker);
         in_time
             && of_worker
             && sources.contains(line.source.as_str())
-            && SURROUNDINGS.contains(&line.text("event"))
+            && CONTEXT_EVENTS.contains(&line.text("event"))
     };
-    // An item's story is its job's as well: who owns it, and who has ended it.
-    let of_job = |line: &&LogLine| line.is_of_job(&jobs) && !line.names(id);
-    let mut story: Vec<&LogLine> = lines.iter().filter(surrounds).collect();
-    story.extend(lines.iter().filter(of_job));
-    story.extend(of_id);
-    story.sort_by_key(|l| l.at);
+    // The timeline of an item includes the lines about its job, which say who owns
+    // the job and who ended it.
+    let of_job = |line: &&LogLine| line.is_of_job(&jobs) && !line.mentions(id);
+    let mut timeline: Vec<&LogLine> = lines.iter().filter(is_context).collect();
+    timeline.extend(lines.iter().filter(of_job));
+    timeline.extend(of_id);
+    timeline.sort_by_key(|l| l.at);
     let mut out = String::new();
-    for line in story {
+    for line in timeline {
         line.print(&mut out);
     }
     for source in sources {
-        out.push_str(&what_cut_it(id, source, lines));
+        out.push_str(&process_end_note(id, source, lines));
     }
     out
 }
 
-/// Says so when a process ended before what it did for an id: a process that is
-/// killed writes nothing, and its request would seem to have no end.
-fn what_cut_it(id: &str, source: &str, lines: &[LogLine]) -> String {
+/// Returns a note if a process ended before it finished work on an id: a killed
+/// process logs nothing, so its request would appear never to end.
+fn process_end_note(id: &str, source: &str, lines: &[LogLine]) -> String {
     let mut of_source: Vec<&LogLine> = lines.iter().filter(|l| l.source == source).collect();
     of_source.sort_by_key(|l| l.at);
-    let Some(last) = of_source.iter().rposition(|l| l.names(id)) else {
+    let Some(last) = of_source.iter().rposition(|l| l.mentions(id)) else {
         return String::new();
     };
     let is_request = of_source[last].text("request") == id;
-    if !is_request || ENDS.contains(&of_source[last].text("event")) {
+    if !is_request || FINAL_EVENTS.contains(&of_source[last].text("event")) {
         return String::new();
     }
     let after = &of_source[last..];
     let started = after.iter().position(|l| l.text("event") == "started");
     let (end, what) = match started {
-        Some(at) => (after[at - 1], "ended without a word and was started again"),
-        None => (after[after.len() - 1], "says nothing more"),
+        Some(at) => (
+            after[at - 1],
+            "ended without logging a stop and was restarted",
+        ),
+        None => (after[after.len() - 1], "logged nothing more"),
     };
-    if started.is_none() && end.at > of_source[last].at + STILL_THERE {
+    if started.is_none() && end.at > of_source[last].at + ALIVE_AFTER {
         return String::new();
     }
     let at = humantime::format_rfc3339_millis(end.at).to_string();
     let time = at.get(11..23).unwrap_or(&at);
-    format!("=> {source} {what}; its last line before is of {time}\n")
+    format!("=> {source} {what}; its last line before that is from {time}\n")
 }
--- a/src/cli/gateway.rs
+++ b/src/cli/gateway.rs
@@ -1,4 +1,4 @@
-//! Commands of VMs on the users' platform: the gateway and the keeper.
+//! Commands run on the VMs of the users' platform: the gateway and the keeper.
 
 use bluebellreel_gateway::{Surroundings, run_gateway};
 use bluebellreel_keeper::run_keeper;
@@ -10,23 +10,25 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Variable that names the settings file where no option does.
+/// Environment variable with the path of the settings file, used if `--settings` is
+/// not given.
 const SETTINGS_VARIABLE: &str = "BLUEBELLREEL_CONFIG";
-/// Exit code for input that cannot be used.
+/// Exit code for invalid input.
 const BAD_INPUT: u8 = 2;
 /// Exit code of a command that failed.
 const FAILED: u8 = 1;
-/// Exit code of a stop that cut something.
-const CUT: u8 = 3;
-/// Longest that the end of a process waits for the reader of its log; a gateway
-/// ends some 700 ms before it would be killed.
-const LAST_LINES: Duration = Duration::from_millis(200);
-/// Parts of a gateway that log their decisions.
-const PARTS: [&str; 6] = ["gateway", "facts", "members", "online", "jobs", "http"];
-/// Parts of a keeper that do.
-const KEEPER_PARTS: [&str; 2] = ["keeper", "http"];
+/// Exit code of a stop that interrupted work.
+const INTERRUPTED: u8 = 3;
+/// How long an exiting process waits for the reader of its log. A gateway exits
+/// some 700 ms before it would be killed.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Log targets of a gateway whose lines are written.
+const GATEWAY_LOG_TARGETS: [&str; 6] = ["gateway", "facts", "members", "online", "jobs", "http"];
+/// Log targets of a keeper whose lines are written.
+const KEEPER_LOG_TARGETS: [&str; 2] = ["keeper", "http"];
 
-/// The settings file: as given, or as the environment names it.
+/// Returns the path of the settings file: the given one, or else that of the
+/// environment.
 fn settings_path(given: Option<PathBuf>) -> Option<PathBuf> {
     let path = given.or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
     if path.is_none() {
@@ -35,7 +37,7 @@
     path
 }
 
-/// Reads the settings of a program.
+/// Loads the settings of a program, and prints the error if that fails.
 fn settings<T>(
     given: Option<PathBuf>,
     load: impl Fn(&Path) -> Result<T, SettingsError>,
@@ -50,48 +52,53 @@
     }
 }
 
-/// Has the log written to its end. A process that ends while its last lines
-/// wait for their thread takes them with it: what was cut by a stop, and that
-/// it was one, would never be known.
-fn end_log(log: &JsonLog) {
-    if !log.flush(Instant::now() + LAST_LINES) {
-        eprintln!("the last log lines were not written: their reader has stopped");
+/// Flushes the log. If the process exited while its last lines were still queued
+/// for the log thread, they would be lost, and with them which work a stop
+/// interrupted.
+fn flush_log(log: &JsonLog) {
+    if !log.flush(Instant::now() + LOG_FLUSH_TIMEOUT) {
+        eprintln!("the last log lines were not written: the reader of the log has stopped");
     }
 }
 
-/// Handles signals before anything else is done; whether it could.
-fn handles_signals() -> bool {
-    let taken = bluebellreel_signals::install_handlers();
-    if let Err(e) = &taken {
-        eprintln!("not started: signals: {e}");
+/// Installs the signal handlers, before anything else is done. Returns whether this
+/// succeeded.
+fn install_signal_handlers() -> bool {
+    let installed = bluebellreel_signals::install_handlers();
+    if let Err(e) = &installed {
+        eprintln!("not started: cannot install signal handlers: {e}");
     }
-    taken.is_ok()
+    installed.is_ok()
 }
 
-/// Runs a gateway until it is asked to stop.
+/// Runs a gateway until a signal stops it.
 pub(super) fn gateway(given: Option<PathBuf>) -> ExitCode {
-    if !handles_signals() {
+    if !install_signal_handlers() {
         return ExitCode::from(FAILED);
     }
     let Some((path, settings)) = settings(given, load_gateway) else {
         return ExitCode::from(BAD_INPUT);
     };
-    let run = start_json_logging(log::LevelFilter::Info, &PARTS, std::io::stdout())
-        .wrap_err("logs")
-        .and_then(|log| {
-            let dropped = log.dropped.clone();
-            let around = Surroundings {
-                lines_dropped: Box::new(move || dropped.count()),
-                read_settings: Box::new(move || load_gateway(&path)),
-                settings_changed: Rc::default(),
-            };
-            let run = run_gateway(settings, around);
-            end_log(&log);
-            run
-        });
+    let run = start_json_logging(
+        log::LevelFilter::Info,
+        &GATEWAY_LOG_TARGETS,
+        std::io::stdout(),
+    )
+    .wrap_err("logs")
+    .and_then(|log| {
+        let dropped = log.dropped.clone();
+        let hooks = Surroundings {
+            lines_dropped: Box::new(move || dropped.count()),
+            read_settings: Box::new(move || load_gateway(&path)),
+            settings_changed: Rc::default(),
+        };
+        let run = run_gateway(settings, hooks);
+        flush_log(&log);
+        run
+    });
     match run {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(CUT),
+        Ok(false) => ExitCode::from(INTERRUPTED),
         Err(e) => {
             eprintln!("not started: {e:#}");
             ExitCode::from(FAILED)
@@ -99,24 +106,28 @@
     }
 }
 
-/// Runs a keeper until it is asked to stop.
+/// Runs a keeper until a signal stops it.
 pub(super) fn keeper(given: Option<PathBuf>) -> ExitCode {
-    if !handles_signals() {
+    if !install_signal_handlers() {
         return ExitCode::from(FAILED);
     }
     let Some((path, settings)) = settings(given, load_keeper) else {
         return ExitCode::from(BAD_INPUT);
     };
-    let run = start_json_logging(log::LevelFilter::Info, &KEEPER_PARTS, std::io::stdout())
-        .wrap_err("logs")
-        .and_then(|log| {
-            let run = run_keeper(settings, Box::new(move || load_keeper(&path)));
-            end_log(&log);
-            run
-        });
+    let run = start_json_logging(
+        log::LevelFilter::Info,
+        &KEEPER_LOG_TARGETS,
+        std::io::stdout(),
+    )
+    .wrap_err("logs")
+    .and_then(|log| {
+        let run = run_keeper(settings, Box::new(move || load_keeper(&path)));
+        flush_log(&log);
+        run
+    });
     match run {
         Ok(ended) if ended.is_clean() => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(CUT),
+        Ok(_) => ExitCode::from(INTERRUPTED),
         Err(e) => {
             eprintln!("not started: {e:#}");
             ExitCode::from(FAILED)
--- a/src/cli/output.rs
+++ b/src/cli/output.rs
@@ -1,14 +1,14 @@
-//! Tables for people.
+//! Tables printed for users.
 
 use serde_json::Value;
 
-/// A value as a person reads it.
-fn shown(value: &Value) -> String {
+/// Formats a JSON value for display.
+fn display(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".into(),
         Value::Array(list) if list.is_empty() => "-".into(),
-        Value::Array(list) => list.iter().map(shown).collect::<Vec<_>>().join(", "),
+        Value::Array(list) => list.iter().map(display).collect::<Vec<_>>().join(", "),
         other => other.to_string(),
     }
 }
@@ -35,12 +35,12 @@
 pub(crate) fn print_job(job: &Value) {
     let counts = &job["request_counts"];
     let row = vec![
-        shown(&job["id"]),
-        shown(&job["status"]),
-        shown(&counts["total"]),
-        shown(&counts["completed"]),
-        shown(&counts["failed"]),
-        shown(&job["deadline"]),
+        display(&job["id"]),
+        display(&job["status"]),
+        display(&counts["total"]),
+        display(&counts["completed"]),
+        display(&counts["failed"]),
+        display(&job["deadline"]),
     ];
     let head = ["job", "status", "items", "completed", "failed", "deadline"];
     print_table(&head, &[row]);
@@ -52,10 +52,10 @@
         let outcome = &outcomes[key];
         let facts = facts
             .iter()
-            .map(|fact| format!("{fact} {}", shown(&outcome[*fact])));
+            .map(|fact| format!("{fact} {}", display(&outcome[*fact])));
         vec![
             name.to_owned(),
-            shown(&outcome["state"]),
+            display(&outcome["state"]),
             facts.collect::<Vec<_>>().join(", "),
         ]
     };
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! bluebellreel: a serving system for online and batch inference on one fleet.
 //!
-//! This package holds the two programs and re-exports the parts that they
-//! wire: [`entry`] for the daemon on entry VMs, [`side`] for the process beside
-//! each backend server, [`settings`] and [`fleet`] for what operators write.
+//! This package contains the two programs and re-exports the components from which they
+//! are assembled: [`entry`], the daemon on entry VMs; [`side`], the process beside each
+//! backend server; [`settings`] and [`fleet`], the files that operators write.
 //!
 //! ```
 //! let manifest = bluebellreel::fleet::Manifest::try_from("").unwrap();
--- a/src/program.rs
+++ b/src/program.rs
@@ -1,4 +1,4 @@
-//! The life of a program: logs, start, signals, graceful stop.
+//! Runs a program: logging, start, signals and graceful shutdown.
 
 use bluebellreel_settings::{LogLevel, LogTarget};
 use bluebellreel_telemetry::{LogSettings, start_logging};
@@ -11,35 +11,35 @@
 
 /// Exit code of a program that could not start.
 const NOT_STARTED: u8 = 1;
-/// Exit code of a stop that cut something.
-const CUT: u8 = 3;
+/// Exit code of a stop that interrupted work.
+const INTERRUPTED: u8 = 3;
 
-/// Stops a program's parts; whether nothing was cut.
+/// Stops a program's components and returns whether no work was interrupted.
 pub type StopFn = Box<dyn FnOnce() -> bool + Send>;
 
-/// A program that runs.
+/// A running program.
 pub struct Running {
-    /// Waits for a graceful stop.
+    /// Stops the program gracefully and waits until it has stopped.
     pub stop: StopFn,
 }
 
-/// What a signal leads to.
+/// Action taken on a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reaction {
-    /// The graceful stop begins.
+enum SignalAction {
+    /// Begin the graceful stop.
     Stop,
-    /// The process ends now, whatever is in progress.
-    EndNow,
-    /// Nothing changes.
-    GoOn,
+    /// Exit at once and interrupt the work in progress.
+    ExitNow,
+    /// Ignore the signal.
+    Ignore,
 }
 
-/// The signals that have come so far.
+/// Signals received so far.
 ///
-/// Guards against a platform that sends SIGTERM again while a stop goes on, and
-/// against a SIGHUP that nobody meant as an end: both cut requests whose
-/// callers then do not know what ran. Only a person at a terminal, who presses
-/// Ctrl-C a second time, may have that.
+/// Guards against a platform that repeats SIGTERM during a stop, and against a
+/// SIGHUP that is not meant to end the process: either would interrupt requests
+/// whose callers could then not know whether they ran. Only a user at a terminal
+/// who presses Ctrl-C a second time may do that.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct SignalState {
     stopping: bool,
@@ -47,23 +47,23 @@
 }
 
 impl SignalState {
-    /// Takes a signal in.
-    fn take(&mut self, signal: i32) -> Reaction {
+    /// Records a signal and returns the action to take.
+    fn handle(&mut self, signal: i32) -> SignalAction {
         let again = signal == SIGINT && self.interrupted;
         self.interrupted |= signal == SIGINT;
         if again {
-            return Reaction::EndNow;
+            return SignalAction::ExitNow;
         }
         if signal == SIGHUP || self.stopping {
-            return Reaction::GoOn;
+            return SignalAction::Ignore;
         }
         self.stopping = true;
-        Reaction::Stop
+        SignalAction::Stop
     }
 }
 
-/// Runs a program until SIGTERM or SIGINT asks it to stop. A second SIGINT ends
-/// it at once; a repeated SIGTERM and SIGHUP change nothing.
+/// Runs a program until SIGTERM or SIGINT stops it. A second SIGINT ends it at
+/// once; a repeated SIGTERM, and SIGHUP, are ignored.
 pub fn run_program(log: &LogTarget, start: impl FnOnce() -> eyre::Result<Running>) -> ExitCode {
     let settings = LogSettings {
         level: match log.level {
@@ -74,7 +74,8 @@
         },
         file: log.file.clone(),
     };
-    // Signals first: until then SIGHUP would kill the process.
+    // Install the signal handlers first: before that, SIGHUP would kill the
+    // process.
     let started = Signals::new([SIGTERM, SIGINT, SIGHUP])
         .map_err(eyre::Report::from)
         .and_then(|signals| start_logging(&settings).map(|()| signals))
@@ -88,47 +89,52 @@
     }
 }
 
-/// What happens while a program runs.
-enum News {
+/// Events handled while a program runs.
+enum ProcessEvent {
     Signal(i32),
     Stopped { clean: bool },
 }
 
 fn wait_and_stop(mut signals: Signals, running: Running) -> ExitCode {
     let (tx, rx) = mpsc::channel();
-    let told = tx.clone();
+    let signal_tx = tx.clone();
     thread::spawn(move || {
         for signal in signals.forever() {
-            told.send(News::Signal(signal)).ok();
+            signal_tx.send(ProcessEvent::Signal(signal)).ok();
         }
     });
     let mut state = SignalState::default();
     let mut stop = Some(running.stop);
     loop {
         match rx.recv() {
-            Ok(News::Signal(signal)) => match state.take(signal) {
-                Reaction::Stop => begin_stop(stop.take(), tx.clone()),
-                Reaction::GoOn => {
-                    log::warn!(target: "program", signal; "A signal that changes nothing.");
+            Ok(ProcessEvent::Signal(signal)) => match state.handle(signal) {
+                SignalAction::Stop => begin_stop(stop.take(), tx.clone()),
+                SignalAction::Ignore => {
+                    log::warn!(target: "program", signal; "signal ignored");
                 }
-                Reaction::EndNow => {
-                    eprintln!("stopped at once by a second SIGINT: requests in progress were cut");
-                    return ExitCode::from(CUT);
+                SignalAction::ExitNow => {
+                    eprintln!(
+                        "stopped at once by a second SIGINT: requests in progress were interrupted"
+                    );
+                    return ExitCode::from(INTERRUPTED);
                 }
             },
-            Ok(News::Stopped { clean: true }) => return ExitCode::SUCCESS,
-            Ok(News::Stopped { clean: false }) | Err(_) => return ExitCode::from(CUT),
+            Ok(ProcessEvent::Stopped { clean: true }) => return ExitCode::SUCCESS,
+            Ok(ProcessEvent::Stopped { clean: false }) | Err(_) => {
+                return ExitCode::from(INTERRUPTED);
+            }
         }
     }
 }
 
-fn begin_stop(stop: Option<StopFn>, tx: Sender<News>) {
+fn begin_stop(stop: Option<StopFn>, tx: Sender<ProcessEvent>) {
     let Some(stop) = stop else {
         return;
     };
     thread::spawn(move || {
-        // A stop that panics would leave the process running without its parts.
+        // If the stop panicked unnoticed, the process would keep running without
+        // its components.
         let clean = panic::catch_unwind(AssertUnwindSafe(stop)).unwrap_or(false);
-        tx.send(News::Stopped { clean }).ok();
+        tx.send(ProcessEvent::Stopped { clean }).ok();
     });
 }
