--- a/crates/bluebellreel_kv/src/outage.rs
+++ b/crates/bluebellreel_kv/src/outage.rs
@@ -3,9 +3,9 @@
 use bluebellreel_types::Moment;
 use std::time::Duration;
 
-/// Minimum time over which all calls have failed.
+/// For how long calls must have failed to count as an outage.
 const MIN_OUTAGE: Duration = Duration::from_millis(300);
-/// Minimum number of consecutive failures.
+/// How many consecutive calls must have failed to count as an outage.
 const MIN_FAILURES: u32 = 3;
 
 /// Consecutive failed calls.
--- a/crates/bluebellreel_kv/src/watch.rs
+++ b/crates/bluebellreel_kv/src/watch.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 /// Maximum duration of one watch. Guards against a connection that has died
-/// silently and would never deliver an event again: the caller opens the next watch
-/// at the last revision seen.
+/// silently and would never deliver an event again: the next watch continues from
+/// the last revision seen.
 const MAX_WATCH_DURATION: Duration = Duration::from_secs(30);
 
 /// One change of a key.
--- a/crates/bluebellreel_types/src/id.rs
+++ b/crates/bluebellreel_types/src/id.rs
@@ -117,7 +117,7 @@
 wide_id! {
     /// Id of a caller's request or of the lease of a batch item.
     RequestId,
-    /// Id of one run of a process, drawn at its start.
+    /// Id of one run of a process; a restarted process has a new one.
     Incarnation,
 }
 
--- a/crates/bluebellreel_types/src/work.rs
+++ b/crates/bluebellreel_types/src/work.rs
@@ -123,16 +123,16 @@
     pub end: AttemptEnd,
 }
 
-/// How long after its deadline a side process remembers the outcome of a call that
-/// must not be repeated, and its promise to refuse such a call.
+/// How long after a call's deadline the side process remembers the outcome of a
+/// call that must not be repeated, or its promise to refuse that call.
 pub const OUTCOME_RETENTION: Duration = Duration::from_hours(1);
 /// How long after a call's deadline the answer [`AttemptVerdict::NeverSeen`] is
 /// trusted. Later, the side process may have seen the call and discarded its
 /// outcome. Half of [`OUTCOME_RETENTION`], to allow for clocks that differ.
 pub const NEVER_SEEN_VALIDITY: Duration = Duration::from_mins(30);
-/// Maximum deadline of a call that must not be repeated. If a suspended entry
-/// daemon sends the call late, the call's deadline then passes before the side
-/// process discards its promise to refuse the call.
+/// Maximum time allowed for a call that must not be repeated. It ensures that a
+/// call sent late, by an entry daemon that was suspended, is past its deadline
+/// before the side process discards its promise to refuse that call.
 pub const MAX_UNREPEATABLE_CALL: Duration = Duration::from_mins(30);
 
 /// Answer of a side process that is asked to end an attempt.
--- a/src/program.rs
+++ b/src/program.rs
@@ -90,7 +90,7 @@
 }
 
 /// Events handled while a program runs.
-enum ProcessEvent {
+enum Event {
     Signal(i32),
     Stopped { clean: bool },
 }
@@ -100,34 +100,32 @@
     let signal_tx = tx.clone();
     thread::spawn(move || {
         for signal in signals.forever() {
-            signal_tx.send(ProcessEvent::Signal(signal)).ok();
+            signal_tx.send(Event::Signal(signal)).ok();
         }
     });
     let mut state = SignalState::default();
     let mut stop = Some(running.stop);
     loop {
         match rx.recv() {
-            Ok(ProcessEvent::Signal(signal)) => match state.handle(signal) {
+            Ok(Event::Signal(signal)) => match state.handle(signal) {
                 SignalAction::Stop => begin_stop(stop.take(), tx.clone()),
                 SignalAction::Ignore => {
                     log::warn!(target: "program", signal; "signal ignored");
                 }
                 SignalAction::ExitNow => {
                     eprintln!(
-                        "stopped at once by a second SIGINT: requests in progress were interrupted"
+                        "stopped at once by a second SIGINT: requests in progress were cut off"
                     );
                     return ExitCode::from(INTERRUPTED);
                 }
             },
-            Ok(ProcessEvent::Stopped { clean: true }) => return ExitCode::SUCCESS,
-            Ok(ProcessEvent::Stopped { clean: false }) | Err(_) => {
-                return ExitCode::from(INTERRUPTED);
-            }
+            Ok(Event::Stopped { clean: true }) => return ExitCode::SUCCESS,
+            Ok(Event::Stopped { clean: false }) | Err(_) => return ExitCode::from(INTERRUPTED),
         }
     }
 }
 
-fn begin_stop(stop: Option<StopFn>, tx: Sender<ProcessEvent>) {
+fn begin_stop(stop: Option<StopFn>, tx: Sender<Event>) {
     let Some(stop) = stop else {
         return;
     };
@@ -135,6 +133,6 @@
         // If the stop panicked unnoticed, the process would keep running without
         // its components.
         let clean = panic::catch_unwind(AssertUnwindSafe(stop)).unwrap_or(false);
-        tx.send(ProcessEvent::Stopped { clean }).ok();
+        tx.send(Event::Stopped { clean }).ok();
     });
 }
