--- a/crates/bluebellreel_net/tests/raw/mod.rs
+++ b/crates/bluebellreel_net/tests/raw/mod.rs
@@ -30,7 +30,7 @@
     /// Paths of the requests passed to the handler.
     pub taken: Rc<RefCell<Vec<String>>>,
     /// Completes the responses to `/held`.
-    pub go_on: Rc<Notify>,
+    pub release: Rc<Notify>,
     /// Whether a response to `/held` has started.
     pub held: Rc<Cell<bool>>,
 }
@@ -52,12 +52,12 @@
             stop: Stop::default(),
             served: ConnectionTracker::default(),
             taken: Rc::default(),
-            go_on: Rc::default(),
+            release: Rc::default(),
             held: Rc::default(),
         };
-        let (taken, go_on, held) = (
+        let (taken, release, held) = (
             server.taken.clone(),
-            server.go_on.clone(),
+            server.release.clone(),
             server.held.clone(),
         );
         spawn_local(serve(
@@ -65,16 +65,16 @@
             server.stop.clone(),
             server.served.clone(),
             || IDLE,
-            move |req| answer(req, taken.clone(), go_on.clone(), held.clone()),
+            move |req| answer(req, taken.clone(), release.clone(), held.clone()),
         ));
         server
     }
 
     /// Waits until a condition holds.
-    pub async fn until(&self, what: &str, is_so: impl Fn(&Self) -> bool) {
-        let until = Instant::now() + TIMEOUT;
-        while !is_so(self) {
-            assert!(Instant::now() < until, "never: {what}");
+    pub async fn wait_until(&self, what: &str, condition: impl Fn(&Self) -> bool) {
+        let deadline = Instant::now() + TIMEOUT;
+        while !condition(self) {
+            assert!(Instant::now() < deadline, "never: {what}");
             sleep(Duration::from_millis(5)).await;
         }
     }
@@ -83,13 +83,13 @@
     pub async fn connect(&self) -> Caller {
         let open = self.served.open();
         let caller = Caller(TcpStream::connect(self.address).await.expect("accepted"));
-        self.until("the connection is served", |s| s.served.open() > open)
+        self.wait_until("the connection is served", |s| s.served.open() > open)
             .await;
         caller
     }
 
     /// Opens a connection and completes one request on it.
-    pub async fn connect_and_ask(&self) -> Caller {
+    pub async fn connect_and_request(&self) -> Caller {
         let mut caller = self.connect().await;
         caller.write("GET /first HTTP/1.1\r\nhost: a\r\n\r\n");
         let answer = caller.read_answer().await;
@@ -101,7 +101,7 @@
 async fn answer(
     req: Request<Incoming>,
     taken: Rc<RefCell<Vec<String>>>,
-    go_on: Rc<Notify>,
+    release: Rc<Notify>,
     held: Rc<Cell<bool>>,
 ) -> Response<Body> {
     let path = req.uri().path().to_owned();
@@ -118,7 +118,7 @@
     }
     let end = async move {
         held.set(true);
-        go_on.notified().await;
+        release.notified().await;
         Ok(Bytes::from("end"))
     };
     Response::new(Body::stream(futures::stream::once(Box::pin(end))))
--- a/crates/bluebellreel_net/tests/stop.rs
+++ b/crates/bluebellreel_net/tests/stop.rs
@@ -24,10 +24,12 @@
 #[test]
 fn an_idle_connection_is_closed_at_once() {
     Server::test(|server| async move {
-        let mut caller = server.connect_and_ask().await;
+        let mut caller = server.connect_and_request().await;
         server.stop.close();
         assert_eq!(caller.read_to_end().await, (String::new(), End::Closed));
-        server.until("none is open", |s| s.served.open() == 0).await;
+        server
+            .wait_until("none is open", |s| s.served.open() == 0)
+            .await;
     });
 }
 
@@ -38,7 +40,7 @@
 #[test]
 fn a_request_that_came_before_the_close_is_answered() {
     Server::test(|server| async move {
-        let mut caller = server.connect_and_ask().await;
+        let mut caller = server.connect_and_request().await;
         caller.write(LATER);
         server.stop.close();
         let (answer, end) = caller.read_to_end().await;
@@ -47,12 +49,13 @@
     });
 }
 
-/// As above, but the rest of the request's head arrives shortly after the close.
-/// The server had read the first half and dropped it.
+/// Guards against dropping a half-read request: the rest of the request's head
+/// arrives shortly after the close. The server had read the first half and dropped
+/// it.
 #[test]
 fn a_request_half_read_at_the_close_is_answered() {
     Server::test(|server| async move {
-        let mut caller = server.connect_and_ask().await;
+        let mut caller = server.connect_and_request().await;
         let (first, rest) = LATER.split_at(20);
         caller.write(first);
         sleep(Duration::from_millis(50)).await;
@@ -84,10 +87,10 @@
 #[test]
 fn a_request_whose_body_comes_after_the_close_is_answered() {
     Server::test(|server| async move {
-        let mut caller = server.connect_and_ask().await;
+        let mut caller = server.connect_and_request().await;
         caller.write(HALF_BODY);
         server
-            .until("it is taken", |s| s.taken.borrow().len() == 2)
+            .wait_until("it is taken", |s| s.taken.borrow().len() == 2)
             .await;
         server.stop.close();
         sleep(Duration::from_millis(50)).await;
@@ -123,10 +126,10 @@
     Server::test(|server| async move {
         let mut caller = server.connect().await;
         caller.write(&format!("GET /held HTTP/1.1\r\nhost: a\r\n\r\n{LATER}"));
-        server.until("it has begun", |s| s.held.get()).await;
+        server.wait_until("it has begun", |s| s.held.get()).await;
         server.stop.close();
         sleep(Duration::from_millis(50)).await;
-        server.go_on.notify_one();
+        server.release.notify_one();
         let (answers, end) = caller.read_to_end().await;
         let (first, second) = answers
             .split_once("end\r\n0\r\n\r\n")
@@ -166,7 +169,7 @@
             "POST /refused HTTP/1.1\r\nhost: a\r\ncontent-length: {length}\r\n\r\n"
         ));
         server
-            .until("it is taken", |s| !s.taken.borrow().is_empty())
+            .wait_until("it is taken", |s| !s.taken.borrow().is_empty())
             .await;
         sleep(Duration::from_millis(50)).await;
         let sent = timeout(TIMEOUT, caller.0.write_all(&vec![b'x'; length])).await;
@@ -185,15 +188,18 @@
         let silent = server.connect().await;
         let half = server.connect().await;
         half.write(&LATER[..20]);
-        let kept = server.connect_and_ask().await;
+        let kept = server.connect_and_request().await;
         kept.write(&LATER[..20]);
         server.stop.close();
-        server.until("none is open", |s| s.served.open() == 0).await;
+        server
+            .wait_until("none is open", |s| s.served.open() == 0)
+            .await;
         drop((silent, half, kept));
     });
 }
 
-/// As above, for callers that connect after the close.
+/// Guards against delays of a stop by callers that connect after the close and send
+/// nothing, or only part of a request's head.
 #[test]
 fn late_silent_callers_do_not_hold_a_stop() {
     Server::test(|server| async move {
@@ -201,7 +207,9 @@
         let silent = server.connect().await;
         let half = server.connect().await;
         half.write(&LATER[..20]);
-        server.until("none is open", |s| s.served.open() == 0).await;
+        server
+            .wait_until("none is open", |s| s.served.open() == 0)
+            .await;
         drop((silent, half));
     });
 }
@@ -244,11 +252,11 @@
     Server::test(|server| async move {
         let mut caller = server.connect().await;
         caller.write("GET /held HTTP/1.1\r\nhost: a\r\n\r\n");
-        server.until("it has begun", |s| s.held.get()).await;
+        server.wait_until("it has begun", |s| s.held.get()).await;
         server.stop.finish();
         sleep(Duration::from_millis(50)).await;
         assert!(!server.served.is_closed());
-        server.go_on.notify_one();
+        server.release.notify_one();
         server.served.wait_closed().await;
         // No task of the server runs any more.
         let (answer, end) = caller.read_to_end().await;
