--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -31,7 +31,7 @@
     "workers read",
     "store lost",
     "store regained",
-    "peer heard",
+    "peer discovered",
     "own entry has vanished, registering again",
     "lease has ended",
     "facts taken over",
--- a/src/cli/gateway.rs
+++ b/src/cli/gateway.rs
@@ -1,6 +1,6 @@
 //! Commands run on the VMs of the users' platform: the gateway and the keeper.
 
-use bluebellreel_gateway::{Surroundings, run_gateway};
+use bluebellreel_gateway::{ProcessHooks, run_gateway};
 use bluebellreel_keeper::run_keeper;
 use bluebellreel_settings::{SettingsError, load_gateway, load_keeper};
 use bluebellreel_telemetry::{JsonLog, start_json_logging};
@@ -87,7 +87,7 @@
     .wrap_err("logs")
     .and_then(|log| {
         let dropped = log.dropped.clone();
-        let hooks = Surroundings {
+        let hooks = ProcessHooks {
             lines_dropped: Box::new(move || dropped.count()),
             read_settings: Box::new(move || load_gateway(&path)),
             settings_changed: Rc::default(),
