--- a/crates/bluebellreel_net/tests/raw/mod.rs
+++ b/crates/bluebellreel_net/tests/raw/mod.rs
@@ -1,6 +1,6 @@
-//! A server on loopback, and callers that write their bytes by hand.
+//! A server on the loopback interface, and callers that write raw bytes.
 
-use bluebellreel_net::{Body, Served, Stop, listen, read_body, serve};
+use bluebellreel_net::{Body, ConnectionTracker, Stop, listen, read_body, serve};
 use bytes::Bytes;
 use http::{Request, Response};
 use hyper::body::Incoming;
@@ -16,26 +16,27 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a test waits for what must come, however slow the machine is.
+/// Timeout for events that must happen, generous enough for a slow machine.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
-/// Time a connection may stay without a request while nothing stops.
+/// How long a connection may stay without a request while the server is not
+/// stopping.
 const IDLE: Duration = Duration::from_mins(2);
 
-/// A server that a test stops.
+/// A server under test.
 pub struct Server {
     pub address: SocketAddr,
     pub stop: Stop,
-    pub served: Served,
-    /// Paths of the requests that reached the function.
+    pub served: ConnectionTracker,
+    /// Paths of the requests passed to the handler.
     pub taken: Rc<RefCell<Vec<String>>>,
-    /// Lets the answers to `/held` go on.
-    pub go_on: Rc<Notify>,
-    /// Whether answers to `/held` have begun.
+    /// Completes the responses to `/held`.
+    pub release: Rc<Notify>,
+    /// Whether a response to `/held` has started.
     pub held: Rc<Cell<bool>>,
 }
 
 impl Server {
-    /// Runs a test before a server.
+    /// Runs a test against a new server.
     pub fn test<T: Future<Output = ()>>(test: impl FnOnce(Self) -> T) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -49,14 +50,14 @@
         let server = Self {
             address: listener.local_addr().expect("an address"),
             stop: Stop::default(),
-            served: Served::default(),
+            served: ConnectionTracker::default(),
             taken: Rc::default(),
-            go_on: Rc::default(),
+            release: Rc::default(),
             held: Rc::default(),
         };
-        let (taken, go_on, held) = (
+        let (taken, release, held) = (
             server.taken.clone(),
-            server.go_on.clone(),
+            server.release.clone(),
             server.held.clone(),
         );
         spawn_local(serve(
@@ -64,31 +65,31 @@
             server.stop.clone(),
             server.served.clone(),
             || IDLE,
-            move |req| answer(req, taken.clone(), go_on.clone(), held.clone()),
+            move |req| answer(req, taken.clone(), release.clone(), held.clone()),
         ));
         server
     }
 
-    /// Waits until something is so.
-    pub async fn until(&self, what: &str, is_so: impl Fn(&Self) -> bool) {
-        let until = Instant::now() + TIMEOUT;
-        while !is_so(self) {
-            assert!(Instant::now() < until, "never: {what}");
+    /// Waits until a condition holds.
+    pub async fn wait_until(&self, what: &str, condition: impl Fn(&Self) -> bool) {
+        let deadline = Instant::now() + TIMEOUT;
+        while !condition(self) {
+            assert!(Instant::now() < deadline, "never: {what}");
             sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Connects a caller that the server has accepted.
+    /// Opens a connection and waits until the server has accepted it.
     pub async fn connect(&self) -> Caller {
         let open = self.served.open();
         let caller = Caller(TcpStream::connect(self.address).await.expect("accepted"));
-        self.until("the connection is served", |s| s.served.open() > open)
+        self.wait_until("the connection is served", |s| s.served.open() > open)
             .await;
         caller
     }
 
-    /// Connects a caller whose connection has answered a request.
-    pub async fn connect_and_ask(&self) -> Caller {
+    /// Opens a connection and completes one request on it.
+    pub async fn connect_and_request(&self) -> Caller {
         let mut caller = self.connect().await;
         caller.write("GET /first HTTP/1.1\r\nhost: a\r\n\r\n");
         let answer = caller.read_answer().await;
@@ -100,13 +101,13 @@
 async fn answer(
     req: Request<Incoming>,
     taken: Rc<RefCell<Vec<String>>>,
-    go_on: Rc<Notify>,
+    release: Rc<Notify>,
     held: Rc<Cell<bool>>,
 ) -> Response<Body> {
     let path = req.uri().path().to_owned();
     taken.borrow_mut().push(path.clone());
     if path == "/refused" {
-        // Without reading the body.
+        // Answers without reading the body.
         return Response::new(Body::full(path));
     }
     let read = read_body(req.into_body(), 1 << 20, TIMEOUT).await;
@@ -117,7 +118,7 @@
     }
     let end = async move {
         held.set(true);
-        go_on.notified().await;
+        release.notified().await;
         Ok(Bytes::from("end"))
     };
     Response::new(Body::stream(futures::stream::once(Box::pin(end))))
@@ -126,9 +127,9 @@
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// In order.
+    /// Orderly, by a FIN.
     Closed,
-    /// By a reset.
+    /// By a RST.
     Reset,
 }
 
@@ -136,14 +137,14 @@
 pub struct Caller(pub TcpStream);
 
 impl Caller {
-    /// Writes bytes at once: the server can't run before they are with the
-    /// kernel.
+    /// Writes bytes synchronously: the server cannot run before the kernel has
+    /// them.
     pub fn write(&self, text: &str) {
         let written = self.0.try_write(text.as_bytes());
         assert_eq!(written.ok(), Some(text.len()));
     }
 
-    /// Reads one answer of known length.
+    /// Reads one response that has a `Content-Length`.
     pub async fn read_answer(&mut self) -> String {
         let mut all = Vec::new();
         loop {
