--- a/crates/bluebellreel_entry/src/bench.rs
+++ b/crates/bluebellreel_entry/src/bench.rs
@@ -39,7 +39,7 @@
 const MESSAGES: usize = 65_536;
 
 /// A caller that waits for an online answer.
-pub struct BenchCall {
+pub struct HarnessCall {
     /// Its request.
     pub id: RequestId,
     rx: Receiver<CallerEvent>,
@@ -59,7 +59,7 @@
     Claimed(Box<ClaimRecord>),
 }
 
-impl BenchCall {
+impl HarnessCall {
     /// Takes in what has come.
     pub fn poll(&mut self) {
         loop {
@@ -87,7 +87,7 @@
 
 /// One line of results.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BenchLine {
+pub struct HarnessResult {
     /// The item.
     pub custom_id: String,
     /// How it ended.
@@ -97,14 +97,14 @@
 }
 
 /// A question to the side process that a claim names.
-pub struct BenchQuestion {
+pub struct ClaimQuery {
     record: ClaimRecord,
     revision: i64,
     rx: Receiver<AskAnswer>,
 }
 
 /// An entry daemon without threads, sockets or platform.
-pub struct EntryBench {
+pub struct EntryHarness {
     /// Its name.
     pub name: EntryName,
     /// Its run.
@@ -117,7 +117,7 @@
     seen: BTreeSet<EntryName>,
 }
 
-impl EntryBench {
+impl EntryHarness {
     /// A daemon that has just started.
     #[must_use]
     pub fn new(settings: EntrySettings, send: KvTransport, clock: Clock) -> Self {
@@ -325,13 +325,13 @@
 
     /// All results of a job; none when they cannot be read.
     #[must_use]
-    pub fn results(&self, id: &JobId) -> Option<Vec<BenchLine>> {
+    pub fn results(&self, id: &JobId) -> Option<Vec<HarnessResult>> {
         let record = find_job(&self.parts.kv, id).ok()??.record;
         let mut lines = Vec::new();
         let mut after: Option<String> = None;
         loop {
             let page = read_results(self.parts.storage(), &record, after.as_deref()).ok()?;
-            lines.extend(page.lines.into_iter().map(|line| BenchLine {
+            lines.extend(page.lines.into_iter().map(|line| HarnessResult {
                 custom_id: line.custom_id.to_string(),
                 status: line.status,
                 body: line.response.map(|r| r.body.to_string()),
@@ -344,7 +344,7 @@
     }
 
     /// Sends an online request as a caller does.
-    pub fn call(&mut self, work: Work, deadline: Moment) -> BenchCall {
+    pub fn call(&mut self, work: Work, deadline: Moment) -> HarnessCall {
         let id = RequestId::random();
         let (caller, rx) = unbounded();
         let call = NewCall {
@@ -359,7 +359,7 @@
         };
         let message = OnlineMessage::Call(Box::new(call));
         self.core.deliver(Message::Online(message));
-        BenchCall {
+        HarnessCall {
             id,
             rx,
             text: String::new(),
@@ -375,7 +375,7 @@
     }
 
     /// Asks what became of an open claim.
-    pub fn ask_claim(&mut self, team: &TeamName, key: &str) -> Option<BenchQuestion> {
+    pub fn ask_claim(&mut self, team: &TeamName, key: &str) -> Option<ClaimQuery> {
         let (record, revision) = find_claim(&self.parts.kv, team, key).ok()??;
         let (answer, rx) = bounded(1);
         let message = OnlineMessage::AskClaim {
@@ -383,7 +383,7 @@
             answer,
         };
         self.core.deliver(Message::Online(message));
-        Some(BenchQuestion {
+        Some(ClaimQuery {
             record,
             revision,
             rx,
@@ -391,7 +391,7 @@
     }
 
     /// Records the answer to a question, if there is one; whether there was.
-    pub fn settle(&mut self, question: &BenchQuestion) -> bool {
+    pub fn settle(&mut self, question: &ClaimQuery) -> bool {
         let Ok(told) = question.rx.try_recv() else {
             return false;
         };
--- a/crates/bluebellreel_faults/src/scenario.rs
+++ b/crates/bluebellreel_faults/src/scenario.rs
@@ -3,7 +3,7 @@
 use crate::items::{TOKENS, bookings, chat, notes};
 use crate::plan::{Fault, Plan, Step};
 use crate::world::{DESK, World};
-use bluebellreel_entry::bench::{BenchCall, BenchQuestion, CallEnd};
+use bluebellreel_entry::bench::{CallEnd, ClaimQuery, HarnessCall};
 use bluebellreel_job::JobState;
 use bluebellreel_routing::Outcome;
 use bluebellreel_types::{ChatBody, JobId, ModelName, Moment, TeamName, Work, WorkKind};
@@ -31,7 +31,7 @@
     pub(crate) key: Option<String>,
     pub(crate) work: Work,
     pub(crate) expected: String,
-    pub(crate) call: Option<BenchCall>,
+    pub(crate) call: Option<HarnessCall>,
     /// Runs of the key when "not run" was told.
     pub(crate) runs_when_refused: Option<u32>,
 }
@@ -39,7 +39,7 @@
 impl FollowedCall {
     /// Whether nobody can answer it any more: its daemon died.
     pub(crate) fn is_stranded(&self) -> bool {
-        self.call.as_ref().is_none_or(BenchCall::is_stranded)
+        self.call.as_ref().is_none_or(HarnessCall::is_stranded)
     }
 }
 
@@ -49,7 +49,7 @@
     pub(crate) team: TeamName,
     pub(crate) jobs: BTreeMap<&'static str, FollowedJob>,
     pub(crate) calls: Vec<FollowedCall>,
-    questions: Vec<(usize, BenchQuestion)>,
+    questions: Vec<(usize, ClaimQuery)>,
     pub(crate) cancel_told: Option<JobState>,
     pub(crate) lines_at_cancel: Option<usize>,
     pub(crate) generations: Vec<[u64; 3]>,
@@ -305,7 +305,7 @@
         let index = self.world.live_entry(0)?;
         let lines = self.world.entry(index)?.results(&id);
         self.world.carry_out_struck();
-        let ended = |line: &&bluebellreel_entry::bench::BenchLine| line.status != "cancelled";
+        let ended = |line: &&bluebellreel_entry::bench::HarnessResult| line.status != "cancelled";
         Some(lines?.iter().filter(ended).count())
     }
 
@@ -350,7 +350,7 @@
                 return;
             };
             let team = self.team.clone();
-            let question: Option<BenchQuestion> = self
+            let question: Option<ClaimQuery> = self
                 .world
                 .entry(index)
                 .and_then(|entry| entry.ask_claim(&team, key));
--- a/crates/bluebellreel_faults/src/world.rs
+++ b/crates/bluebellreel_faults/src/world.rs
@@ -9,7 +9,7 @@
 use crate::net::{Envelope, Link, Net};
 use crate::plan::{Fault, Plan};
 use bluebellreel_admission::AdmissionLimits;
-use bluebellreel_entry::bench::EntryBench;
+use bluebellreel_entry::bench::EntryHarness;
 use bluebellreel_rpc::{EntryNotice, SideNotice};
 use bluebellreel_settings::parse_entry;
 use bluebellreel_side::bench::SideBench;
@@ -63,7 +63,7 @@
 }
 
 struct EntryNode {
-    bench: Option<EntryBench>,
+    bench: Option<EntryHarness>,
     state: EntryState,
     renew_at: Moment,
     read_at: Moment,
@@ -168,7 +168,7 @@
         &self.sides[SERVICE].backend
     }
 
-    fn new_entry(&self, index: usize) -> EntryBench {
+    fn new_entry(&self, index: usize) -> EntryHarness {
         let hash = "0".repeat(64);
         let settings = format!(
             "name = \"entry-{index}\"\ndata_centre = \"Sligo\"\nlisten = \"127.0.0.1:0\"\n\
@@ -178,13 +178,13 @@
         );
         let settings = parse_entry("world", &settings).expect("valid settings");
         let send = self.kv.transport(index);
-        let mut bench = EntryBench::new(settings, send, self.clock.clone());
+        let mut bench = EntryHarness::new(settings, send, self.clock.clone());
         bench.list(&workers());
         bench
     }
 
     /// An entry daemon that can be talked to now.
-    pub fn entry(&mut self, index: usize) -> Option<&mut EntryBench> {
+    pub fn entry(&mut self, index: usize) -> Option<&mut EntryHarness> {
         let node = &mut self.entries[index];
         match node.state {
             EntryState::Up => node.bench.as_mut(),
--- a/crates/bluebellreel_faults/tests/claims.rs
+++ b/crates/bluebellreel_faults/tests/claims.rs
@@ -1,7 +1,7 @@
 //! A call that may not be repeated, sent again while the first one is under way.
 
 use bluebellreel_claim::ClaimState;
-use bluebellreel_entry::bench::EntryBench;
+use bluebellreel_entry::bench::EntryHarness;
 use bluebellreel_kv::{KvError, KvTransport};
 use bluebellreel_rpc::{EntryCommand, EntryNotice};
 use bluebellreel_settings::parse_entry;
@@ -23,8 +23,8 @@
 /// Two daemons that reach the same side process and key-value service.
 struct TwoDaemons {
     clock: Clock,
-    first: EntryBench,
-    other: EntryBench,
+    first: EntryHarness,
+    other: EntryHarness,
 }
 
 impl TwoDaemons {
@@ -44,7 +44,7 @@
     }
 
     /// The first daemon claims a booking and sends it; its message is under way.
-    fn book(&mut self) -> bluebellreel_entry::bench::BenchCall {
+    fn book(&mut self) -> bluebellreel_entry::bench::HarnessCall {
         let call = self.first.call(booking(), self.clock.now() + CALL_TIMEOUT);
         while self.first.run_kv_task() {
             self.first.handle_messages();
@@ -79,7 +79,7 @@
     })
 }
 
-fn entry(name: &str, send: KvTransport, clock: &Clock) -> EntryBench {
+fn entry(name: &str, send: KvTransport, clock: &Clock) -> EntryHarness {
     let settings = format!(
         "name = \"{name}\"\ndata_centre = \"Sligo\"\nlisten = \"127.0.0.1:0\"\n\
          [platform]\nkv = \"http://127.0.0.1:1\"\nvm_list = \"http://127.0.0.1:1\"\n\
@@ -88,7 +88,7 @@
         "0".repeat(64)
     );
     let settings = parse_entry("test", &settings).expect("valid settings");
-    let mut bench = EntryBench::new(settings, send, clock.clone());
+    let mut bench = EntryHarness::new(settings, send, clock.clone());
     let (worker, data_centre) = (WorkerName::from("desk-0"), DataCentre::from("Sligo"));
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     bench.list(&[(worker.clone(), address, data_centre.clone())]);
@@ -102,7 +102,7 @@
     bench
 }
 
-fn commands(bench: &mut EntryBench) -> Vec<EntryCommand> {
+fn commands(bench: &mut EntryHarness) -> Vec<EntryCommand> {
     std::iter::from_fn(|| bench.command()).collect()
 }
 
