--- a/crates/bluebellreel_entry/src/bench.rs
+++ b/crates/bluebellreel_entry/src/bench.rs
@@ -4,14 +4,14 @@
 use crate::core::EntryCore;
 use crate::data::ChunkAccess;
 use crate::fleet::{FleetMessage, PutAnswer, SharedManifest, accepted, get_manifest, put_manifest};
-use crate::http::settle_as;
+use crate::handles::DaemonHandles;
+use crate::http::record_query_result;
 use crate::jobs::{
     AcceptAnswer, CancelAnswer, JobsMessage, Submission, accept_job, cancel_job, find_job,
     read_results,
 };
 use crate::message::Message;
-use crate::online::{AskAnswer, CallerEvent, NewCall, OnlineMessage, find_claim};
-use crate::parts::Parts;
+use crate::online::{CallerEvent, ClaimQueryResult, NewCall, OnlineMessage, find_claim};
 use crate::platform::{
     EntryRecord, KvPool, ListedState, ListedWorker, entry_key, entry_prefix, job_prefix,
 };
@@ -36,7 +36,7 @@
 use tokio::sync::mpsc;
 
 /// Messages that wait.
-const MESSAGES: usize = 65_536;
+const MESSAGE_QUEUE_CAPACITY: usize = 65_536;
 
 /// A caller that waits for an online answer.
 pub struct HarnessCall {
@@ -100,7 +100,7 @@
 pub struct ClaimQuery {
     record: ClaimRecord,
     revision: i64,
-    rx: Receiver<AskAnswer>,
+    rx: Receiver<ClaimQueryResult>,
 }
 
 /// An entry daemon without threads, sockets or platform.
@@ -110,7 +110,7 @@
     /// Its run.
     pub run: Incarnation,
     core: EntryCore,
-    parts: Parts,
+    handles: DaemonHandles,
     rx: Receiver<Message>,
     commands: mpsc::UnboundedReceiver<EntryCommand>,
     lease: Option<i64>,
@@ -122,7 +122,7 @@
     #[must_use]
     pub fn new(settings: EntrySettings, send: KvTransport, clock: Clock) -> Self {
         let run = Incarnation::random();
-        let (tx, rx) = bounded(MESSAGES);
+        let (tx, rx) = bounded(MESSAGE_QUEUE_CAPACITY);
         let (rpc, commands) = mpsc::unbounded_channel();
         let kv_settings = KvSettings {
             url: settings.kv.clone(),
@@ -130,12 +130,12 @@
             calls_per_second: settings.kv_calls_per_second,
         };
         let kv = KvClient::over(send, kv_settings, run, clock.clone());
-        let parts = Parts {
+        let handles = DaemonHandles {
             run,
             clock,
             lease: Arc::default(),
             kv: Arc::new(kv),
-            pool: KvPool::held(),
+            pool: KvPool::manual(),
             rpc,
             tx,
             tracer: Tracer::disabled(),
@@ -145,10 +145,10 @@
             settings: Arc::new(settings),
         };
         Self {
-            name: parts.settings.name.clone(),
+            name: handles.settings.name.clone(),
             run,
-            core: EntryCore::new(&parts, SharedManifest::default()),
-            parts,
+            core: EntryCore::new(&handles, SharedManifest::default()),
+            handles,
             rx,
             commands,
             lease: None,
@@ -170,10 +170,10 @@
 
     /// Runs one call to the key-value service that waits; whether there was one.
     pub fn run_kv_task(&mut self) -> bool {
-        let Some(task) = self.parts.pool.take() else {
+        let Some(task) = self.handles.pool.pop_manual() else {
             return false;
         };
-        task(&self.parts.kv);
+        task(&self.handles.kv);
         true
     }
 
@@ -202,20 +202,20 @@
 
     /// Renews the daemon's lease, or takes a new one.
     pub fn renew_lease(&mut self) {
-        let kv = &self.parts.kv;
+        let kv = &self.handles.kv;
         if let Some(lease) = self.lease
             && kv.keep_alive(lease).unwrap_or(true)
         {
             return;
         }
-        let Ok(lease) = kv.grant(self.parts.settings.lease) else {
+        let Ok(lease) = kv.grant(self.handles.settings.lease) else {
             return;
         };
         let record = EntryRecord {
             name: self.name.clone(),
             run: self.run,
-            address: self.parts.settings.listen,
-            data_centre: self.parts.settings.data_centre.clone(),
+            address: self.handles.settings.listen,
+            data_centre: self.handles.settings.data_centre.clone(),
             disk: None,
         };
         let txn = Txn {
@@ -234,7 +234,7 @@
     /// Reads the leases, the jobs and the manifest anew, as the watches do
     /// when they start over.
     pub fn read_all(&mut self) {
-        let kv = self.parts.kv.clone();
+        let kv = self.handles.kv.clone();
         if let Ok((all, _)) = kv.list(&entry_prefix()) {
             let records: Vec<EntryRecord> = all
                 .iter()
@@ -242,11 +242,11 @@
                 .collect();
             let present: BTreeSet<_> = records.iter().map(|r| r.name.clone()).collect();
             for name in self.seen.difference(&present) {
-                self.core.deliver(Message::EntryGone(name.clone()));
+                self.core.deliver(Message::EntryLeft(name.clone()));
             }
             self.seen = present;
             for record in records {
-                self.core.deliver(Message::EntrySeen(record));
+                self.core.deliver(Message::EntryJoined(record));
             }
         }
         if let Ok((all, _)) = kv.list(&job_prefix()) {
@@ -260,7 +260,7 @@
         if let Ok(Some(stored)) = get_manifest(&kv)
             && let Some(accepted) = accepted(&stored)
         {
-            let message = FleetMessage::Offered(accepted);
+            let message = FleetMessage::ManifestAccepted(accepted);
             self.core.deliver(Message::Fleet(message));
         }
     }
@@ -281,14 +281,14 @@
             id: JobId::derived(team, key),
             team: team.clone(),
             deadline,
-            accepted_at: self.parts.clock.now(),
+            accepted_at: self.handles.clock.now(),
             owner: self.name.clone(),
             owner_run: self.run,
-            most_items: self.parts.settings.limits.job_items,
+            max_items: self.handles.settings.limits.job_items,
         };
         let mut pieces = vec![body.to_vec()];
         let answer = accept_job(
-            self.parts.storage(),
+            self.handles.storage(),
             &submission,
             || Ok(()),
             || Ok(pieces.pop()),
@@ -309,7 +309,7 @@
     ///
     /// Gives the reason when it could not be recorded.
     pub fn cancel(&mut self, id: &JobId) -> Result<JobState, String> {
-        match cancel_job(self.parts.storage(), id, self.parts.clock.now()) {
+        match cancel_job(self.handles.storage(), id, self.handles.clock.now()) {
             CancelAnswer::Over(record) => Ok(record.state),
             CancelAnswer::NoSuchJob => Err("no such job".into()),
             CancelAnswer::Failed { reason, .. } => Err(reason),
@@ -319,18 +319,18 @@
     /// A job's state, none when it cannot be read.
     #[must_use]
     pub fn job_state(&self, id: &JobId) -> Option<JobState> {
-        let found = find_job(&self.parts.kv, id).ok()??;
+        let found = find_job(&self.handles.kv, id).ok()??;
         Some(found.record.state)
     }
 
     /// All results of a job; none when they cannot be read.
     #[must_use]
     pub fn results(&self, id: &JobId) -> Option<Vec<HarnessResult>> {
-        let record = find_job(&self.parts.kv, id).ok()??.record;
+        let record = find_job(&self.handles.kv, id).ok()??.record;
         let mut lines = Vec::new();
         let mut after: Option<String> = None;
         loop {
-            let page = read_results(self.parts.storage(), &record, after.as_deref()).ok()?;
+            let page = read_results(self.handles.storage(), &record, after.as_deref()).ok()?;
             lines.extend(page.lines.into_iter().map(|line| HarnessResult {
                 custom_id: line.custom_id.to_string(),
                 status: line.status,
@@ -371,14 +371,14 @@
     /// Reads the claim of a key.
     #[must_use]
     pub fn claim(&self, team: &TeamName, key: &str) -> Option<ClaimRecord> {
-        Some(find_claim(&self.parts.kv, team, key).ok()??.0)
+        Some(find_claim(&self.handles.kv, team, key).ok()??.0)
     }
 
     /// Asks what became of an open claim.
     pub fn ask_claim(&mut self, team: &TeamName, key: &str) -> Option<ClaimQuery> {
-        let (record, revision) = find_claim(&self.parts.kv, team, key).ok()??;
+        let (record, revision) = find_claim(&self.handles.kv, team, key).ok()??;
         let (answer, rx) = bounded(1);
-        let message = OnlineMessage::AskClaim {
+        let message = OnlineMessage::QueryClaim {
             record: Box::new(record.clone()),
             answer,
         };
@@ -392,11 +392,11 @@
 
     /// Records the answer to a question, if there is one; whether there was.
     pub fn settle(&mut self, question: &ClaimQuery) -> bool {
-        let Ok(told) = question.rx.try_recv() else {
+        let Ok(result) = question.rx.try_recv() else {
             return false;
         };
         let record = question.record.clone();
-        settle_as(&self.parts.kv, record, question.revision, &told);
+        record_query_result(&self.handles.kv, record, question.revision, &result);
         true
     }
 
@@ -406,7 +406,7 @@
     ///
     /// Gives the generation that won, or none when it is not known.
     pub fn put_manifest(&mut self, seen: u64, text: &str) -> Result<u64, Option<u64>> {
-        match put_manifest(&self.parts.kv, seen, text) {
+        match put_manifest(&self.handles.kv, seen, text) {
             PutAnswer::Accepted(stored) => Ok(stored.generation),
             PutAnswer::Beaten(winner) => Err(winner.map(|w| w.generation)),
             PutAnswer::NotDone(_) | PutAnswer::Unknown(_) => Err(None),
@@ -416,7 +416,7 @@
     /// The generation in force here.
     pub fn generation(&mut self) -> u64 {
         let (answer, rx) = bounded(1);
-        let message = FleetMessage::SummaryAsked(answer);
+        let message = FleetMessage::QuerySummary(answer);
         self.core.deliver(Message::Fleet(message));
         rx.try_recv().map_or(0, |summary| summary.generation)
     }
--- a/crates/bluebellreel_entry/src/core.rs
+++ b/crates/bluebellreel_entry/src/core.rs
@@ -1,30 +1,30 @@
 //! The daemon's state as a whole: its parts, and which message goes to which.
 
-use crate::fleet::{FleetPart, SharedManifest};
-use crate::jobs::JobsPart;
+use crate::fleet::{FleetComponent, SharedManifest};
+use crate::handles::DaemonHandles;
+use crate::jobs::JobsComponent;
 use crate::message::Message;
-use crate::online::{OnlinePart, ReachPart};
-use crate::parts::Parts;
+use crate::online::{ConnectionsComponent, OnlineComponent};
 use bluebellreel_routing::ReachNeeds;
 use bluebellreel_rpc::EntryNotice;
 
 /// The parts. All of them run on one thread and never block.
 pub(crate) struct EntryCore {
-    pub(crate) online: OnlinePart,
-    pub(crate) jobs: JobsPart,
-    fleet: FleetPart,
-    reach: ReachPart,
-    parts: Parts,
+    pub(crate) online: OnlineComponent,
+    pub(crate) jobs: JobsComponent,
+    fleet: FleetComponent,
+    connections: ConnectionsComponent,
+    handles: DaemonHandles,
 }
 
 impl EntryCore {
-    pub(crate) fn new(parts: &Parts, shared: SharedManifest) -> Self {
+    pub(crate) fn new(handles: &DaemonHandles, shared: SharedManifest) -> Self {
         Self {
-            online: OnlinePart::new(parts.clone()),
-            jobs: JobsPart::new(parts.clone()),
-            fleet: FleetPart::new(parts.clone(), shared),
-            reach: ReachPart::new(parts),
-            parts: parts.clone(),
+            online: OnlineComponent::new(handles.clone()),
+            jobs: JobsComponent::new(handles.clone()),
+            fleet: FleetComponent::new(handles.clone(), shared),
+            connections: ConnectionsComponent::new(handles),
+            handles: handles.clone(),
         }
     }
 
@@ -33,13 +33,13 @@
         self.online.tick();
         self.jobs.tick();
         self.fleet.tick();
-        self.reach_out();
+        self.update_connections();
     }
 
     /// Connects to the workers that are needed now and lets go of the others.
-    fn reach_out(&mut self) {
-        let now = self.parts.clock.now();
-        if !self.reach.is_due(now) {
+    fn update_connections(&mut self) {
+        let now = self.handles.clock.now();
+        if !self.connections.is_due(now) {
             return;
         }
         let mut busy = self.online.busy_workers();
@@ -50,8 +50,11 @@
             all_local: self.fleet.is_matcher(),
             busy,
         };
-        let reached = self.reach.plan(&needs, now);
-        for gone in self.online.hold(reached.workers, reached.is_short) {
+        let reached = self.connections.plan(&needs, now);
+        for gone in self
+            .online
+            .set_connections(reached.workers, reached.is_short)
+        {
             // Their connections are closed from here, so that nobody else tells.
             self.jobs.on_notice(EntryNotice::Lost(gone.clone()));
             self.fleet.on_notice(EntryNotice::Lost(gone));
@@ -70,28 +73,28 @@
             Message::Jobs(message) => self.jobs.on_message(message),
             Message::Fleet(message) => {
                 self.fleet.on_message(message);
-                self.online.apply(&self.fleet.manifest());
+                self.online.apply_manifest(&self.fleet.manifest());
             }
-            Message::ManifestRead => self.parts.readiness.note_manifest(),
+            Message::ManifestRead => self.handles.readiness.note_manifest(),
             Message::Listed(list) => {
-                self.reach.list(list);
-                self.reach_out();
+                self.connections.list(list);
+                self.update_connections();
             }
-            Message::EntrySeen(record) => {
+            Message::EntryJoined(record) => {
                 self.online.note_entry(record.name.clone(), record.run);
-                self.jobs.on_entry_seen(record);
+                self.jobs.on_entry_joined(record);
             }
-            Message::EntryGone(name) => {
+            Message::EntryLeft(name) => {
                 self.online.forget_entry(&name);
-                self.jobs.on_entry_gone(&name);
+                self.jobs.on_entry_left(&name);
             }
             Message::Rpc(notice) => self.deliver_notice(notice),
-            Message::IdleAsked(answer) => {
+            Message::QueryIdle(answer) => {
                 answer.send(self.is_idle()).ok();
             }
             // The loop that runs the actors sees to it.
             Message::Quit => {}
-            Message::StopAsked => {
+            Message::Stop => {
                 log::info!(target: "entry", "Stopping: nothing new is taken.");
                 self.online.stop();
                 self.jobs.stop();
@@ -101,7 +104,7 @@
 
     /// Connections and verdicts concern several parts; the rest concerns one.
     fn deliver_notice(&mut self, notice: EntryNotice) {
-        self.reach.note(&notice, self.parts.clock.now());
+        self.connections.note(&notice, self.handles.clock.now());
         match notice {
             EntryNotice::Connected(hello) => {
                 self.online.on_notice(EntryNotice::Connected(hello.clone()));
--- a/crates/bluebellreel_entry/src/data/access.rs
+++ b/crates/bluebellreel_entry/src/data/access.rs
@@ -1,7 +1,7 @@
 //! Writing and reading chunks, wherever they lie.
 
-use crate::data::places::Places;
-use crate::data::wire::{COPY_HEADER, EPOCH_HEADER, MOST_BYTES, chunk_path};
+use crate::data::volume_map::VolumeMap;
+use crate::data::wire::{COPY_HEADER, EPOCH_HEADER, MAX_CHUNK_BYTES, chunk_path};
 use crate::platform::EntryRecord;
 use bluebellreel_chunk::{
     ChunkFolder, ChunkName, ChunkStore, DiskId, StoreError, StoreLimits, VolumeId, VolumeRecord,
@@ -16,9 +16,9 @@
 use std::time::Duration;
 
 /// Longest time for one chunk's way to or from a disk.
-const CALL_TIME: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Volumes tried for one chunk.
-const TRIES: usize = 4;
+const MAX_PUT_ATTEMPTS: usize = 4;
 
 /// Why a chunk could not be kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,12 +35,12 @@
 
 #[derive(Debug)]
 struct Inner {
-    places: RwLock<Places>,
+    volume_map: RwLock<VolumeMap>,
     own: Option<ChunkStore>,
     settings: DataSettings,
     agent: ureq::Agent,
     clock: Clock,
-    turn: AtomicUsize,
+    next_index: AtomicUsize,
 }
 
 impl ChunkAccess {
@@ -59,16 +59,16 @@
         let folder = settings.folder.as_ref();
         let own = folder.map(|f| ChunkStore::open(f, limits)).transpose()?;
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(CALL_TIME))
+            .timeout_global(Some(CALL_TIMEOUT))
             .http_status_as_error(false)
             .build();
         Ok(Self(Some(Arc::new(Inner {
-            places: RwLock::default(),
+            volume_map: RwLock::default(),
             own,
             settings: settings.clone(),
             agent: config.new_agent(),
             clock: clock.clone(),
-            turn: AtomicUsize::new(rand::random::<u16>().into()),
+            next_index: AtomicUsize::new(rand::random::<u16>().into()),
         }))))
     }
 
@@ -85,12 +85,12 @@
         Some(&self.0.as_ref()?.settings)
     }
 
-    pub(crate) fn places(&self) -> Option<RwLockReadGuard<'_, Places>> {
-        self.0.as_ref()?.places.read().ok()
+    pub(crate) fn volume_map(&self) -> Option<RwLockReadGuard<'_, VolumeMap>> {
+        self.0.as_ref()?.volume_map.read().ok()
     }
 
-    pub(crate) fn places_mut(&self) -> Option<RwLockWriteGuard<'_, Places>> {
-        self.0.as_ref()?.places.write().ok()
+    pub(crate) fn volume_map_mut(&self) -> Option<RwLockWriteGuard<'_, VolumeMap>> {
+        self.0.as_ref()?.volume_map.write().ok()
     }
 
     pub(crate) fn now(&self) -> Moment {
@@ -101,23 +101,23 @@
     /// Takes in a live daemon.
     pub(crate) fn note_daemon(&self, record: &EntryRecord) {
         let now = self.now();
-        if let Some(mut places) = self.places_mut() {
-            places.note_daemon(record, now);
+        if let Some(mut volume_map) = self.volume_map_mut() {
+            volume_map.note_daemon(record, now);
         }
     }
 
     /// Takes in that a daemon's lease has ended.
     pub(crate) fn note_daemon_gone(&self, name: &EntryName) {
         let now = self.now();
-        if let Some(mut places) = self.places_mut() {
-            places.note_daemon_gone(name, now);
+        if let Some(mut volume_map) = self.volume_map_mut() {
+            volume_map.note_daemon_gone(name, now);
         }
     }
 
     /// Whether a chunk of so many bytes goes to disks. Small ones stay in the
     /// key-value service: there they cost one write and little room, on disks
     /// two calls and some syncs.
-    pub(crate) fn takes(&self, bytes: usize) -> bool {
+    pub(crate) fn stores_on_disk(&self, bytes: usize) -> bool {
         let settings = self.settings();
         settings.is_some_and(|settings| bytes >= settings.kv_below)
     }
@@ -128,7 +128,7 @@
         let Some(inner) = &self.0 else {
             return Err(PutError::NoHolders);
         };
-        for _ in 0..TRIES {
+        for _ in 0..MAX_PUT_ATTEMPTS {
             let Some(volume) = inner.next_volume()? else {
                 return Err(PutError::NoHolders);
             };
@@ -176,12 +176,12 @@
             return true;
         };
         let sent = inner.send(address, &chunk.folder, &chunk.digest, None, &bytes);
-        matches!(sent, Sent::Kept)
+        matches!(sent, SendResult::Kept)
     }
 }
 
 /// What became of a chunk that was sent to a disk.
-enum Sent {
+enum SendResult {
     Kept,
     Full,
     Refused,
@@ -190,19 +190,19 @@
 impl Inner {
     /// The next volume to write to; none while no volume has both holders.
     fn next_volume(&self) -> Result<Option<VolumeRecord>, PutError> {
-        let Ok(places) = self.places.read() else {
+        let Ok(volume_map) = self.volume_map.read() else {
             return Ok(None);
         };
-        let mut writable = places.writable(self.clock.now());
+        let mut writable = volume_map.writable(self.clock.now());
         if writable.is_empty() {
-            return if places.only_full() {
+            return if volume_map.is_blocked_by_full_disks() {
                 Err(PutError::Full)
             } else {
                 Ok(None)
             };
         }
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        Ok(Some(writable.swap_remove(turn % writable.len())))
+        let next_index = self.next_index.fetch_add(1, Ordering::Relaxed);
+        Ok(Some(writable.swap_remove(next_index % writable.len())))
     }
 
     fn put_on_both(&self, volume: &VolumeRecord, folder: &ChunkFolder, bytes: &[u8]) -> bool {
@@ -217,11 +217,11 @@
     fn put_on(&self, disk: &DiskId, epoch: u64, folder: &ChunkFolder, bytes: &[u8]) -> bool {
         let sent = match &self.own {
             Some(own) if own.id == *disk => match own.write(folder, epoch, bytes) {
-                Ok(_) => Sent::Kept,
-                Err(StoreError::Full) => Sent::Full,
+                Ok(_) => SendResult::Kept,
+                Err(StoreError::Full) => SendResult::Full,
                 Err(e) => {
                     log::warn!(target: "data", error:% = e; "A chunk could not be kept here.");
-                    Sent::Refused
+                    SendResult::Refused
                 }
             },
             _ => match self.address_of(disk) {
@@ -229,28 +229,28 @@
                     let digest = content_digest(bytes);
                     self.send(address, folder, &digest, Some(epoch), bytes)
                 }
-                None => Sent::Refused,
+                None => SendResult::Refused,
             },
         };
-        if matches!(sent, Sent::Full)
-            && let Ok(mut places) = self.places.write()
+        if matches!(sent, SendResult::Full)
+            && let Ok(mut volume_map) = self.volume_map.write()
         {
             log::error!(target: "data", disk:% = disk; "A disk is full.");
-            places.note_full(disk, self.clock.now());
+            volume_map.note_full(disk, self.clock.now());
         }
-        matches!(sent, Sent::Kept)
+        matches!(sent, SendResult::Kept)
     }
 
     fn address_of(&self, disk: &DiskId) -> Option<SocketAddr> {
-        let places = self.places.read().ok()?;
-        let seat = places.disks.get(disk)?;
+        let volume_map = self.volume_map.read().ok()?;
+        let seat = volume_map.disks.get(disk)?;
         seat.gone_since.is_none().then_some(seat.address)
     }
 
     /// The volume's holders that are there, but for this daemon's own disk.
     fn holders_of(&self, volume: VolumeId) -> Vec<(DiskId, SocketAddr)> {
-        let holders = self.places.read().ok().and_then(|places| {
-            let known = places.volumes.get(&volume)?;
+        let holders = self.volume_map.read().ok().and_then(|volume_map| {
+            let known = volume_map.volumes.get(&volume)?;
             Some(known.record.holders.clone())
         });
         let own = self.own.as_ref().map(|own| &own.id);
@@ -274,8 +274,8 @@
     /// Puts back a chunk that was damaged on this daemon's disk.
     fn repair_own(&self, chunk: &ChunkName, bytes: &[u8]) {
         let Some(own) = &self.own else { return };
-        let holds = self.places.read().is_ok_and(|places| {
-            let known = places.volumes.get(&chunk.folder.volume);
+        let holds = self.volume_map.read().is_ok_and(|volume_map| {
+            let known = volume_map.volumes.get(&chunk.folder.volume);
             known.is_some_and(|v| v.record.holders.contains(&own.id))
         });
         if holds {
@@ -298,7 +298,10 @@
         if answer.status().as_u16() != 200 {
             return None;
         }
-        let limited = answer.body_mut().with_config().limit(MOST_BYTES as u64);
+        let limited = answer
+            .body_mut()
+            .with_config()
+            .limit(MAX_CHUNK_BYTES as u64);
         let bytes = limited.read_to_vec().ok()?;
         (content_digest(&bytes) == chunk.digest).then_some(bytes)
     }
@@ -310,7 +313,7 @@
         digest: &str,
         epoch: Option<u64>,
         bytes: &[u8],
-    ) -> Sent {
+    ) -> SendResult {
         let url = format!("http://{address}{}", chunk_path(folder, digest));
         let call = self.agent.put(url).header("Authorization", self.bearer());
         let call = match epoch {
@@ -318,15 +321,15 @@
             None => call.header(COPY_HEADER, "1"),
         };
         match call.send(bytes).map(|answer| answer.status().as_u16()) {
-            Ok(204) => Sent::Kept,
-            Ok(507) => Sent::Full,
+            Ok(204) => SendResult::Kept,
+            Ok(507) => SendResult::Full,
             Ok(status) => {
                 log::warn!(target: "data", volume:% = folder.volume, status; "A chunk was refused there.");
-                Sent::Refused
+                SendResult::Refused
             }
             Err(e) => {
                 log::warn!(target: "data", volume:% = folder.volume, error:% = e; "A chunk could not be kept there.");
-                Sent::Refused
+                SendResult::Refused
             }
         }
     }
--- a/crates/bluebellreel_entry/src/data/endpoint.rs
+++ b/crates/bluebellreel_entry/src/data/endpoint.rs
@@ -1,7 +1,7 @@
 //! A disk as other daemons reach it.
 
 use crate::data::access::ChunkAccess;
-use crate::data::wire::{COPY_HEADER, EPOCH_HEADER, MOST_BYTES};
+use crate::data::wire::{COPY_HEADER, EPOCH_HEADER, MAX_CHUNK_BYTES};
 use bluebellreel_chunk::{ChunkFolder, ChunkStore, StoreError, VolumeId};
 use bluebellreel_http::{ApiError, BodyLimits, Method, Reply, Request, header, read_body};
 use bluebellreel_settings::is_same_token;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Longest time to read a chunk.
-const BODY_TIME: Duration = Duration::from_secs(5);
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Serves one request of a peer.
 pub(crate) fn handle(data: &ChunkAccess, req: &mut Request, rest: &str) -> Reply {
@@ -42,11 +42,11 @@
 }
 
 fn parse(rest: &str) -> Option<(ChunkFolder, &str)> {
-    let mut parts = rest.split('/');
-    let volume = VolumeId(parts.next()?.parse().ok()?);
-    let folder = ChunkFolder::new(volume, parts.next()?, parts.next()?);
-    let digest = parts.next()?;
-    parts.next().is_none().then_some((folder, digest))
+    let mut segments = rest.split('/');
+    let volume = VolumeId(segments.next()?.parse().ok()?);
+    let folder = ChunkFolder::new(volume, segments.next()?, segments.next()?);
+    let digest = segments.next()?;
+    segments.next().is_none().then_some((folder, digest))
 }
 
 fn keep(
@@ -59,8 +59,8 @@
     let epoch = header(req, EPOCH_HEADER).and_then(|text| text.parse::<u64>().ok());
     let is_copy = header(req, COPY_HEADER).is_some();
     let limits = BodyLimits {
-        bytes: MOST_BYTES,
-        time: BODY_TIME,
+        bytes: MAX_CHUNK_BYTES,
+        time: BODY_TIMEOUT,
     };
     let bytes = read_body(req, limits)?;
     if content_digest(&bytes) != digest {
@@ -71,7 +71,7 @@
         ));
     }
     let kept = match epoch {
-        Some(epoch) if knows_no_later(data, folder.volume, epoch) => {
+        Some(epoch) if accepts_epoch(data, folder.volume, epoch) => {
             own.write(folder, epoch, &bytes)
         }
         None if is_copy => own.copy_in(folder, &bytes),
@@ -88,9 +88,9 @@
 /// A writer that was paused while a volume moved could otherwise put a chunk on
 /// a holder that is none any more. A daemon that has just started and does not
 /// know the volume yet takes nothing for it.
-fn knows_no_later(data: &ChunkAccess, volume: VolumeId, epoch: u64) -> bool {
-    data.places().is_some_and(|places| {
-        let known = places.volumes.get(&volume);
+fn accepts_epoch(data: &ChunkAccess, volume: VolumeId, epoch: u64) -> bool {
+    data.volume_map().is_some_and(|volume_map| {
+        let known = volume_map.volumes.get(&volume);
         known.is_some_and(|known| known.record.epoch <= epoch)
     })
 }
--- a/crates/bluebellreel_entry/src/data/keeper.rs
+++ b/crates/bluebellreel_entry/src/data/keeper.rs
@@ -2,8 +2,8 @@
 //! other holder is gone.
 
 use crate::data::access::ChunkAccess;
-use crate::data::places::KnownVolume;
-use crate::parts::Parts;
+use crate::data::volume_map::KnownVolume;
+use crate::handles::DaemonHandles;
 use crate::platform::{follow_prefix, volume_key, volume_prefix};
 use bluebellreel_chunk::{ChunkStore, DiskId, VolumeId, VolumeRecord, copy_target, holders_for};
 use bluebellreel_kv::{Commit, KeyValue, KvClient, Txn, WatchEvent};
@@ -14,27 +14,27 @@
 use std::time::Duration;
 
 /// Between two looks.
-const PERIOD: Duration = Duration::from_secs(1);
+const KEEPER_PERIOD: Duration = Duration::from_secs(1);
 /// Volumes for each disk: with more disks, volumes come that use them.
 const VOLUMES_PER_DISK: u32 = 8;
 /// Longest time to write a volume's record.
-const WRITE_TIME: Duration = Duration::from_secs(4);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Watches who holds which volume.
-pub(crate) fn watch_volumes(parts: &Parts) -> io::Result<()> {
-    if !parts.data.is_on() {
+pub(crate) fn watch_volumes(handles: &DaemonHandles) -> io::Result<()> {
+    if !handles.data.is_on() {
         return Ok(());
     }
-    let parts = parts.clone();
+    let handles = handles.clone();
     thread::Builder::new()
         .name("volume-watch".into())
         .spawn(move || {
             follow_prefix(
-                &parts.kv,
+                &handles.kv,
                 &volume_prefix(),
-                |all| all.iter().all(|kv| note_volume(&parts.data, kv)),
+                |all| all.iter().all(|kv| note_volume(&handles.data, kv)),
                 |event| match event {
-                    WatchEvent::Put(kv) => note_volume(&parts.data, &kv),
+                    WatchEvent::Put(kv) => note_volume(&handles.data, &kv),
                     WatchEvent::Deleted { .. } => true,
                 },
             );
@@ -45,8 +45,8 @@
 fn note_volume(data: &ChunkAccess, kv: &KeyValue) -> bool {
     match serde_json::from_slice::<VolumeRecord>(&kv.value) {
         Ok(record) => {
-            if let Some(mut places) = data.places_mut() {
-                places.note_volume(record, kv.revision);
+            if let Some(mut volume_map) = data.volume_map_mut() {
+                volume_map.note_volume(record, kv.revision);
             }
         }
         Err(e) => {
@@ -57,21 +57,21 @@
 }
 
 /// Keeps the volumes of this daemon's disk, if it has one, until it stops.
-pub(crate) fn keep_volumes(parts: &Parts) -> io::Result<()> {
-    if parts.data.own().is_none() {
+pub(crate) fn keep_volumes(handles: &DaemonHandles) -> io::Result<()> {
+    if handles.data.own().is_none() {
         return Ok(());
     }
-    let parts = parts.clone();
+    let handles = handles.clone();
     thread::Builder::new()
         .name("volume-keeper".into())
         .spawn(move || {
-            while parts.lease.load(Ordering::SeqCst) != crate::platform::STOPPED {
-                thread::sleep(PERIOD);
-                if let Some(own) = parts.data.own()
-                    && !parts.kv.seems_down()
+            while handles.lease.load(Ordering::SeqCst) != crate::platform::STOPPED {
+                thread::sleep(KEEPER_PERIOD);
+                if let Some(own) = handles.data.own()
+                    && !handles.kv.seems_down()
                 {
-                    create_missing(&parts.kv, &parts.data, own);
-                    copy_orphaned(&parts.kv, &parts.data, own);
+                    create_missing(&handles.kv, &handles.data, own);
+                    copy_orphaned(&handles.kv, &handles.data, own);
                 }
             }
         })?;
@@ -86,23 +86,23 @@
     for record in missing {
         let value = serde_json::to_vec(&record).unwrap_or_default();
         let txn = Txn::create(volume_key(record.id), value);
-        if let Commit::Applied { .. } = kv.commit(&txn, kv.now() + WRITE_TIME) {
+        if let Commit::Applied { .. } = kv.commit(&txn, kv.now() + WRITE_TIMEOUT) {
             log::info!(target: "data", volume:% = record.id; "Volume created.");
         }
     }
 }
 
 fn missing_volumes(data: &ChunkAccess, me: &DiskId) -> Option<Vec<VolumeRecord>> {
-    let places = data.places()?;
-    let live = places
+    let volume_map = data.volume_map()?;
+    let live = volume_map
         .disks
         .values()
-        .filter(|seat| seat.gone_since.is_none());
+        .filter(|status| status.gone_since.is_none());
     let live = u32::try_from(live.count()).ok()?;
     let wanted = (0..live * VOLUMES_PER_DISK).map(VolumeId);
-    let missing = wanted.filter(|id| !places.volumes.contains_key(id));
+    let missing = wanted.filter(|id| !volume_map.volumes.contains_key(id));
     let records = missing.filter_map(|id| {
-        let holders = holders_for(id, &places.disks)?;
+        let holders = holders_for(id, &volume_map.disks)?;
         let epoch = 1;
         (holders[0] == *me).then_some(VolumeRecord { id, epoch, holders })
     });
@@ -133,12 +133,12 @@
     let Some(patience) = data.settings().map(|settings| settings.patience) else {
         return Vec::new();
     };
-    let Some(mut places) = data.places_mut() else {
+    let Some(mut volume_map) = data.volume_map_mut() else {
         return Vec::new();
     };
-    places.note_unseen_holders(now);
-    let due = places.volumes.values().filter_map(|volume| {
-        let (gone, to) = copy_target(&volume.record, &places.disks, me, patience, now)?;
+    volume_map.mark_unseen_holders_gone(now);
+    let due = volume_map.volumes.values().filter_map(|volume| {
+        let (gone, to) = copy_target(&volume.record, &volume_map.disks, me, patience, now)?;
         let volume = volume.clone();
         Some(Move { volume, gone, to })
     });
@@ -146,10 +146,10 @@
 }
 
 fn copy_all(data: &ChunkAccess, own: &ChunkStore, moving: &Move) -> bool {
-    let seat = data
-        .places()
-        .and_then(|places| places.disks.get(&moving.to).cloned());
-    let Some(seat) = seat else { return false };
+    let status = data
+        .volume_map()
+        .and_then(|volume_map| volume_map.disks.get(&moving.to).cloned());
+    let Some(status) = status else { return false };
     let id = moving.volume.record.id;
     let chunks = match own.chunks_of(id) {
         Ok(chunks) => chunks,
@@ -158,7 +158,9 @@
             return false;
         }
     };
-    let all = chunks.iter().all(|chunk| data.copy_to(seat.address, chunk));
+    let all = chunks
+        .iter()
+        .all(|chunk| data.copy_to(status.address, chunk));
     if !all {
         log::warn!(target: "data", volume:% = id, to:% = moving.to; "A volume could not be copied yet.");
     }
@@ -170,7 +172,7 @@
     let after = moving.volume.record.moved(&moving.gone, &moving.to);
     let value = serde_json::to_vec(&after).unwrap_or_default();
     let txn = Txn::replace(volume_key(after.id), moving.volume.revision, value);
-    match kv.commit(&txn, kv.now() + WRITE_TIME) {
+    match kv.commit(&txn, kv.now() + WRITE_TIMEOUT) {
         Commit::Applied { .. } => {
             log::info!(target: "data", volume:% = after.id, from:% = moving.gone, to:% = moving.to; "Volume moved.");
             true
--- a/crates/bluebellreel_entry/src/data/mod.rs
+++ b/crates/bluebellreel_entry/src/data/mod.rs
@@ -8,11 +8,11 @@
 mod access;
 mod endpoint;
 mod keeper;
-mod places;
+mod volume_map;
 mod wire;
 
 pub(crate) use access::{ChunkAccess, PutError};
 pub(crate) use endpoint::handle;
 pub(crate) use keeper::{keep_volumes, watch_volumes};
-pub(crate) use places::VolumesSummary;
+pub(crate) use volume_map::VolumesSummary;
 pub(crate) use wire::PATH_PREFIX;
--- a/crates/bluebellreel_entry/src/data/places.rs
+++ b/crates/bluebellreel_entry/src/data/volume_map.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// How long a disk that was full gets no more chunks.
-const FULL_PAUSE: Duration = Duration::from_secs(30);
+const FULL_DISK_BACKOFF: Duration = Duration::from_secs(30);
 
 /// A volume and the revision of its record.
 #[derive(Clone, Debug)]
@@ -31,14 +31,14 @@
 
 /// Volumes, disks, and which daemon stands before which disk.
 #[derive(Debug, Default)]
-pub(crate) struct Places {
+pub(crate) struct VolumeMap {
     pub(crate) volumes: BTreeMap<VolumeId, KnownVolume>,
     pub(crate) disks: BTreeMap<DiskId, DiskSeat>,
     daemons: BTreeMap<EntryName, DiskId>,
     full_until: BTreeMap<DiskId, Moment>,
 }
 
-impl Places {
+impl VolumeMap {
     /// Takes in a volume's record, unless a later one is known: a list that was
     /// read before a change may be handed in after it.
     pub(crate) fn note_volume(&mut self, record: VolumeRecord, revision: i64) {
@@ -57,12 +57,12 @@
         }
         if let Some(disk) = &record.disk {
             self.daemons.insert(record.name.clone(), disk.clone());
-            let seat = DiskSeat {
+            let status = DiskSeat {
                 address: record.address,
                 data_centre: record.data_centre.clone(),
                 gone_since: None,
             };
-            self.disks.insert(disk.clone(), seat);
+            self.disks.insert(disk.clone(), status);
         }
     }
 
@@ -74,32 +74,33 @@
     }
 
     fn note_disk_gone(&mut self, disk: &DiskId, now: Moment) {
-        if let Some(seat) = self.disks.get_mut(disk) {
-            seat.gone_since.get_or_insert(now);
+        if let Some(status) = self.disks.get_mut(disk) {
+            status.gone_since.get_or_insert(now);
         }
     }
 
     /// A holder that no daemon has ever shown here counts as gone from now on:
     /// it left before this daemon started.
-    pub(crate) fn note_unseen_holders(&mut self, now: Moment) {
+    pub(crate) fn mark_unseen_holders_gone(&mut self, now: Moment) {
         let holders = self.volumes.values().flat_map(|v| v.record.holders.iter());
         let unseen: Vec<DiskId> = holders
             .filter(|disk| !self.disks.contains_key(disk))
             .cloned()
             .collect();
         for disk in unseen {
-            let seat = DiskSeat {
+            let status = DiskSeat {
                 address: SocketAddr::from(([0, 0, 0, 0], 0)),
                 data_centre: "".into(),
                 gone_since: Some(now),
             };
-            self.disks.insert(disk, seat);
+            self.disks.insert(disk, status);
         }
     }
 
     /// Takes in that a disk is full.
     pub(crate) fn note_full(&mut self, disk: &DiskId, now: Moment) {
-        self.full_until.insert(disk.clone(), now + FULL_PAUSE);
+        self.full_until
+            .insert(disk.clone(), now + FULL_DISK_BACKOFF);
     }
 
     fn is_full(&self, disk: &DiskId, now: Moment) -> bool {
@@ -122,8 +123,8 @@
         let mut summary = VolumesSummary::default();
         for known in self.volumes.values() {
             let live = |disk| {
-                let seat = self.disks.get(disk);
-                seat.is_some_and(|seat: &DiskSeat| seat.gone_since.is_none())
+                let status = self.disks.get(disk);
+                status.is_some_and(|status: &DiskSeat| status.gone_since.is_none())
             };
             summary.volumes += 1;
             match known
@@ -142,7 +143,7 @@
     }
 
     /// Whether some volume would be writable if its disks were not full.
-    pub(crate) fn only_full(&self) -> bool {
+    pub(crate) fn is_blocked_by_full_disks(&self) -> bool {
         let mut volumes = self.volumes.values();
         volumes.any(|known| is_writable(&known.record, &self.disks))
     }
--- a/crates/bluebellreel_entry/src/data/wire.rs
+++ b/crates/bluebellreel_entry/src/data/wire.rs
@@ -9,7 +9,7 @@
 /// Marks a copy by another holder.
 pub(crate) const COPY_HEADER: &str = "Bluebellreel-Copy";
 /// Bytes of a chunk at the most.
-pub(crate) const MOST_BYTES: usize = 8 << 20;
+pub(crate) const MAX_CHUNK_BYTES: usize = 8 << 20;
 
 /// Where a chunk is reached.
 pub(crate) fn chunk_path(folder: &ChunkFolder, digest: &str) -> String {
--- a/crates/bluebellreel_entry/src/fleet/part.rs
+++ b/crates/bluebellreel_entry/src/fleet/component.rs
@@ -1,7 +1,7 @@
 //! The part that brings manifests into force.
 
 use crate::fleet::messages::{DrainOrder, FleetMessage, FleetSummary};
-use crate::parts::Parts;
+use crate::handles::DaemonHandles;
 use bluebellreel_fleet::{
     AcceptedManifest, Applied, LoadOrder, LoadedModel, Manifest, Matcher, WorkerView,
 };
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Between two repairs of side processes that are behind.
-const REPAIR_PERIOD: Duration = Duration::from_millis(500);
+const CATCH_UP_PERIOD: Duration = Duration::from_millis(500);
 
 /// The manifest in force, for threads that serve callers.
 #[derive(Clone, Debug, Default)]
@@ -34,18 +34,18 @@
 }
 
 /// Brings manifests into force.
-pub(crate) struct FleetPart {
-    parts: Parts,
+pub(crate) struct FleetComponent {
+    handles: DaemonHandles,
     applied: Applied,
     shared: SharedManifest,
     workers: BTreeMap<WorkerName, KnownWorker>,
     drains: BTreeMap<WorkerName, DrainOrder>,
     matcher: Matcher,
     /// Whether this daemon matches the fleet in its data centre.
-    matches_here: bool,
+    is_matching: bool,
     /// The highest fencing number known.
     fence: u64,
-    repair_at: Moment,
+    catch_up_at: Moment,
 }
 
 /// A connected worker as this part sees it.
@@ -58,18 +58,18 @@
     data_centre: DataCentre,
 }
 
-impl FleetPart {
-    pub(crate) fn new(parts: Parts, shared: SharedManifest) -> Self {
+impl FleetComponent {
+    pub(crate) fn new(handles: DaemonHandles, shared: SharedManifest) -> Self {
         Self {
-            parts,
+            handles,
             applied: Applied::default(),
             shared,
             workers: BTreeMap::new(),
             drains: BTreeMap::new(),
             matcher: Matcher::default(),
-            matches_here: false,
+            is_matching: false,
             fence: 0,
-            repair_at: Moment(0),
+            catch_up_at: Moment(0),
         }
     }
 
@@ -83,16 +83,16 @@
 
     /// Whether this daemon matches the fleet in its data centre.
     pub(crate) fn is_matcher(&self) -> bool {
-        self.matches_here
+        self.is_matching
     }
 
     /// Tells side processes that are behind again: a message may be lost.
     pub(crate) fn tick(&mut self) {
-        let now = self.parts.clock.now();
-        if !self.repair_at.is_past(now) {
+        let now = self.handles.clock.now();
+        if !self.catch_up_at.is_past(now) {
             return;
         }
-        self.repair_at = now + REPAIR_PERIOD;
+        self.catch_up_at = now + CATCH_UP_PERIOD;
         self.match_fleet(now);
         let generation = self.applied.generation();
         for (worker, known) in &self.workers {
@@ -104,8 +104,8 @@
 
     fn note_matcher(&mut self, fence: u64, mine: bool) {
         self.fence = self.fence.max(fence);
-        self.matches_here = mine && fence == self.fence;
-        if self.matches_here {
+        self.is_matching = mine && fence == self.fence;
+        if self.is_matching {
             log::info!(target: "fleet", fence; "Matching the fleet here.");
             self.matcher = Matcher::default();
         }
@@ -118,10 +118,10 @@
     /// stands. Without a matcher there is none to tell. Numbers of other data
     /// centres' matchers would only make this one's orders look outdated.
     fn send_fence(&self, worker: &WorkerName) {
-        let here = &self.parts.settings.data_centre;
+        let here = &self.handles.settings.data_centre;
         let known = self.workers.get(worker);
         if self.fence > 0 && known.is_some_and(|k| k.data_centre == *here) {
-            self.parts.send(EntryCommand::Fence {
+            self.handles.send_command(EntryCommand::Fence {
                 worker: worker.clone(),
                 fence: self.fence,
             });
@@ -151,21 +151,21 @@
             },
         };
         log::info!(target: "fleet", worker:% = order.worker, model:% = model.name, loaded; "Load ended.");
-        let now = self.parts.clock.now();
+        let now = self.handles.clock.now();
         self.matcher.note_end(&order, loaded, now);
     }
 
     fn match_fleet(&mut self, now: Moment) {
-        if !self.matches_here {
+        if !self.is_matching {
             return;
         }
         let views = self.workers.iter();
         let views = views.filter_map(|(name, known)| Some((name.clone(), known.view.clone()?)));
         let views: BTreeMap<WorkerName, WorkerView> = views.collect();
-        let here = self.parts.settings.data_centre.clone();
+        let here = self.handles.settings.data_centre.clone();
         let manifest = self.shared.get();
         for order in self.matcher.next_orders(&manifest, &here, &views, now) {
-            self.parts.send(EntryCommand::Order {
+            self.handles.send_command(EntryCommand::Order {
                 worker: order.worker,
                 fence: self.fence,
                 model: ModelVersion {
@@ -182,7 +182,8 @@
         let order = self.drains.get(worker);
         let known = self.workers.get(worker);
         if order.is_some_and(|o| known.is_some_and(|k| k.incarnation == o.incarnation)) {
-            self.parts.send(EntryCommand::Drain(worker.clone()));
+            self.handles
+                .send_command(EntryCommand::Drain(worker.clone()));
         }
     }
 
@@ -195,7 +196,7 @@
         let Some(current) = self.applied.current() else {
             return;
         };
-        self.parts.send(EntryCommand::Configure {
+        self.handles.send_command(EntryCommand::Configure {
             worker: worker.clone(),
             generation: current.generation,
             manifest: current.text.clone(),
@@ -205,19 +206,19 @@
     /// Takes a manifest in, or tells what is in force.
     pub(crate) fn on_message(&mut self, message: FleetMessage) {
         match message {
-            FleetMessage::Offered(accepted) => self.offer(accepted),
-            FleetMessage::MatcherSeen { fence, mine } => self.note_matcher(fence, mine),
-            FleetMessage::MatcherGone => self.matches_here = false,
+            FleetMessage::ManifestAccepted(accepted) => self.offer(accepted),
+            FleetMessage::MatcherElected { fence, mine } => self.note_matcher(fence, mine),
+            FleetMessage::MatcherLost => self.is_matching = false,
             FleetMessage::DrainOrdered(order) => {
                 log::info!(target: "fleet", worker:% = order.worker; "Drain ordered.");
                 let worker = order.worker.clone();
                 self.drains.insert(worker.clone(), order);
                 self.drain_if_ordered(&worker);
             }
-            FleetMessage::SummaryAsked(answer) => {
+            FleetMessage::QuerySummary(answer) => {
                 answer.send(self.summary()).ok();
             }
-            FleetMessage::IncarnationAsked(worker, answer) => {
+            FleetMessage::QueryIncarnation(worker, answer) => {
                 answer.send(self.incarnation_of(&worker)).ok();
             }
         }
@@ -237,7 +238,7 @@
         log::info!(target: "fleet", generation; "Manifest in force.");
         self.shared.set(manifest);
         let shown = i64::try_from(generation).unwrap_or(i64::MAX);
-        self.parts.metrics.generation.set(shown);
+        self.handles.metrics.generation.set(shown);
         for worker in self.workers.keys() {
             self.configure(worker);
         }
@@ -274,7 +275,7 @@
             _ => {}
         }
         let connected = i64::try_from(self.workers.len()).unwrap_or(i64::MAX);
-        self.parts.metrics.workers.set(connected);
+        self.handles.metrics.workers.set(connected);
     }
 
     fn failed_loads(&self) -> Vec<String> {
--- a/crates/bluebellreel_entry/src/fleet/drain.rs
+++ b/crates/bluebellreel_entry/src/fleet/drain.rs
@@ -4,8 +4,8 @@
 //! VM which comes back under the same name is not held to it.
 
 use crate::fleet::messages::{DrainOrder, FleetMessage};
+use crate::handles::DaemonHandles;
 use crate::message::Message;
-use crate::parts::Parts;
 use crate::platform::{drain_key, drain_prefix, follow_prefix};
 use bluebellreel_kv::{Commit, KeyValue, KvClient, Txn, WatchEvent};
 use std::io;
@@ -13,12 +13,12 @@
 use std::time::Duration;
 
 /// Longest time to record an order.
-const ORDER_TIME: Duration = Duration::from_secs(4);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Records a drain order; the reason when it could not be. An order for the
 /// same run that is there already is as good.
 pub(crate) fn order_drain(kv: &KvClient, order: &DrainOrder) -> Result<(), String> {
-    let until = kv.now() + ORDER_TIME;
+    let until = kv.now() + ORDER_TIMEOUT;
     let value = serde_json::to_vec(order).unwrap_or_default();
     let key = drain_key(&order.worker);
     let mut txn = Txn::create(key.clone(), value.clone());
@@ -51,21 +51,23 @@
 }
 
 /// Follows drain orders.
-pub(crate) fn watch_drains(parts: &Parts) -> io::Result<()> {
-    let parts = parts.clone();
+pub(crate) fn watch_drains(handles: &DaemonHandles) -> io::Result<()> {
+    let handles = handles.clone();
     thread::Builder::new()
         .name("drain-watch".into())
         .spawn(move || {
-            let tell = |kv: &KeyValue| match parse(kv) {
-                Some(order) => parts.tell(Message::Fleet(FleetMessage::DrainOrdered(order))),
+            let send = |kv: &KeyValue| match parse(kv) {
+                Some(order) => {
+                    handles.send_message(Message::Fleet(FleetMessage::DrainOrdered(order)))
+                }
                 None => true,
             };
             follow_prefix(
-                &parts.kv,
+                &handles.kv,
                 &drain_prefix(),
-                |all| all.iter().all(tell),
+                |all| all.iter().all(send),
                 |event| match event {
-                    WatchEvent::Put(kv) => tell(&kv),
+                    WatchEvent::Put(kv) => send(&kv),
                     WatchEvent::Deleted { .. } => true,
                 },
             );
--- a/crates/bluebellreel_entry/src/fleet/messages.rs
+++ b/crates/bluebellreel_entry/src/fleet/messages.rs
@@ -17,17 +17,17 @@
 #[derive(Debug)]
 pub(crate) enum FleetMessage {
     /// A manifest that was accepted.
-    Offered(AcceptedManifest),
+    ManifestAccepted(AcceptedManifest),
     /// Who matches the fleet in this data centre, and under which number.
-    MatcherSeen { fence: u64, mine: bool },
+    MatcherElected { fence: u64, mine: bool },
     /// Nobody matches it now.
-    MatcherGone,
+    MatcherLost,
     /// An operator ordered a worker to leave.
     DrainOrdered(DrainOrder),
     /// What is in force is asked for.
-    SummaryAsked(Sender<FleetSummary>),
+    QuerySummary(Sender<FleetSummary>),
     /// The run of a worker's side process is asked for.
-    IncarnationAsked(WorkerName, Sender<Option<Incarnation>>),
+    QueryIncarnation(WorkerName, Sender<Option<Incarnation>>),
 }
 
 /// What is in force where.
--- a/crates/bluebellreel_entry/src/fleet/mod.rs
+++ b/crates/bluebellreel_entry/src/fleet/mod.rs
@@ -1,13 +1,13 @@
 //! The manifest: accepting it, bringing it into force, seeing that it is.
 
+mod component;
 mod drain;
 mod matching;
 mod messages;
-mod part;
 mod store;
 
+pub(crate) use component::{FleetComponent, SharedManifest};
 pub(crate) use drain::{order_drain, watch_drains};
 pub(crate) use matching::watch_matchers;
 pub(crate) use messages::{DrainOrder, FleetMessage, FleetSummary};
-pub(crate) use part::{FleetPart, SharedManifest};
 pub(crate) use store::{PutAnswer, accepted, get_manifest, put_manifest, watch_manifest};
--- a/crates/bluebellreel_entry/src/fleet/store.rs
+++ b/crates/bluebellreel_entry/src/fleet/store.rs
@@ -1,8 +1,8 @@
 //! The manifest in the key-value service.
 
 use crate::fleet::FleetMessage;
+use crate::handles::DaemonHandles;
 use crate::message::Message;
-use crate::parts::Parts;
 use crate::platform::{follow_prefix, manifest_key};
 use bluebellreel_fleet::{AcceptedManifest, Manifest};
 use bluebellreel_kv::{Commit, KeyValue, KvClient, KvError, Txn, WatchEvent};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// Longest time to put a manifest.
-const PUT_TIME: Duration = Duration::from_secs(5);
+const PUT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A manifest as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -53,10 +53,10 @@
         Ok(found) => found,
         Err(e) => return PutAnswer::NotDone(e.to_string()),
     };
-    let standing = found.as_ref().and_then(parse);
-    let generation = standing.as_ref().map_or(0, |m| m.generation);
+    let current = found.as_ref().and_then(parse);
+    let generation = current.as_ref().map_or(0, |m| m.generation);
     if generation != seen {
-        return PutAnswer::Beaten(standing);
+        return PutAnswer::Beaten(current);
     }
     let next = StoredManifest {
         generation: generation + 1,
@@ -67,7 +67,7 @@
         Some(found) => Txn::replace(manifest_key(), found.revision, value),
         None => Txn::create(manifest_key(), value),
     };
-    match kv.commit(&txn, kv.now() + PUT_TIME) {
+    match kv.commit(&txn, kv.now() + PUT_TIMEOUT) {
         Commit::Applied { .. } => PutAnswer::Accepted(next),
         Commit::Beaten(found) => PutAnswer::Beaten(found.first().and_then(parse)),
         Commit::NotDone(reason) => PutAnswer::NotDone(reason),
@@ -92,8 +92,8 @@
 }
 
 /// Follows the manifest and offers each one to the fleet part.
-pub(crate) fn watch_manifest(parts: &Parts) -> io::Result<()> {
-    let parts = parts.clone();
+pub(crate) fn watch_manifest(handles: &DaemonHandles) -> io::Result<()> {
+    let handles = handles.clone();
     thread::Builder::new()
         .name("manifest-watch".into())
         .spawn(move || {
@@ -101,12 +101,12 @@
                 let Some(accepted) = parse(kv).as_ref().and_then(accepted) else {
                     return true;
                 };
-                parts.tell(Message::Fleet(FleetMessage::Offered(accepted)))
+                handles.send_message(Message::Fleet(FleetMessage::ManifestAccepted(accepted)))
             };
             follow_prefix(
-                &parts.kv,
+                &handles.kv,
                 &manifest_key(),
-                |all| all.iter().all(offer) && parts.tell(Message::ManifestRead),
+                |all| all.iter().all(offer) && handles.send_message(Message::ManifestRead),
                 |event| match event {
                     WatchEvent::Put(kv) => offer(&kv),
                     WatchEvent::Deleted { .. } => true,
--- a/crates/bluebellreel_entry/src/parts.rs
+++ b/crates/bluebellreel_entry/src/handles.rs
@@ -17,7 +17,7 @@
 
 /// Handles shared by all threads of the daemon.
 #[derive(Clone)]
-pub(crate) struct Parts {
+pub(crate) struct DaemonHandles {
     pub(crate) settings: Arc<EntrySettings>,
     pub(crate) run: Incarnation,
     pub(crate) clock: Clock,
@@ -33,7 +33,7 @@
     pub(crate) data: ChunkAccess,
 }
 
-impl Parts {
+impl DaemonHandles {
     /// Where jobs are kept.
     pub(crate) fn storage(&self) -> JobStorage<'_> {
         JobStorage {
@@ -43,12 +43,12 @@
     }
 
     /// Sends to the connections; their thread ends only with the process.
-    pub(crate) fn send(&self, command: EntryCommand) {
+    pub(crate) fn send_command(&self, command: EntryCommand) {
         self.rpc.send(command).ok();
     }
 
     /// Sends to the actors; false once their thread has ended.
-    pub(crate) fn tell(&self, message: Message) -> bool {
+    pub(crate) fn send_message(&self, message: Message) -> bool {
         self.tx.send(message).is_ok()
     }
 }
--- a/crates/bluebellreel_entry/src/http/batches.rs
+++ b/crates/bluebellreel_entry/src/http/batches.rs
@@ -1,6 +1,6 @@
 //! Batch jobs.
 
-use crate::http::rim::{CallerRequest, Rim, answer, ask};
+use crate::http::context::{CallerRequest, HttpContext, answer, query_actor};
 use crate::jobs::{
     AcceptAnswer, CancelAnswer, JobsCount, JobsMessage, ResultPage, Submission, accept_job,
     cancel_job, find_job, read_results,
@@ -14,18 +14,18 @@
 use std::time::{Duration, Instant};
 
 /// When a caller may come back whose job was one too many.
-const JOBS_PAUSE: Duration = Duration::from_secs(30);
+const TOO_MANY_JOBS_RETRY_AFTER: Duration = Duration::from_secs(30);
 /// Bytes of a job's body read at one time.
-const PIECE: usize = 64 << 10;
+const READ_BUFFER_BYTES: usize = 64 << 10;
 
 /// `POST /v1/batches`
-pub(crate) fn submit(rim: &Rim, call: &mut CallerRequest) -> Result<Reply, ApiError> {
+pub(crate) fn submit(cx: &HttpContext, call: &mut CallerRequest) -> Result<Reply, ApiError> {
     let Some(key) = call.key.clone() else {
         let message = "a job needs an Idempotency-Key";
         return Err(ApiError::new(400, "key_needed", message));
     };
-    let now = rim.now();
-    let settings = &rim.parts.settings;
+    let now = cx.now();
+    let settings = &cx.handles.settings;
     let deadline = call.deadline.unwrap_or(now + settings.batch_deadline);
     if deadline.is_past(now) {
         return Err(ApiError::new(
@@ -34,9 +34,13 @@
             "the deadline has passed",
         ));
     }
-    let most = settings.limits.job_bytes;
-    if call.req.body_length().is_some_and(|length| length > most) {
-        return Err(too_large(most));
+    let max_bytes = settings.limits.job_bytes;
+    if call
+        .req
+        .body_length()
+        .is_some_and(|length| length > max_bytes)
+    {
+        return Err(too_large(max_bytes));
     }
     let submission = Submission {
         id: JobId::derived(&call.team, &key),
@@ -44,19 +48,19 @@
         deadline,
         accepted_at: now,
         owner: settings.name.clone(),
-        owner_run: rim.parts.run,
-        most_items: settings.limits.job_items,
+        owner_run: cx.handles.run,
+        max_items: settings.limits.job_items,
     };
     let announced = call.req.body_length();
     let until = Instant::now() + settings.limits.job_time;
     call.req.set_read_deadline(Some(until));
-    let next = body_pieces(call.req.as_reader(), announced, most);
-    let admit = || admit_job(rim, &submission.team);
-    let answer = accept_job(rim.parts.storage(), &submission, admit, next)?;
+    let next = body_pieces(call.req.as_reader(), announced, max_bytes);
+    let admit = || admit_job(cx, &submission.team);
+    let answer = accept_job(cx.handles.storage(), &submission, admit, next)?;
     match answer {
         AcceptAnswer::Accepted(record, revision) => {
             let message = JobsMessage::Accepted(record.clone(), revision);
-            rim.parts.tell(Message::Jobs(message));
+            cx.handles.send_message(Message::Jobs(message));
             Ok(Reply::json(201, &job_body(&record)))
         }
         AcceptAnswer::Existing(record) => Ok(Reply::json(200, &job_body(&record))),
@@ -66,12 +70,12 @@
 /// Refuses a new job while too many run: each is kept in the memory of every
 /// daemon, and one team's must not keep others' out. The bound is soft: jobs
 /// that are accepted at the same moment may go over it by some.
-fn admit_job(rim: &Rim, team: &TeamName) -> Result<(), ApiError> {
+fn admit_job(cx: &HttpContext, team: &TeamName) -> Result<(), ApiError> {
     let asked = team.clone();
-    let count: JobsCount = ask(rim, |answer| {
-        Message::Jobs(JobsMessage::CountAsked(asked, answer))
+    let count: JobsCount = query_actor(cx, |answer| {
+        Message::Jobs(JobsMessage::QueryCount(asked, answer))
     })?;
-    let limits = &rim.parts.settings.limits;
+    let limits = &cx.handles.settings.limits;
     let reason = if count.of_team >= limits.team_jobs {
         "the team has too many jobs running"
     } else if count.all >= limits.jobs {
@@ -80,28 +84,32 @@
         return Ok(());
     };
     let error = ApiError::new(429, "too_many_jobs", reason);
-    Err(error.retry_after(JOBS_PAUSE))
+    Err(error.retry_after(TOO_MANY_JOBS_RETRY_AFTER))
 }
 
-fn too_large(most: usize) -> ApiError {
-    ApiError::new(413, "too_large", format!("a job has at most {most} bytes"))
+fn too_large(max_bytes: usize) -> ApiError {
+    ApiError::new(
+        413,
+        "too_large",
+        format!("a job has at most {max_bytes} bytes"),
+    )
 }
 
 /// Reads a body piece by piece within its bounds.
 fn body_pieces(
     reader: &mut dyn Read,
     announced: Option<usize>,
-    most: usize,
+    max_bytes: usize,
 ) -> impl FnMut() -> Result<Option<Vec<u8>>, ApiError> {
     let mut total = 0;
     move || {
         let cut_short = || ApiError::new(400, "cut_short", "the body ended early");
-        let mut piece = vec![0; PIECE];
+        let mut piece = vec![0; READ_BUFFER_BYTES];
         let read = reader.read(&mut piece).map_err(|e| unread(&e))?;
         piece.truncate(read);
         total += read;
-        if total > most {
-            return Err(too_large(most));
+        if total > max_bytes {
+            return Err(too_large(max_bytes));
         }
         if read == 0 {
             // Half a job must never be accepted as a whole one.
@@ -115,28 +123,28 @@
 }
 
 /// `/v1/batches/{id}` and what lies below.
-pub(crate) fn handle(rim: &Rim, call: CallerRequest, rest: &str, query: &str) {
+pub(crate) fn handle(cx: &HttpContext, call: CallerRequest, rest: &str, query: &str) {
     let (id, action) = rest.split_once('/').unwrap_or((rest, ""));
     let id = JobId::from(id);
     match (call.req.method(), action) {
-        (Method::Get, "") => answer(rim, call, |call| {
-            let record = own_job(rim, &id, &call.team)?;
+        (Method::Get, "") => answer(cx, call, |call| {
+            let record = find_team_job(cx, &id, &call.team)?;
             Ok(Reply::json(200, &job_body(&record)))
         }),
-        (Method::Post, "cancel") => answer(rim, call, |call| {
-            own_job(rim, &id, &call.team)?;
-            cancel(rim, &id)
+        (Method::Post, "cancel") => answer(cx, call, |call| {
+            find_team_job(cx, &id, &call.team)?;
+            cancel(cx, &id)
         }),
-        (Method::Get, "results") => results(rim, call, &id, query),
-        _ => answer(rim, call, |_| {
+        (Method::Get, "results") => results(cx, call, &id, query),
+        _ => answer(cx, call, |_| {
             Err(ApiError::new(404, "not_found", "no such path"))
         }),
     }
 }
 
 /// A job of this team; another team's job does not show that it exists.
-fn own_job(rim: &Rim, id: &JobId, team: &TeamName) -> Result<JobRecord, ApiError> {
-    let found = find_job(&rim.parts.kv, id).map_err(|e| unreadable(&e.to_string()))?;
+fn find_team_job(cx: &HttpContext, id: &JobId, team: &TeamName) -> Result<JobRecord, ApiError> {
+    let found = find_job(&cx.handles.kv, id).map_err(|e| unreadable(&e.to_string()))?;
     match found {
         Some(found) if found.record.team == *team => Ok(found.record),
         _ => Err(ApiError::new(404, "no_job", "no such job")),
@@ -150,8 +158,8 @@
 }
 
 /// Cancels a job for whoever may.
-pub(crate) fn cancel(rim: &Rim, id: &JobId) -> Result<Reply, ApiError> {
-    match cancel_job(rim.parts.storage(), id, rim.now()) {
+pub(crate) fn cancel(cx: &HttpContext, id: &JobId) -> Result<Reply, ApiError> {
+    match cancel_job(cx.handles.storage(), id, cx.now()) {
         CancelAnswer::Over(record) => Ok(Reply::json(200, &job_body(&record))),
         CancelAnswer::NoSuchJob => Err(ApiError::new(404, "no_job", "no such job")),
         CancelAnswer::Failed { unknown, reason } => {
@@ -163,24 +171,24 @@
     }
 }
 
-fn results(rim: &Rim, call: CallerRequest, id: &JobId, query: &str) {
-    let record = match own_job(rim, id, &call.team) {
+fn results(cx: &HttpContext, call: CallerRequest, id: &JobId, query: &str) {
+    let record = match find_team_job(cx, id, &call.team) {
         Ok(record) => record,
-        Err(e) => return answer(rim, call, |_| Err(e)),
+        Err(e) => return answer(cx, call, |_| Err(e)),
     };
     let after = query
         .split('&')
         .find_map(|pair| pair.strip_prefix("after="));
     if query.split('&').any(|pair| pair == "page=1") || after.is_some() {
         let after = after.filter(|cursor| !cursor.is_empty());
-        return answer(rim, call, |_| one_page(rim, &record, after));
+        return answer(cx, call, |_| one_page(cx, &record, after));
     }
-    stream_results(rim, call, &record);
+    stream_results(cx, call, &record);
 }
 
-fn one_page(rim: &Rim, record: &JobRecord, after: Option<&str>) -> Result<Reply, ApiError> {
-    let page =
-        read_results(rim.parts.storage(), record, after).map_err(|e| unreadable(&e.to_string()))?;
+fn one_page(cx: &HttpContext, record: &JobRecord, after: Option<&str>) -> Result<Reply, ApiError> {
+    let page = read_results(cx.handles.storage(), record, after)
+        .map_err(|e| unreadable(&e.to_string()))?;
     let body = json!({ "data": page.lines, "next": page.next });
     Ok(Reply::json(200, &body))
 }
@@ -188,20 +196,20 @@
 /// Streams all results as JSONL, a page in memory at one time. A stream that
 /// cannot be finished is cut without its last chunk, so that the caller does
 /// not take a part for the whole.
-fn stream_results(rim: &Rim, call: CallerRequest, record: &JobRecord) {
-    let first = match read_results(rim.parts.storage(), record, None) {
+fn stream_results(cx: &HttpContext, call: CallerRequest, record: &JobRecord) {
+    let first = match read_results(cx.handles.storage(), record, None) {
         Ok(page) => page,
-        Err(e) => return answer(rim, call, |_| Err(unreadable(&e.to_string()))),
+        Err(e) => return answer(cx, call, |_| Err(unreadable(&e.to_string()))),
     };
     let CallerRequest { req, span, .. } = call;
     let sent = ChunkedStream::open(req, "application/jsonl")
-        .and_then(|stream| send_pages(rim, record, first, stream));
+        .and_then(|stream| send_pages(cx, record, first, stream));
     let status = if sent.is_ok() { "200" } else { "cut" };
-    rim.tracer().finish(span.with("status", status), rim.now());
+    cx.tracer().finish(span.with("status", status), cx.now());
 }
 
 fn send_pages(
-    rim: &Rim,
+    cx: &HttpContext,
     record: &JobRecord,
     first: ResultPage,
     mut stream: ChunkedStream,
@@ -219,7 +227,7 @@
         let Some(next) = page.next else {
             return Ok(());
         };
-        page = match read_results(rim.parts.storage(), record, Some(&next)) {
+        page = match read_results(cx.handles.storage(), record, Some(&next)) {
             Ok(page) => page,
             Err(e) => {
                 stream.abandon();
--- a/crates/bluebellreel_entry/src/http/changes.rs
+++ b/crates/bluebellreel_entry/src/http/changes.rs
@@ -1,7 +1,7 @@
 //! What operators change: the manifest, and workers that leave.
 
 use crate::fleet::{DrainOrder, FleetMessage, PutAnswer, get_manifest, order_drain, put_manifest};
-use crate::http::rim::{Rim, ask, unavailable};
+use crate::http::context::{HttpContext, query_actor, unavailable};
 use crate::message::Message;
 use bluebellreel_fleet::Manifest;
 use bluebellreel_http::{ApiError, Reply, Request, header, read_body};
@@ -9,10 +9,10 @@
 use serde_json::json;
 
 /// Lets a worker leave: nothing new within seconds, what runs finishes.
-pub(crate) fn drain(rim: &Rim, worker: &WorkerName) -> Result<Reply, ApiError> {
+pub(crate) fn drain(cx: &HttpContext, worker: &WorkerName) -> Result<Reply, ApiError> {
     let asked = worker.clone();
-    let incarnation = ask(rim, |answer| {
-        Message::Fleet(FleetMessage::IncarnationAsked(asked, answer))
+    let incarnation = query_actor(cx, |answer| {
+        Message::Fleet(FleetMessage::QueryIncarnation(asked, answer))
     })?;
     let Some(incarnation) = incarnation else {
         return Err(ApiError::new(
@@ -24,9 +24,9 @@
     let order = DrainOrder {
         worker: worker.clone(),
         incarnation,
-        at: rim.now(),
+        at: cx.now(),
     };
-    order_drain(&rim.parts.kv, &order).map_err(|reason| unavailable(&reason))?;
+    order_drain(&cx.handles.kv, &order).map_err(|reason| unavailable(&reason))?;
     Ok(Reply::json(
         200,
         &json!({ "worker": worker, "draining": true }),
@@ -36,8 +36,8 @@
 /// Accepts the manifest that stands once more, as the next generation, so that
 /// every process brings it into force anew. A second tap on what the first one
 /// has done finds it done.
-pub(crate) fn roll_forward(rim: &Rim, seen: Option<u64>) -> Result<Reply, ApiError> {
-    let found = get_manifest(&rim.parts.kv).map_err(|e| unavailable(&e.to_string()))?;
+pub(crate) fn roll_forward(cx: &HttpContext, seen: Option<u64>) -> Result<Reply, ApiError> {
+    let found = get_manifest(&cx.handles.kv).map_err(|e| unavailable(&e.to_string()))?;
     let Some(found) = found else {
         return Err(ApiError::new(404, "no_manifest", "no manifest yet"));
     };
@@ -45,7 +45,7 @@
         return Ok(Reply::json(200, &json!({ "generation": found.generation })));
     }
     let seen = seen.unwrap_or(found.generation);
-    match put_manifest(&rim.parts.kv, seen, &found.text) {
+    match put_manifest(&cx.handles.kv, seen, &found.text) {
         PutAnswer::Accepted(stored) => Ok(Reply::json(
             200,
             &json!({ "generation": stored.generation }),
@@ -60,8 +60,8 @@
     }
 }
 
-pub(crate) fn show_manifest(rim: &Rim) -> Result<Reply, ApiError> {
-    let found = get_manifest(&rim.parts.kv).map_err(|e| unavailable(&e.to_string()))?;
+pub(crate) fn show_manifest(cx: &HttpContext) -> Result<Reply, ApiError> {
+    let found = get_manifest(&cx.handles.kv).map_err(|e| unavailable(&e.to_string()))?;
     let Some(found) = found else {
         return Err(ApiError::new(404, "no_manifest", "no manifest yet"));
     };
@@ -69,16 +69,16 @@
     Ok(reply.tagged(found.generation.to_string()))
 }
 
-pub(crate) fn change_manifest(rim: &Rim, req: &mut Request) -> Result<Reply, ApiError> {
+pub(crate) fn change_manifest(cx: &HttpContext, req: &mut Request) -> Result<Reply, ApiError> {
     let seen = seen_generation(req)?;
-    let body = read_body(req, rim.body_limits())?;
+    let body = read_body(req, cx.body_limits())?;
     let text = String::from_utf8(body)
         .map_err(|_| ApiError::new(400, "bad_manifest", "not UTF-8 text"))?;
     if let Err(errors) = Manifest::try_from(text.as_str()) {
         let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
         return Err(ApiError::new(422, "bad_manifest", lines.join("; ")));
     }
-    match put_manifest(&rim.parts.kv, seen, &text) {
+    match put_manifest(&cx.handles.kv, seen, &text) {
         PutAnswer::Accepted(stored) => {
             let body = json!({ "generation": stored.generation });
             Ok(Reply::json(200, &body).tagged(stored.generation.to_string()))
--- a/crates/bluebellreel_entry/src/http/chat.rs
+++ b/crates/bluebellreel_entry/src/http/chat.rs
@@ -1,7 +1,7 @@
 //! Chat completions.
 
+use crate::http::context::{CallerRequest, HttpContext, answer};
 use crate::http::online::{Pending, begin, error_of};
-use crate::http::rim::{CallerRequest, Rim, answer};
 use crate::http::sse;
 use crate::online::CallerEvent;
 use bluebellreel_http::{ApiError, ChunkedStream, Reply, read_body};
@@ -11,56 +11,61 @@
 use std::sync::Arc;
 
 /// `POST /v1/chat/completions`
-pub(crate) fn complete(rim: &Rim, mut call: CallerRequest) {
-    let body = read_body(&mut call.req, rim.body_limits());
+pub(crate) fn complete(cx: &HttpContext, mut call: CallerRequest) {
+    let body = read_body(&mut call.req, cx.body_limits());
     let chat = body.and_then(|body| {
         ChatBody::try_from(body.as_slice()).map_err(|e| ApiError::new(400, "bad_request", e))
     });
     let chat = match chat {
         Ok(chat) => chat,
-        Err(e) => return answer(rim, call, |_| Err(e)),
+        Err(e) => return answer(cx, call, |_| Err(e)),
     };
     let (model, stream) = (chat.model.clone(), chat.stream);
     let digest = content_digest(&chat.body);
     let work = chat.into_work(call.team.clone(), call.key.as_deref());
-    let pending = begin(rim, &call, work, digest);
+    let pending = begin(cx, &call, work, digest);
     if stream {
-        send_stream(rim, call, &pending, &model);
+        send_stream(cx, call, &pending, &model);
     } else {
-        answer(rim, call, |call| {
-            whole(rim, &pending, &model, call.key.is_some())
+        answer(cx, call, |call| {
+            answer_unstreamed(cx, &pending, &model, call.key.is_some())
         });
     }
 }
 
-fn whole(rim: &Rim, pending: &Pending, model: &ModelName, keyed: bool) -> Result<Reply, ApiError> {
+fn answer_unstreamed(
+    cx: &HttpContext,
+    pending: &Pending,
+    model: &ModelName,
+    keyed: bool,
+) -> Result<Reply, ApiError> {
     let mut text = String::new();
     loop {
-        match pending.next(rim) {
+        match pending.next(cx) {
             CallerEvent::Text(piece) => text.push_str(&piece),
             CallerEvent::Finished(Outcome::Completed { tokens, .. }) => {
                 let body = sse::completion(pending.id, model, &text, tokens);
                 return Ok(Reply::json(200, &body));
             }
-            CallerEvent::Finished(outcome) => return Err(error_of(&outcome, keyed, rim.now())),
-            CallerEvent::Claimed(record) => return pending.claimed(rim, *record),
+            CallerEvent::Finished(outcome) => return Err(error_of(&outcome, keyed, cx.now())),
+            CallerEvent::Claimed(record) => return pending.claimed(cx, *record),
         }
     }
 }
 
 /// Streams an answer. Nothing is sent before the first text, so that an error
 /// before it still has its own status.
-fn send_stream(rim: &Rim, call: CallerRequest, pending: &Pending, model: &ModelName) {
+fn send_stream(cx: &HttpContext, call: CallerRequest, pending: &Pending, model: &ModelName) {
     let keyed = call.key.is_some();
-    let first = match pending.next(rim) {
+    let first = match pending.next(cx) {
         CallerEvent::Text(text) => text,
         CallerEvent::Finished(Outcome::Completed { .. }) => Arc::from(""),
         CallerEvent::Finished(outcome) => {
-            let error = error_of(&outcome, keyed, rim.now());
-            return answer(rim, call, |_| Err(error));
+            let error = error_of(&outcome, keyed, cx.now());
+            return answer(cx, call, |_| Err(error));
         }
         CallerEvent::Claimed(record) => {
-            return answer(rim, call, |_| pending.claimed(rim, *record));
+            return answer(cx, call, |_| pending.claimed(cx, *record));
         }
     };
     let CallerRequest { req, span, .. } = call;
@@ -69,24 +74,24 @@
         if first.is_empty() {
             return stream.send(sse::end_events(pending.id, model).as_bytes());
         }
-        send_rest(rim, pending, model, keyed, &mut stream)
+        stream_rest(cx, pending, model, keyed, &mut stream)
     });
     if sent.is_err() {
-        pending.caller_gone(rim);
+        pending.caller_gone(cx);
     }
     let status = if sent.is_ok() { "200" } else { "gone" };
-    rim.tracer().finish(span.with("status", status), rim.now());
+    cx.tracer().finish(span.with("status", status), cx.now());
 }
 
-fn send_rest(
-    rim: &Rim,
+fn stream_rest(
+    cx: &HttpContext,
     pending: &Pending,
     model: &ModelName,
     keyed: bool,
     stream: &mut ChunkedStream,
 ) -> std::io::Result<()> {
     loop {
-        match pending.next(rim) {
+        match pending.next(cx) {
             CallerEvent::Text(text) => {
                 stream.send(sse::text_event(pending.id, model, &text).as_bytes())?;
             }
@@ -94,7 +99,7 @@
                 return stream.send(sse::end_events(pending.id, model).as_bytes());
             }
             CallerEvent::Finished(outcome) => {
-                let error = error_of(&outcome, keyed, rim.now());
+                let error = error_of(&outcome, keyed, cx.now());
                 return stream.send(sse::error_event(&error.body()).as_bytes());
             }
             CallerEvent::Claimed(_) => return Ok(()),
@@ -103,8 +108,8 @@
 }
 
 /// `GET /v1/models`
-pub(crate) fn models(rim: &Rim) -> Reply {
-    let manifest = rim.manifest.get();
+pub(crate) fn models(cx: &HttpContext) -> Reply {
+    let manifest = cx.manifest.get();
     let models: Vec<_> = manifest
         .models
         .iter()
--- a/crates/bluebellreel_entry/src/http/rim.rs
+++ b/crates/bluebellreel_entry/src/http/context.rs
@@ -2,8 +2,8 @@
 //! ways to answer it and to ask an actor.
 
 use crate::fleet::SharedManifest;
+use crate::handles::DaemonHandles;
 use crate::message::Message;
-use crate::parts::Parts;
 use bluebellreel_http::{ApiError, BodyLimits, Reply, Request, header, respond};
 use bluebellreel_settings::Principal;
 use bluebellreel_telemetry::{Span, Tracer};
@@ -12,12 +12,12 @@
 use std::time::Duration;
 
 /// Longest wait for an actor.
-const ACTOR_TIME: Duration = Duration::from_secs(2);
+const ACTOR_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What HTTP handlers work with.
 #[derive(Clone)]
-pub(crate) struct Rim {
-    pub(crate) parts: Parts,
+pub(crate) struct HttpContext {
+    pub(crate) handles: DaemonHandles,
     pub(crate) manifest: SharedManifest,
 }
 
@@ -30,49 +30,53 @@
     pub(crate) span: Span,
 }
 
-impl Rim {
+impl HttpContext {
     pub(crate) fn now(&self) -> Moment {
-        self.parts.clock.now()
+        self.handles.clock.now()
     }
 
     pub(crate) fn body_limits(&self) -> BodyLimits {
         BodyLimits {
-            bytes: self.parts.settings.limits.body_bytes,
-            time: self.parts.settings.limits.body_time,
+            bytes: self.handles.settings.limits.body_bytes,
+            time: self.handles.settings.limits.body_time,
         }
     }
 
     pub(crate) fn tracer(&self) -> &Tracer {
-        &self.parts.tracer
+        &self.handles.tracer
     }
 }
 
 /// Runs a handler whose answer is known as a whole, and closes its span.
 pub(crate) fn answer(
-    rim: &Rim,
+    cx: &HttpContext,
     mut call: CallerRequest,
     run: impl FnOnce(&mut CallerRequest) -> Result<Reply, ApiError>,
 ) {
     let reply = run(&mut call).unwrap_or_else(Reply::from);
     let span = call.span.with("status", reply.status.to_string());
-    rim.tracer().finish(span, rim.now());
+    cx.tracer().finish(span, cx.now());
     respond(call.req, &reply);
 }
 
 /// Who sends a request.
-pub(crate) fn principal<'a>(rim: &'a Rim, req: &Request) -> Result<&'a Principal, ApiError> {
+pub(crate) fn principal<'a>(cx: &'a HttpContext, req: &Request) -> Result<&'a Principal, ApiError> {
     let refused = || ApiError::new(401, "unauthorized", "a known bearer token is needed");
     let token = header(req, "Authorization")
         .and_then(|value| value.strip_prefix("Bearer "))
         .ok_or_else(refused)?;
-    rim.parts.settings.tokens.find(token).ok_or_else(refused)
+    cx.handles.settings.tokens.find(token).ok_or_else(refused)
 }
 
 /// Asks an actor.
-pub(crate) fn ask<T>(rim: &Rim, message: impl FnOnce(Sender<T>) -> Message) -> Result<T, ApiError> {
-    let (answer, told) = bounded(1);
-    rim.parts.tell(message(answer));
-    told.recv_timeout(ACTOR_TIME)
+pub(crate) fn query_actor<T>(
+    cx: &HttpContext,
+    message: impl FnOnce(Sender<T>) -> Message,
+) -> Result<T, ApiError> {
+    let (answer, response) = bounded(1);
+    cx.handles.send_message(message(answer));
+    response
+        .recv_timeout(ACTOR_TIMEOUT)
         .map_err(|_| unavailable("the daemon does not answer"))
 }
 
--- a/crates/bluebellreel_entry/src/http/online.rs
+++ b/crates/bluebellreel_entry/src/http/online.rs
@@ -1,7 +1,7 @@
 //! What chat completions and service calls share: the way through the actor.
 
+use crate::http::context::{CallerRequest, HttpContext};
 use crate::http::requests::claimed_reply;
-use crate::http::rim::{CallerRequest, Rim};
 use crate::message::Message;
 use crate::online::{CallerEvent, NewCall, OnlineMessage};
 use bluebellreel_claim::ClaimRecord;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// Time past the deadline after which a handler gives up on its actor.
-const OVERTIME: Duration = Duration::from_secs(3);
+const ACTOR_GRACE: Duration = Duration::from_secs(3);
 
 /// A request handed to the actor.
 pub(crate) struct Pending {
@@ -24,14 +24,14 @@
 }
 
 /// Hands work to the online actor.
-pub(crate) fn begin(rim: &Rim, call: &CallerRequest, work: Work, digest: String) -> Pending {
+pub(crate) fn begin(cx: &HttpContext, call: &CallerRequest, work: Work, digest: String) -> Pending {
     let id = RequestId::random();
-    let latest = rim.now() + rim.parts.settings.online_deadline;
+    let latest = cx.now() + cx.handles.settings.online_deadline;
     let deadline = call.deadline.unwrap_or(latest);
     let deadline = if work.repeatable {
         deadline
     } else {
-        deadline.min(rim.now() + LONGEST_UNREPEATABLE)
+        deadline.min(cx.now() + LONGEST_UNREPEATABLE)
     };
     // Bounded by the tokens of one answer.
     let (caller, rx) = unbounded();
@@ -45,8 +45,8 @@
         digest: digest.clone(),
         caller,
     };
-    rim.parts
-        .tell(Message::Online(OnlineMessage::Call(Box::new(new))));
+    cx.handles
+        .send_message(Message::Online(OnlineMessage::Call(Box::new(new))));
     Pending {
         id,
         rx,
@@ -57,8 +57,8 @@
 
 impl Pending {
     /// Waits for what comes next.
-    pub(crate) fn next(&self, rim: &Rim) -> CallerEvent {
-        let left = self.deadline.since(rim.now()) + OVERTIME;
+    pub(crate) fn next(&self, cx: &HttpContext) -> CallerEvent {
+        let left = self.deadline.since(cx.now()) + ACTOR_GRACE;
         match self.rx.recv_timeout(left) {
             Ok(event) => event,
             // The actor is gone or stuck: nobody can tell what ran.
@@ -69,18 +69,18 @@
     }
 
     /// What a caller is told whose key was used before.
-    pub(crate) fn claimed(&self, rim: &Rim, record: ClaimRecord) -> Result<Reply, ApiError> {
+    pub(crate) fn claimed(&self, cx: &HttpContext, record: ClaimRecord) -> Result<Reply, ApiError> {
         if record.digest != self.digest {
             let message = "the key was used before, for another request";
             return Err(ApiError::new(409, "key_reused", message));
         }
-        claimed_reply(rim, record)
+        claimed_reply(cx, record)
     }
 
     /// Tells the actor that the caller has gone away.
-    pub(crate) fn caller_gone(&self, rim: &Rim) {
+    pub(crate) fn caller_gone(&self, cx: &HttpContext) {
         let message = OnlineMessage::CallerGone(self.id);
-        rim.parts.tell(Message::Online(message));
+        cx.handles.send_message(Message::Online(message));
     }
 }
 
--- a/crates/bluebellreel_entry/src/http/outcomes.rs
+++ b/crates/bluebellreel_entry/src/http/outcomes.rs
@@ -2,26 +2,30 @@
 
 use crate::data::VolumesSummary;
 use crate::fleet::{FleetMessage, FleetSummary};
-use crate::http::rim::{Rim, ask};
+use crate::http::context::{HttpContext, query_actor};
 use crate::jobs::{JobsMessage, JobsSummary};
 use crate::message::Message;
 use bluebellreel_http::ApiError;
 use serde_json::{Value, json};
 
 /// Whether the outcomes hold.
-pub(crate) fn outcomes(rim: &Rim) -> Result<Value, ApiError> {
-    let jobs: JobsSummary = ask(rim, |answer| {
-        Message::Jobs(JobsMessage::SummaryAsked(answer))
+pub(crate) fn outcomes(cx: &HttpContext) -> Result<Value, ApiError> {
+    let jobs: JobsSummary = query_actor(cx, |answer| {
+        Message::Jobs(JobsMessage::QuerySummary(answer))
     })?;
-    let fleet: FleetSummary = ask(rim, |answer| {
-        Message::Fleet(FleetMessage::SummaryAsked(answer))
+    let fleet: FleetSummary = query_actor(cx, |answer| {
+        Message::Fleet(FleetMessage::QuerySummary(answer))
     })?;
-    let volumes = rim.parts.data.places().map(|places| places.summary());
+    let volumes = cx
+        .handles
+        .data
+        .volume_map()
+        .map(|volume_map| volume_map.summary());
     let volumes = volumes.unwrap_or_default();
-    let metrics = &rim.parts.metrics;
+    let metrics = &cx.handles.metrics;
     let (in_time, late) = (metrics.in_time.get(), metrics.late.get());
     Ok(json!({
-        "entry": rim.parts.settings.name,
+        "entry": cx.handles.settings.name,
         "answers_in_time": {
             "state": answers_state(in_time, late),
             "in_time": in_time,
--- a/crates/bluebellreel_entry/src/http/page.rs
+++ b/crates/bluebellreel_entry/src/http/page.rs
@@ -8,8 +8,8 @@
 
 use crate::http::batches;
 use crate::http::changes::{drain, roll_forward};
+use crate::http::context::HttpContext;
 use crate::http::outcomes::outcomes;
-use crate::http::rim::Rim;
 use bluebellreel_http::{ApiError, Method, Reply, Request, read_body, respond};
 use bluebellreel_settings::Principal;
 use bluebellreel_types::{JobId, WorkerName};
@@ -80,11 +80,11 @@
 }
 
 /// `/operator`
-pub(crate) fn handle(rim: &Rim, mut req: Request, _query: &str) {
+pub(crate) fn handle(cx: &HttpContext, mut req: Request, _query: &str) {
     let reply = match req.method() {
         Method::Get => html(200, &token_form("")),
-        Method::Post => match read_body(&mut req, rim.body_limits()) {
-            Ok(body) => answer(rim, &Form::read(&body)),
+        Method::Post => match read_body(&mut req, cx.body_limits()) {
+            Ok(body) => answer(cx, &Form::read(&body)),
             Err(e) => e.into(),
         },
         _ => ApiError::new(405, "bad_method", "GET or POST").into(),
@@ -92,39 +92,39 @@
     respond(req, &reply);
 }
 
-fn answer(rim: &Rim, form: &Form) -> Reply {
-    let found = rim.parts.settings.tokens.find(&form.token);
+fn answer(cx: &HttpContext, form: &Form) -> Reply {
+    let found = cx.handles.settings.tokens.find(&form.token);
     if !matches!(found, Some(Principal::Operator(_))) {
         return html(401, &token_form("That is no operator's token."));
     }
     if form.action.is_empty() {
-        return overview(rim, form, "");
+        return overview(cx, form, "");
     }
     if !form.confirmed {
         return html(200, &confirmation(form));
     }
-    match carry_out(rim, form) {
-        Ok(done) => overview(rim, form, done),
+    match execute(cx, form) {
+        Ok(done) => overview(cx, form, done),
         Err(e) => overview(
-            rim,
+            cx,
             form,
             &format!("Not done: {} (ran: {:?})", e.message, e.ran),
         ),
     }
 }
 
-fn carry_out(rim: &Rim, form: &Form) -> Result<&'static str, ApiError> {
+fn execute(cx: &HttpContext, form: &Form) -> Result<&'static str, ApiError> {
     match form.action.as_str() {
         "cancel" => {
-            batches::cancel(rim, &JobId::from(form.target.as_str()))?;
+            batches::cancel(cx, &JobId::from(form.target.as_str()))?;
             Ok("The job is over; what had finished stays readable.")
         }
         "drain" => {
-            drain(rim, &WorkerName::from(form.target.as_str()))?;
+            drain(cx, &WorkerName::from(form.target.as_str()))?;
             Ok("The worker gets nothing new; what runs there finishes.")
         }
         "roll-forward" => {
-            roll_forward(rim, form.seen)?;
+            roll_forward(cx, form.seen)?;
             Ok("The manifest is accepted anew and goes everywhere.")
         }
         _ => Err(ApiError::new(400, "bad_action", "unknown action")),
@@ -197,8 +197,8 @@
     )
 }
 
-fn overview(rim: &Rim, form: &Form, message: &str) -> Reply {
-    let view = match outcomes(rim) {
+fn overview(cx: &HttpContext, form: &Form, message: &str) -> Reply {
+    let view = match outcomes(cx) {
         Ok(view) => view,
         Err(e) => return html(503, &format!("<p>{}</p>", escaped(&e.message))),
     };
@@ -308,12 +308,12 @@
 
 /// Jobs and workers that one page lists at the most, to stay small on a slow
 /// line.
-const MOST_ROWS: usize = 20;
+const MAX_ROWS: usize = 20;
 
 fn push_jobs(body: &mut String, form: &Form, view: &Value, seen: u64) {
     body.push_str("<h2>Jobs owned here</h2><ul>");
     let owned = view["items_finish_once"]["owned"].as_array();
-    for job in owned.into_iter().flatten().take(MOST_ROWS) {
+    for job in owned.into_iter().flatten().take(MAX_ROWS) {
         let id = job["id"].as_str().unwrap_or("");
         write!(
             body,
@@ -337,7 +337,7 @@
     let changes = &view["changes_hold"];
     let draining = changes["draining"].as_array().cloned().unwrap_or_default();
     let names = changes["worker_names"].as_array();
-    for name in names.into_iter().flatten().take(MOST_ROWS) {
+    for name in names.into_iter().flatten().take(MAX_ROWS) {
         let is_draining = draining.contains(name);
         let name = name.as_str().unwrap_or("");
         let act = if is_draining {
@@ -352,8 +352,8 @@
 }
 
 fn push_rest(body: &mut String, all: usize) {
-    if all > MOST_ROWS {
-        write!(body, "<p class=\"no\">and {} more</p>", all - MOST_ROWS).ok();
+    if all > MAX_ROWS {
+        write!(body, "<p class=\"no\">and {} more</p>", all - MAX_ROWS).ok();
     }
 }
 
--- a/crates/bluebellreel_entry/src/http/requests.rs
+++ b/crates/bluebellreel_entry/src/http/requests.rs
@@ -1,8 +1,8 @@
 //! Outcomes of calls with an idempotency key.
 
-use crate::http::rim::Rim;
+use crate::http::context::HttpContext;
 use crate::message::Message;
-use crate::online::{AskAnswer, OnlineMessage, find_claim, record_state};
+use crate::online::{ClaimQueryResult, OnlineMessage, find_claim, record_state};
 use bluebellreel_claim::{ClaimRecord, ClaimState, state_after_verdict};
 use bluebellreel_http::{ApiError, Reply};
 use bluebellreel_kv::KvClient;
@@ -12,18 +12,18 @@
 use std::time::Duration;
 
 /// Longest wait for a side process that is asked.
-const ASK_TIME: Duration = Duration::from_secs(3);
+const VERDICT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest time to record what it said.
-const RECORD_TIME: Duration = Duration::from_secs(3);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// `GET /v1/requests/{key}`
-pub(crate) fn show(rim: &Rim, team: &TeamName, key: &str) -> Result<Reply, ApiError> {
-    let found = find_claim(&rim.parts.kv, team, key).map_err(|e| unavailable(&e.to_string()))?;
+pub(crate) fn show(cx: &HttpContext, team: &TeamName, key: &str) -> Result<Reply, ApiError> {
+    let found = find_claim(&cx.handles.kv, team, key).map_err(|e| unavailable(&e.to_string()))?;
     let Some((record, revision)) = found else {
         let message = "no request with this key has been taken up";
         return Err(ApiError::new(404, "no_request", message));
     };
-    let record = settle(rim, record, revision);
+    let record = resolve(cx, record, revision);
     let (outcome, ran) = match &record.state {
         ClaimState::Pending => ("pending", Ran::Unknown),
         ClaimState::Completed { .. } => ("completed", Ran::Yes),
@@ -42,10 +42,10 @@
 }
 
 /// What the caller of a key that was used before is told.
-pub(crate) fn claimed_reply(rim: &Rim, record: ClaimRecord) -> Result<Reply, ApiError> {
-    let current = find_claim(&rim.parts.kv, &record.team, &record.key);
+pub(crate) fn claimed_reply(cx: &HttpContext, record: ClaimRecord) -> Result<Reply, ApiError> {
+    let current = find_claim(&cx.handles.kv, &record.team, &record.key);
     let record = match current {
-        Ok(Some((record, revision))) => settle(rim, record, revision),
+        Ok(Some((record, revision))) => resolve(cx, record, revision),
         Ok(None) | Err(_) => record,
     };
     match record.state {
@@ -55,7 +55,7 @@
         ClaimState::Rejected { status, message } => {
             Err(ApiError::new(status, "rejected", message.to_string()))
         }
-        // It has just been settled as not run: the key is free again.
+        // It has just been resolved as not run: the key is free again.
         ClaimState::NotRun => {
             let error = ApiError::new(503, "not_run", "not run: send it again");
             Err(error.retry_after(Duration::from_secs(1)))
@@ -80,44 +80,48 @@
 /// Finds out what became of a claim that is still open, from the side process
 /// that it names, and records it. An entry that died between claim and record
 /// leaves such claims behind.
-fn settle(rim: &Rim, record: ClaimRecord, revision: i64) -> ClaimRecord {
+fn resolve(cx: &HttpContext, record: ClaimRecord, revision: i64) -> ClaimRecord {
     if record.state != ClaimState::Pending {
         return record;
     }
-    let (answer, told) = bounded(1);
-    let message = OnlineMessage::AskClaim {
+    let (answer, response) = bounded(1);
+    let message = OnlineMessage::QueryClaim {
         record: Box::new(record.clone()),
         answer,
     };
-    rim.parts.tell(Message::Online(message));
-    let told = told.recv_timeout(ASK_TIME);
-    let told = told.unwrap_or(AskAnswer::Unreachable);
-    settle_as(&rim.parts.kv, record, revision, &told)
+    cx.handles.send_message(Message::Online(message));
+    let result = response.recv_timeout(VERDICT_TIMEOUT);
+    let result = result.unwrap_or(ClaimQueryResult::Unreachable);
+    record_query_result(&cx.handles.kv, record, revision, &result)
 }
 
 /// Records what a side process told of an open claim.
-pub(crate) fn settle_as(
+pub(crate) fn record_query_result(
     kv: &KvClient,
     record: ClaimRecord,
     revision: i64,
-    told: &AskAnswer,
+    result: &ClaimQueryResult,
 ) -> ClaimRecord {
-    let state = match told {
-        AskAnswer::Verdict(verdict) => state_after_verdict(verdict, record.deadline, kv.now()),
-        AskAnswer::Gone => Some(ClaimState::Unknown),
+    let state = match result {
+        ClaimQueryResult::Verdict(verdict) => {
+            state_after_verdict(verdict, record.deadline, kv.now())
+        }
+        ClaimQueryResult::Gone => Some(ClaimState::Unknown),
         // A worker that is away may come back and tell; past the deadline
         // the caller deserves an answer, and "unknown" is the true one.
-        AskAnswer::Unreachable if record.deadline.is_past(kv.now()) => Some(ClaimState::Unknown),
-        AskAnswer::Unreachable => None,
+        ClaimQueryResult::Unreachable if record.deadline.is_past(kv.now()) => {
+            Some(ClaimState::Unknown)
+        }
+        ClaimQueryResult::Unreachable => None,
     };
     let Some(state) = state else {
         return record;
     };
-    let settled = record.in_state(state);
-    if !record_state(kv, &settled, revision, kv.now() + RECORD_TIME) {
+    let resolved = record.in_state(state);
+    if !record_state(kv, &resolved, revision, kv.now() + RECORD_TIMEOUT) {
         return record;
     }
-    // Another may have settled it first: what is recorded counts.
+    // Another may have resolved it first: what is recorded counts.
     match find_claim(kv, &record.team, &record.key) {
         Ok(Some((current, _))) => current,
         Ok(None) | Err(_) => record,
--- a/crates/bluebellreel_entry/src/http/services.rs
+++ b/crates/bluebellreel_entry/src/http/services.rs
@@ -1,7 +1,7 @@
 //! Calls to plain services.
 
+use crate::http::context::{CallerRequest, HttpContext, answer};
 use crate::http::online::{begin, error_of};
-use crate::http::rim::{CallerRequest, Rim, answer};
 use crate::online::CallerEvent;
 use bluebellreel_http::{ApiError, Reply, read_body};
 use bluebellreel_routing::Outcome;
@@ -10,21 +10,26 @@
 use std::time::Duration;
 
 /// When a caller may come back who came before the manifest was read.
-const NOT_READY_PAUSE: Duration = Duration::from_secs(1);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// `/services/{name}/…`
-pub(crate) fn call(rim: &Rim, call: CallerRequest, rest: &str, query: &str) {
-    answer(rim, call, |call| run(rim, call, rest, query));
+pub(crate) fn call(cx: &HttpContext, call: CallerRequest, rest: &str, query: &str) {
+    answer(cx, call, |call| run(cx, call, rest, query));
 }
 
-fn run(rim: &Rim, call: &mut CallerRequest, rest: &str, query: &str) -> Result<Reply, ApiError> {
+fn run(
+    cx: &HttpContext,
+    call: &mut CallerRequest,
+    rest: &str,
+    query: &str,
+) -> Result<Reply, ApiError> {
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let service = ModelName::from(name);
-    let manifest = rim.manifest.get();
+    let manifest = cx.manifest.get();
     if !manifest.services.iter().any(|spec| spec.name == service) {
-        if !rim.parts.readiness.knows_manifest() {
+        if !cx.handles.readiness.knows_manifest() {
             let error = ApiError::new(503, "not_ready", "the services are not known yet");
-            return Err(error.retry_after(NOT_READY_PAUSE));
+            return Err(error.retry_after(NOT_READY_RETRY_AFTER));
         }
         return Err(ApiError::new(404, "no_service", "no such service"));
     }
@@ -42,7 +47,7 @@
         let message = "this call runs at most once and needs an Idempotency-Key";
         return Err(ApiError::new(400, "key_needed", message));
     }
-    let body = read_body(&mut call.req, rim.body_limits())?;
+    let body = read_body(&mut call.req, cx.body_limits())?;
     let asked = [path.as_bytes(), b"\n", &body].concat();
     let work = Work {
         kind,
@@ -54,17 +59,17 @@
         key: Arc::from(call.key.as_deref().unwrap_or("")),
         team: call.team.clone(),
     };
-    let pending = begin(rim, call, work, content_digest(&asked));
+    let pending = begin(cx, call, work, content_digest(&asked));
     loop {
-        match pending.next(rim) {
+        match pending.next(cx) {
             CallerEvent::Text(_) => {}
             CallerEvent::Finished(Outcome::Completed { status, body, .. }) => {
                 return Ok(Reply::bytes(status, "application/json", body));
             }
             CallerEvent::Finished(outcome) => {
-                return Err(error_of(&outcome, call.key.is_some(), rim.now()));
+                return Err(error_of(&outcome, call.key.is_some(), cx.now()));
             }
-            CallerEvent::Claimed(record) => return pending.claimed(rim, *record),
+            CallerEvent::Claimed(record) => return pending.claimed(cx, *record),
         }
     }
 }
--- a/crates/bluebellreel_entry/src/jobs/part.rs
+++ b/crates/bluebellreel_entry/src/jobs/component.rs
@@ -3,11 +3,11 @@
 mod handout;
 mod ownership;
 
+use crate::handles::DaemonHandles;
 use crate::jobs::index::JobIndex;
 use crate::jobs::messages::{JobWrite, JobsMessage, JobsSummary, OwnedSummary, PendingPull};
 use crate::jobs::store;
 use crate::message::Message;
-use crate::parts::Parts;
 use crate::platform::EntryRecord;
 use bluebellreel_job::{Board, BoardLimits, ItemEnd, ItemLease, JobEffect, JobRecord, OwnedJob};
 use bluebellreel_rpc::{EntryCommand, EntryNotice};
@@ -20,11 +20,11 @@
 /// Between two looks at all jobs.
 const TICK: Duration = Duration::from_millis(50);
 /// How often a worker is told again that batch work waits.
-const OFFER_PERIOD: Duration = Duration::from_secs(1);
+const OFFER_REPEAT_PERIOD: Duration = Duration::from_secs(1);
 /// Pause before a job that could not be opened is tried again.
-const REOPEN_PAUSE: Duration = Duration::from_millis(500);
+const REOPEN_DELAY: Duration = Duration::from_millis(500);
 /// Between two tidyings.
-const TIDY_PERIOD: Duration = Duration::from_secs(10);
+const CLEANUP_PERIOD: Duration = Duration::from_secs(10);
 
 /// A connected worker as this part sees it.
 struct Puller {
@@ -35,31 +35,31 @@
 }
 
 /// Owns jobs.
-pub(crate) struct JobsPart {
-    parts: Parts,
-    board: Board,
+pub(crate) struct JobsComponent {
+    handles: DaemonHandles,
+    scheduler: Board,
     index: JobIndex,
     pullers: BTreeMap<WorkerName, Puller>,
     claim_seqs: HashMap<JobId, u64>,
     opening: BTreeSet<JobId>,
     reopen_at: BTreeMap<JobId, Moment>,
     tick_at: Moment,
-    tidy_at: Moment,
+    cleanup_at: Moment,
     stopping: bool,
 }
 
-impl JobsPart {
-    pub(crate) fn new(parts: Parts) -> Self {
+impl JobsComponent {
+    pub(crate) fn new(handles: DaemonHandles) -> Self {
         Self {
-            parts,
-            board: Board::new(BoardLimits::default()),
+            handles,
+            scheduler: Board::new(BoardLimits::default()),
             index: JobIndex::default(),
             pullers: BTreeMap::new(),
             claim_seqs: HashMap::new(),
             opening: BTreeSet::new(),
             reopen_at: BTreeMap::new(),
             tick_at: Moment(0),
-            tidy_at: Moment(0),
+            cleanup_at: Moment(0),
             stopping: false,
         }
     }
@@ -75,33 +75,33 @@
         self.take_over_due(now);
         self.reopen_due(now);
         self.offer_all(now);
-        if self.tidy_at.is_past(now) {
-            self.tidy_at = now + TIDY_PERIOD;
-            self.board.tidy(now);
+        if self.cleanup_at.is_past(now) {
+            self.cleanup_at = now + CLEANUP_PERIOD;
+            self.scheduler.tidy(now);
         }
-        let metrics = &self.parts.metrics;
-        let owned = i64::try_from(self.board.jobs.len()).unwrap_or(i64::MAX);
+        let metrics = &self.handles.metrics;
+        let owned = i64::try_from(self.scheduler.jobs.len()).unwrap_or(i64::MAX);
         metrics.jobs_owned.set(owned);
-        let waiting = self.board.unrecorded_bytes();
+        let waiting = self.scheduler.unrecorded_bytes();
         let waiting = i64::try_from(waiting).unwrap_or(i64::MAX);
         metrics.unrecorded_bytes.set(waiting);
     }
 
     fn now(&self) -> Moment {
-        self.parts.clock.now()
+        self.handles.clock.now()
     }
 
     /// Hands out nothing new from now on.
     pub(crate) fn stop(&mut self) {
         self.stopping = true;
-        for job in self.board.jobs.values_mut() {
+        for job in self.scheduler.jobs.values_mut() {
             job.hand_over();
         }
     }
 
     /// Whether all that is out has come back and been recorded.
     pub(crate) fn is_idle(&self) -> bool {
-        self.board.jobs.values().all(OwnedJob::is_handed_over)
+        self.scheduler.jobs.values().all(OwnedJob::is_handed_over)
     }
 
     /// Models and services that waiting items need.
@@ -109,19 +109,19 @@
         if self.stopping {
             return BTreeSet::new();
         }
-        self.board.waiting_models()
+        self.scheduler.waiting_models()
     }
 
     /// Workers that hold items of this daemon's jobs.
     pub(crate) fn busy_workers(&self) -> BTreeSet<WorkerName> {
-        self.board.holders()
+        self.scheduler.holders()
     }
 
-    pub(crate) fn on_entry_seen(&mut self, record: EntryRecord) {
+    pub(crate) fn on_entry_joined(&mut self, record: EntryRecord) {
         self.index.note_entry(record.name, record.run);
     }
 
-    pub(crate) fn on_entry_gone(&mut self, name: &EntryName) {
+    pub(crate) fn on_entry_left(&mut self, name: &EntryName) {
         log::warn!(target: "jobs", entry:% = name; "Entry daemon gone.");
         self.index.forget_entry(name);
     }
@@ -140,7 +140,7 @@
             }
             EntryNotice::Lost(worker) => {
                 if self.pullers.remove(&worker).is_some() {
-                    for job in self.board.jobs.values_mut() {
+                    for job in self.scheduler.jobs.values_mut() {
                         job.lose_worker(&worker, now);
                     }
                 }
@@ -157,12 +157,12 @@
             } => self.pull(&worker, room, answer, now),
             EntryNotice::Reports { reports, .. } => {
                 for report in reports {
-                    self.board.report(report.attempt, report.end, now);
+                    self.scheduler.report(report.attempt, report.end, now);
                 }
                 self.poll_all(now);
             }
             EntryNotice::Verdict { attempt, verdict } => {
-                for job in self.board.jobs.values_mut() {
+                for job in self.scheduler.jobs.values_mut() {
                     job.note_verdict(attempt, verdict.clone(), now);
                 }
             }
@@ -180,8 +180,8 @@
             JobsMessage::AllJobs(jobs) => self.note_all(jobs),
             JobsMessage::Changed(event) => self.note_change(event),
             JobsMessage::Opened(opened) => self.open(*opened),
-            JobsMessage::OpenFailed(id) => self.note_not_opened(id),
-            JobsMessage::TakenOver { id, result } => self.note_taken(&id, result),
+            JobsMessage::OpenFailed(id) => self.on_open_failed(id),
+            JobsMessage::TakenOver { id, result } => self.on_takeover(&id, result),
             JobsMessage::Chunk {
                 id,
                 epoch,
@@ -197,24 +197,24 @@
                 write,
             } => {
                 if write == JobWrite::Done {
-                    self.parts.metrics.items.inc_by(u64::from(items));
-                    self.parts.metrics.items_failed.inc_by(u64::from(failed));
+                    self.handles.metrics.items.inc_by(u64::from(items));
+                    self.handles.metrics.items_failed.inc_by(u64::from(failed));
                 }
                 self.note_write(&id, epoch, write, now, |job| job.note_recorded(seq, now));
             }
             JobsMessage::Closed { id, epoch, write } => {
                 if write == JobWrite::Done {
                     log::info!(target: "jobs", job:% = id; "Job ended.");
-                    self.board.jobs.remove(&id);
+                    self.scheduler.jobs.remove(&id);
                 } else {
                     self.note_write(&id, epoch, write, now, |_| ());
                 }
             }
             JobsMessage::Claimed { pull, written } => self.note_claimed(*pull, &written),
-            JobsMessage::CountAsked(team, answer) => {
+            JobsMessage::QueryCount(team, answer) => {
                 answer.send(self.index.count(&team)).ok();
             }
-            JobsMessage::SummaryAsked(answer) => {
+            JobsMessage::QuerySummary(answer) => {
                 answer.send(self.summary(now)).ok();
             }
         }
@@ -243,7 +243,7 @@
     }
 
     fn owned(&mut self, id: &JobId, epoch: u64) -> Option<&mut OwnedJob> {
-        let job = self.board.jobs.get_mut(id)?;
+        let job = self.scheduler.jobs.get_mut(id)?;
         (job.record.epoch == epoch).then_some(job)
     }
 
@@ -267,7 +267,7 @@
 
     fn poll_all(&mut self, now: Moment) {
         let mut todo = Vec::new();
-        for (id, job) in &mut self.board.jobs {
+        for (id, job) in &mut self.scheduler.jobs {
             let effects = job.poll(now);
             if !effects.is_empty() {
                 todo.push((id.clone(), job.record.clone(), job.revision, effects));
@@ -275,22 +275,22 @@
         }
         for (id, record, revision, effects) in todo {
             for effect in effects {
-                self.carry_out(&id, &record, revision, effect);
+                self.execute(&id, &record, revision, effect);
             }
         }
     }
 
-    fn carry_out(&mut self, id: &JobId, record: &JobRecord, revision: i64, effect: JobEffect) {
-        let (at, parts) = (self.parts.clone(), self.parts.clone());
+    fn execute(&mut self, id: &JobId, record: &JobRecord, revision: i64, effect: JobEffect) {
+        let (storage_parts, handles) = (self.handles.clone(), self.handles.clone());
         let (id, record, epoch) = (id.clone(), record.clone(), record.epoch);
-        let tell = move |message| {
-            parts.tell(Message::Jobs(message));
+        let send = move |message| {
+            handles.send_message(Message::Jobs(message));
         };
         match effect {
             JobEffect::LoadChunk(chunk) => {
                 self.run_kv(&id.clone(), epoch, move |_| {
-                    let bytes = store::load_chunk(at.storage(), &record, chunk);
-                    tell(JobsMessage::Chunk {
+                    let bytes = store::load_chunk(storage_parts.storage(), &record, chunk);
+                    send(JobsMessage::Chunk {
                         id,
                         epoch,
                         chunk,
@@ -305,9 +305,14 @@
                     .filter(|r| matches!(r.end, ItemEnd::Failed { .. }));
                 let failed = u32::try_from(failed.count()).unwrap_or(u32::MAX);
                 self.run_kv(&id.clone(), epoch, move |_| {
-                    let write =
-                        store::record_results(at.storage(), &record, revision, seq, &results);
-                    tell(JobsMessage::Recorded {
+                    let write = store::record_results(
+                        storage_parts.storage(),
+                        &record,
+                        revision,
+                        seq,
+                        &results,
+                    );
+                    send(JobsMessage::Recorded {
                         id,
                         epoch,
                         seq,
@@ -321,17 +326,18 @@
                 let ended = record.ended(state, counts, self.now());
                 self.run_kv(&id.clone(), epoch, move |kv| {
                     let write = store::close_job(kv, &record, revision, &ended);
-                    tell(JobsMessage::Closed { id, epoch, write });
+                    send(JobsMessage::Closed { id, epoch, write });
                 });
             }
             JobEffect::Withdraw { worker, attempts } => {
-                self.parts.send(EntryCommand::Withdraw { worker, attempts });
+                self.handles
+                    .send_command(EntryCommand::Withdraw { worker, attempts });
             }
             JobEffect::Ask {
                 worker,
                 incarnation,
                 attempt,
-            } => self.ask(&id, &worker, incarnation, attempt),
+            } => self.query_verdict(&id, &worker, incarnation, attempt),
         }
     }
 
@@ -341,7 +347,7 @@
         epoch: u64,
         task: impl FnOnce(&bluebellreel_kv::KvClient) + Send + 'static,
     ) {
-        if !self.parts.pool.run(task) {
+        if !self.handles.pool.run(task) {
             let now = self.now();
             if let Some(job) = self.owned(id, epoch) {
                 job.note_chunk_failed(now);
@@ -350,7 +356,7 @@
         }
     }
 
-    fn ask(
+    fn query_verdict(
         &mut self,
         id: &JobId,
         worker: &WorkerName,
@@ -361,10 +367,11 @@
         match self.pullers.get(worker) {
             Some(puller) if puller.incarnation == incarnation => {
                 let worker = worker.clone();
-                self.parts.send(EntryCommand::Cancel { worker, attempt });
+                self.handles
+                    .send_command(EntryCommand::Cancel { worker, attempt });
             }
             Some(_) => {
-                if let Some(job) = self.board.jobs.get_mut(id) {
+                if let Some(job) = self.scheduler.jobs.get_mut(id) {
                     job.note_untellable(attempt, now);
                 }
             }
@@ -378,7 +385,7 @@
             .jobs
             .values()
             .filter(|job| job.record.deadline.is_past(now));
-        let owned = self.board.jobs.values().map(|job| OwnedSummary {
+        let owned = self.scheduler.jobs.values().map(|job| OwnedSummary {
             id: job.record.id.clone(),
             team: job.record.team.clone(),
             items: job.record.items,
@@ -392,7 +399,7 @@
             owned: owned.collect(),
             orphaned: self.index.orphaned(),
             late: late.count(),
-            unrecorded_bytes: self.board.unrecorded_bytes(),
+            unrecorded_bytes: self.scheduler.unrecorded_bytes(),
         }
     }
 }
@@ -409,7 +416,7 @@
     }
 }
 
-fn answer_pull(pull: PendingPull) {
+fn send_pull_answer(pull: PendingPull) {
     // A side process that is gone hears nothing; its leases come back when
     // its connection is seen to be lost.
     pull.answer.0.send(pull.ready).ok();
--- a/crates/bluebellreel_entry/src/jobs/part/handout.rs
+++ b/crates/bluebellreel_entry/src/jobs/component/handout.rs
@@ -1,14 +1,14 @@
 //! Handing items out to side processes that pull.
 
-use super::{JobsPart, OFFER_PERIOD, answer_pull, dispatch_of};
-use crate::jobs::messages::{ClaimedPart, JobWrite, JobsMessage, PendingPull};
+use super::{JobsComponent, OFFER_REPEAT_PERIOD, dispatch_of, send_pull_answer};
+use crate::jobs::messages::{ClaimedDispatches, JobWrite, JobsMessage, PendingPull};
 use crate::jobs::store;
 use crate::message::Message;
 use bluebellreel_job::Handout;
 use bluebellreel_rpc::{EntryCommand, PullAnswer};
 use bluebellreel_types::{Dispatch, Moment, WorkerName};
 
-impl JobsPart {
+impl JobsComponent {
     pub(super) fn pull(&mut self, worker: &WorkerName, room: u32, answer: PullAnswer, now: Moment) {
         let handouts = match self.pullers.get_mut(worker) {
             Some(puller) if !self.stopping => {
@@ -16,7 +16,7 @@
                 puller.offer_at = now;
                 let room = usize::try_from(room).unwrap_or(0);
                 let run = puller.incarnation;
-                self.board.pull(room, worker, run, &puller.models, now)
+                self.scheduler.pull(room, worker, run, &puller.models, now)
             }
             _ => Vec::new(),
         };
@@ -32,14 +32,14 @@
         };
         for Handout { job, leases } in handouts {
             let dispatches = leases.iter().map(|lease| dispatch_of(lease, run)).collect();
-            if self.board.jobs[&job].repeatable {
+            if self.scheduler.jobs[&job].repeatable {
                 pull.ready.extend(dispatches);
             } else {
-                pull.claimed.push(ClaimedPart { job, dispatches });
+                pull.claimed.push(ClaimedDispatches { job, dispatches });
             }
         }
         if pull.claimed.is_empty() {
-            answer_pull(pull);
+            send_pull_answer(pull);
         } else {
             self.write_claims(pull);
         }
@@ -51,7 +51,7 @@
     pub(super) fn write_claims(&mut self, pull: PendingPull) {
         let mut writes = Vec::new();
         for part in &pull.claimed {
-            let Some(job) = self.board.jobs.get(&part.job) else {
+            let Some(job) = self.scheduler.jobs.get(&part.job) else {
                 continue;
             };
             let seq = self.claim_seqs.entry(part.job.clone()).or_default();
@@ -60,18 +60,18 @@
             let claims = job.claims_of(attempts);
             writes.push((job.record.clone(), job.revision, *seq, claims));
         }
-        let parts = self.parts.clone();
+        let handles = self.handles.clone();
         let pull = Box::new(pull);
         // A pull that cannot be queued is dropped: the side asks again, and
         // the leases come back when they lapse.
-        self.parts.pool.run(move |kv| {
+        self.handles.pool.run(move |kv| {
             let written = writes
                 .into_iter()
                 .map(|(record, revision, seq, claims)| {
                     store::record_claims(kv, &record, revision, seq, claims)
                 })
                 .collect();
-            parts.tell(Message::Jobs(JobsMessage::Claimed { pull, written }));
+            handles.send_message(Message::Jobs(JobsMessage::Claimed { pull, written }));
         });
     }
 
@@ -85,16 +85,16 @@
             }
         }
         // A job may have been cancelled, or taken over, while the claims were written.
-        let jobs = &self.board.jobs;
+        let jobs = &self.scheduler.jobs;
         let is_held = |d: &Dispatch| jobs.values().any(|job| job.holds(d.attempt.request));
         pull.ready.retain(is_held);
-        answer_pull(pull);
+        send_pull_answer(pull);
     }
 
     /// The claim's fate is open, but nothing was sent: the items stay claimed
     /// by attempts that will never run, and are claimed anew later.
-    pub(super) fn release(&mut self, part: &ClaimedPart) {
-        if let Some(job) = self.board.jobs.get_mut(&part.job) {
+    pub(super) fn release(&mut self, part: &ClaimedDispatches) {
+        if let Some(job) = self.scheduler.jobs.get_mut(&part.job) {
             for dispatch in &part.dispatches {
                 job.release(dispatch.attempt);
             }
@@ -107,15 +107,16 @@
             return;
         }
         for (worker, puller) in &mut self.pullers {
-            let waiting = self.board.waiting(&puller.models);
+            let waiting = self.scheduler.waiting(&puller.models);
             let rises = puller.offered == 0 && waiting > 0;
             if !(rises || waiting > 0 && puller.offer_at.is_past(now)) {
                 continue;
             }
             puller.offered = waiting;
-            puller.offer_at = now + OFFER_PERIOD;
+            puller.offer_at = now + OFFER_REPEAT_PERIOD;
             let worker = worker.clone();
-            self.parts.send(EntryCommand::Offer { worker, waiting });
+            self.handles
+                .send_command(EntryCommand::Offer { worker, waiting });
         }
     }
 }
--- a/crates/bluebellreel_entry/src/jobs/part/ownership.rs
+++ b/crates/bluebellreel_entry/src/jobs/component/ownership.rs
@@ -1,6 +1,6 @@
 //! Which jobs are ours: accepted, taken over, lost.
 
-use super::{JobsPart, REOPEN_PAUSE};
+use super::{JobsComponent, REOPEN_DELAY};
 use crate::jobs::messages::{JobsMessage, OpenedJob};
 use crate::jobs::store;
 use crate::message::Message;
@@ -10,41 +10,41 @@
 use bluebellreel_types::{JobId, Moment};
 use std::collections::BTreeSet;
 
-impl JobsPart {
+impl JobsComponent {
     pub(super) fn take_over_due(&mut self, now: Moment) {
         if self.stopping {
             return;
         }
-        let me = self.parts.settings.name.clone();
-        let run = self.parts.run;
+        let me = self.handles.settings.name.clone();
+        let run = self.handles.run;
         let holds = |id: &JobId| {
-            let is_open = self.board.jobs.contains_key(id);
+            let is_open = self.scheduler.jobs.contains_key(id);
             is_open || self.opening.contains(id) || self.reopen_at.contains_key(id)
         };
-        for (record, revision) in self.index.due((&me, run), holds, now) {
+        for (record, revision) in self.index.due_takeovers((&me, run), holds, now) {
             let me = me.clone();
-            let parts = self.parts.clone();
+            let handles = self.handles.clone();
             let id = record.id.clone();
-            let queued = self.parts.pool.run(move |kv| {
+            let queued = self.handles.pool.run(move |kv| {
                 let result = store::take_over(kv, &record, revision, me, run);
                 let id = record.id.clone();
-                parts.tell(Message::Jobs(JobsMessage::TakenOver { id, result }));
+                handles.send_message(Message::Jobs(JobsMessage::TakenOver { id, result }));
             });
             if !queued {
-                self.note_taken(&id, None);
+                self.on_takeover(&id, None);
             }
         }
     }
 
-    pub(super) fn note_taken(&mut self, id: &JobId, result: Option<(Box<JobRecord>, i64)>) {
+    pub(super) fn on_takeover(&mut self, id: &JobId, result: Option<(Box<JobRecord>, i64)>) {
         match result {
             Some((record, revision)) => {
                 log::info!(target: "jobs", job:% = id, epoch = record.epoch; "Job taken over.");
-                self.parts.metrics.takeovers.inc();
+                self.handles.metrics.takeovers.inc();
                 self.index.put(*record, revision);
                 self.reopen(id);
             }
-            None => self.index.note_not_taken(id),
+            None => self.index.on_takeover_failed(id),
         }
     }
 
@@ -67,27 +67,27 @@
             return;
         }
         let (record, revision) = (job.record.clone(), job.revision);
-        let (parts, id) = (self.parts.clone(), id.clone());
+        let (handles, id) = (self.handles.clone(), id.clone());
         let job = id.clone();
-        let queued = self.parts.pool.run(move |_| {
-            let message = match store::open_job(parts.storage(), record, revision) {
+        let queued = self.handles.pool.run(move |_| {
+            let message = match store::open_job(handles.storage(), record, revision) {
                 Ok(opened) => JobsMessage::Opened(Box::new(opened)),
                 Err(e) => {
                     log::warn!(target: "jobs", job:% = id, error:% = e; "A job cannot be opened yet.");
                     JobsMessage::OpenFailed(id)
                 }
             };
-            parts.tell(Message::Jobs(message));
+            handles.send_message(Message::Jobs(message));
         });
         if !queued {
-            self.note_not_opened(job);
+            self.on_open_failed(job);
         }
     }
 
     /// A job could not be opened: it is tried again later.
-    pub(super) fn note_not_opened(&mut self, id: JobId) {
+    pub(super) fn on_open_failed(&mut self, id: JobId) {
         self.opening.remove(&id);
-        self.reopen_at.insert(id, self.now() + REOPEN_PAUSE);
+        self.reopen_at.insert(id, self.now() + REOPEN_DELAY);
     }
 
     pub(super) fn open(&mut self, opened: OpenedJob) {
@@ -107,18 +107,18 @@
             &opened.recorded,
             &opened.claims,
         );
-        self.board.jobs.insert(id, job);
+        self.scheduler.jobs.insert(id, job);
     }
 
     pub(super) fn drop_job(&mut self, id: &JobId) {
-        let Some(mut job) = self.board.jobs.remove(id) else {
+        let Some(mut job) = self.scheduler.jobs.remove(id) else {
             return;
         };
         log::info!(target: "jobs", job:% = id; "Job is no longer ours.");
         let mut effects = Vec::new();
         job.withdraw_all(&mut effects);
         for effect in effects {
-            self.carry_out(id, &job.record, job.revision, effect);
+            self.execute(id, &job.record, job.revision, effect);
         }
     }
 
@@ -172,7 +172,7 @@
         let id = record.id.clone();
         self.index.put(record, revision);
         let outdated = self
-            .board
+            .scheduler
             .jobs
             .get(&id)
             .is_some_and(|job| job.revision < revision);
@@ -182,6 +182,6 @@
     }
 
     pub(super) fn is_mine(&self, record: &JobRecord) -> bool {
-        record.owner == self.parts.settings.name && record.owner_run == self.parts.run
+        record.owner == self.handles.settings.name && record.owner_run == self.handles.run
     }
 }
--- a/crates/bluebellreel_entry/src/jobs/part/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/component/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::data::ChunkAccess;
-use crate::jobs::messages::{ClaimedPart, JobWrite, PendingPull};
+use crate::jobs::messages::{ClaimedDispatches, JobWrite, PendingPull};
 use crate::platform::KvPool;
 use crate::platform::job_key;
 use crate::readiness::Readiness;
@@ -19,13 +19,13 @@
 use tokio::sync::{mpsc::unbounded_channel, oneshot};
 
 /// Longer than any pause before something is tried again.
-const LATER: Duration = Duration::from_secs(5);
+const LONGER_THAN_ANY_DELAY: Duration = Duration::from_secs(5);
 
 type Task = Box<dyn FnOnce(&KvClient) + Send>;
 
 /// The part, and the queue of its calls, which takes one.
 struct Fixture {
-    part: JobsPart,
+    part: JobsComponent,
     queue: Receiver<Task>,
     clock: Clock,
 }
@@ -35,10 +35,10 @@
     fn full() -> Self {
         let clock = Clock::standing_at(Moment(1_000_000));
         let (tx, queue) = bounded::<Task>(1);
-        let parts = parts(KvPool::Threads(tx), &clock);
-        assert!(parts.pool.run(|_| ()), "one fits");
-        let mut part = JobsPart::new(parts);
-        let (name, run) = (part.parts.settings.name.clone(), part.parts.run);
+        let handles = handles(KvPool::Threads(tx), &clock);
+        assert!(handles.pool.run(|_| ()), "one fits");
+        let mut part = JobsComponent::new(handles);
+        let (name, run) = (part.handles.settings.name.clone(), part.handles.run);
         part.index.note_entry(name, run);
         Self { part, queue, clock }
     }
@@ -59,14 +59,14 @@
     fn tries_once_there_is_room(&mut self) -> bool {
         assert!(self.run_queued(), "the one that fitted");
         for _ in 0..2 {
-            self.clock.advance(LATER);
+            self.clock.advance(LONGER_THAN_ANY_DELAY);
             self.part.tick();
         }
         self.run_queued()
     }
 }
 
-fn parts(pool: KvPool, clock: &Clock) -> Parts {
+fn handles(pool: KvPool, clock: &Clock) -> DaemonHandles {
     let settings = "name = \"e\"\ndata_centre = \"Sligo\"\nlisten = \"127.0.0.1:0\"\n\
          [platform]\nkv = \"http://127.0.0.1:1\"\nvm_list = \"http://127.0.0.1:1\"\n\
          [[teams]]\nname = \"school\"\ntoken_sha256 = \"HASH\"\n";
@@ -80,7 +80,7 @@
     let send = |_: &str, _: &serde_json::Value| Err(KvError::NotDone("no service".into()));
     let run = Incarnation(1);
     let kv = KvClient::over(Box::new(send), kv_settings, run, clock.clone());
-    Parts {
+    DaemonHandles {
         run,
         clock: clock.clone(),
         lease: Arc::default(),
@@ -130,7 +130,7 @@
     let jobs = vec![(record("dead"), 1)];
     fixture.part.on_message(JobsMessage::AllJobs(jobs));
     fixture.part.tick();
-    fixture.clock.advance(LATER);
+    fixture.clock.advance(LONGER_THAN_ANY_DELAY);
     fixture.part.tick();
     assert!(fixture.tries_once_there_is_room());
 }
@@ -165,7 +165,7 @@
     fixture.part.on_message(JobsMessage::Changed(changed));
     fixture.run_queued();
     fixture.part.tick();
-    fixture.clock.advance(LATER);
+    fixture.clock.advance(LONGER_THAN_ANY_DELAY);
     fixture.part.tick();
     assert!(fixture.run_queued(), "nobody tries");
 }
@@ -179,7 +179,7 @@
     fixture.part.on_message(accepted);
     assert!(fixture.run_queued(), "its chunk is read");
     for _ in 0..3 {
-        fixture.clock.advance(LATER);
+        fixture.clock.advance(LONGER_THAN_ANY_DELAY);
         fixture.part.tick();
         assert!(!fixture.run_queued(), "nothing else is to be done");
     }
@@ -215,7 +215,7 @@
 fn items_of_a_job_that_was_dropped_meanwhile_are_not_handed_out() {
     let mut fixture = Fixture::idle();
     let (tx, mut rx) = oneshot::channel();
-    let part = ClaimedPart {
+    let part = ClaimedDispatches {
         job: JobId::from("cancelled"),
         dispatches: vec![dispatch()],
     };
--- a/crates/bluebellreel_entry/src/jobs/index.rs
+++ b/crates/bluebellreel_entry/src/jobs/index.rs
@@ -19,9 +19,9 @@
     pub(crate) record: JobRecord,
     pub(crate) revision: i64,
     /// When its owner was first missed.
-    missed_at: Option<Moment>,
+    owner_missing_since: Option<Moment>,
     /// Whether a take-over is under way here.
-    taking: bool,
+    takeover_pending: bool,
 }
 
 /// The index.
@@ -40,8 +40,8 @@
         }
         let job = IndexedJob {
             revision,
-            missed_at: None,
-            taking: false,
+            owner_missing_since: None,
+            takeover_pending: false,
             record,
         };
         self.jobs.insert(job.record.id.clone(), job);
@@ -66,10 +66,10 @@
 
     /// A take-over did not come about. The grace time begins anew, so that one
     /// that fails again and again costs few calls.
-    pub(crate) fn note_not_taken(&mut self, id: &JobId) {
+    pub(crate) fn on_takeover_failed(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.taking = false;
-            job.missed_at = None;
+            job.takeover_pending = false;
+            job.owner_missing_since = None;
         }
     }
 
@@ -83,7 +83,7 @@
         self.entries.remove(name);
     }
 
-    fn owner_is_there(&self, record: &JobRecord) -> bool {
+    fn is_owner_live(&self, record: &JobRecord) -> bool {
         self.entries.get(&record.owner) == Some(&record.owner_run)
     }
 
@@ -92,7 +92,7 @@
         let orphaned = self
             .jobs
             .values()
-            .filter(|job| !self.owner_is_there(&job.record));
+            .filter(|job| !self.is_owner_live(&job.record));
         orphaned.count()
     }
 
@@ -103,7 +103,7 @@
     /// Guard: a job that names this run and that it does not hold is taken over
     /// anew. It had let go of it by mistake, and nobody else would take it up
     /// while this run lives.
-    pub(crate) fn due(
+    pub(crate) fn due_takeovers(
         &mut self,
         (me, run): (&EntryName, Incarnation),
         holds: impl Fn(&JobId) -> bool,
@@ -119,16 +119,16 @@
                 entries.get(&job.record.owner) == Some(&job.record.owner_run)
             };
             if is_there {
-                job.missed_at = None;
+                job.owner_missing_since = None;
                 continue;
             }
-            let missed_at = *job.missed_at.get_or_insert(now);
-            let waited = (missed_at + TAKE_OVER_GRACE).is_past(now);
+            let owner_missing_since = *job.owner_missing_since.get_or_insert(now);
+            let waited = (owner_missing_since + TAKE_OVER_GRACE).is_past(now);
             let is_successor = is_mine || successor(entries, &job.record.id) == Some(me);
-            if !waited || job.taking || !is_successor {
+            if !waited || job.takeover_pending || !is_successor {
                 continue;
             }
-            job.taking = true;
+            job.takeover_pending = true;
             due.push((job.record.clone(), job.revision));
         }
         due
--- a/crates/bluebellreel_entry/src/jobs/messages.rs
+++ b/crates/bluebellreel_entry/src/jobs/messages.rs
@@ -33,12 +33,12 @@
 pub(crate) struct PendingPull {
     pub(crate) answer: PullAnswer,
     pub(crate) ready: Vec<Dispatch>,
-    pub(crate) claimed: Vec<ClaimedPart>,
+    pub(crate) claimed: Vec<ClaimedDispatches>,
 }
 
 /// One job's part of such a pull.
 #[derive(Debug)]
-pub(crate) struct ClaimedPart {
+pub(crate) struct ClaimedDispatches {
     pub(crate) job: JobId,
     pub(crate) dispatches: Vec<Dispatch>,
 }
@@ -89,9 +89,9 @@
         written: Vec<JobWrite>,
     },
     /// The jobs here are asked for.
-    SummaryAsked(Sender<JobsSummary>),
+    QuerySummary(Sender<JobsSummary>),
     /// How many jobs run is asked for, in all and of one team.
-    CountAsked(TeamName, Sender<JobsCount>),
+    QueryCount(TeamName, Sender<JobsCount>),
 }
 
 /// Jobs of the fleet that are not over.
--- a/crates/bluebellreel_entry/src/jobs/results.rs
+++ b/crates/bluebellreel_entry/src/jobs/results.rs
@@ -47,26 +47,26 @@
 /// Reads one page of results, in the order in which they were recorded. Items
 /// of a cancelled or expired job that never finished come last.
 pub(crate) fn read_results(
-    at: JobStorage<'_>,
+    storage: JobStorage<'_>,
     record: &JobRecord,
     after: Option<&str>,
 ) -> Result<ResultPage, KvError> {
     if let Some(rest) = after.and_then(|cursor| cursor.strip_prefix(UNFINISHED)) {
         let chunk = rest.trim_start_matches('-').parse().unwrap_or(0);
-        return read_unfinished(at, record, chunk);
+        return read_unfinished(storage, record, chunk);
     }
     let prefix = output_prefix(&record.id);
     let start = match after {
         Some(cursor) => Key::from(format!("{prefix}{cursor}\0")),
         None => prefix.clone(),
     };
-    let (page, more) = at
+    let (page, more) = storage
         .kv
         .range_page(&start, &prefix.prefix_end(), READ_PAGE, false)?;
     let mut lines = Vec::new();
     for found in &page {
-        for result in results_of(at, record, &found.value)? {
-            lines.push(line_of(at, record, result)?);
+        for result in results_of(storage, record, &found.value)? {
+            lines.push(line_of(storage, record, result)?);
         }
     }
     let last = page.last().map(|found| &found.key);
@@ -86,14 +86,14 @@
 }
 
 fn line_of(
-    at: JobStorage<'_>,
+    storage: JobStorage<'_>,
     record: &JobRecord,
     result: ItemResult,
 ) -> Result<ItemLine, KvError> {
     // An item that ended in doubt under a later owner was recorded before its
     // chunk was read again; its name is found here.
     let custom_id = if result.custom_id.is_empty() {
-        name_of(at, record, result.index)?
+        name_of(storage, record, result.index)?
     } else {
         result.custom_id
     };
@@ -119,9 +119,9 @@
     })
 }
 
-fn name_of(at: JobStorage<'_>, record: &JobRecord, index: u32) -> Result<Arc<str>, KvError> {
+fn name_of(storage: JobStorage<'_>, record: &JobRecord, index: u32) -> Result<Arc<str>, KvError> {
     let chunk = record.chunk_of(index);
-    let names = names_in(at, record, chunk)?;
+    let names = names_in(storage, record, chunk)?;
     let first = record.chunks[chunk as usize].first;
     Ok(names
         .get((index - first) as usize)
@@ -129,25 +129,29 @@
         .unwrap_or_default())
 }
 
-fn names_in(at: JobStorage<'_>, record: &JobRecord, chunk: u32) -> Result<Vec<Arc<str>>, KvError> {
-    let bytes = load_chunk(at, record, chunk)
+fn names_in(
+    storage: JobStorage<'_>,
+    record: &JobRecord,
+    chunk: u32,
+) -> Result<Vec<Arc<str>>, KvError> {
+    let bytes = load_chunk(storage, record, chunk)
         .ok_or_else(|| KvError::NotDone("an input chunk cannot be read".into()))?;
     bluebellreel_job::custom_ids(&bytes).map_err(KvError::Refused)
 }
 
 /// Lists the items of one input chunk that have no recorded result.
 fn read_unfinished(
-    at: JobStorage<'_>,
+    storage: JobStorage<'_>,
     record: &JobRecord,
     chunk: u32,
 ) -> Result<ResultPage, KvError> {
-    let Some(place) = record.chunks.get(chunk as usize) else {
+    let Some(chunk_ref) = record.chunks.get(chunk as usize) else {
         let (lines, next) = (Vec::new(), None);
         return Ok(ResultPage { lines, next });
     };
-    let range = place.first..place.first + place.items;
+    let range = chunk_ref.first..chunk_ref.first + chunk_ref.items;
     let mut finished = HashSet::new();
-    for_each_result(at, record, |result| {
+    for_each_result(storage, record, |result| {
         if range.contains(&result.index) {
             finished.insert(result.index);
         }
@@ -157,7 +161,7 @@
     } else {
         "expired"
     };
-    let names = names_in(at, record, chunk)?;
+    let names = names_in(storage, record, chunk)?;
     let unfinished = range
         .zip(names)
         .filter(|(index, _)| !finished.contains(index));
--- a/crates/bluebellreel_entry/src/jobs/store.rs
+++ b/crates/bluebellreel_entry/src/jobs/store.rs
@@ -1,8 +1,8 @@
 //! Jobs as they are kept.
 
 use crate::data::ChunkAccess;
-use crate::jobs::ages::day_of;
 use crate::jobs::messages::{JobWrite, OpenedJob};
+use crate::jobs::timestamps::day_of;
 use crate::platform::{
     done_key, ended_key, input_key, item_claim_key, item_claim_prefix, job_key, output_key,
     output_prefix,
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Longest time for one write to a job before it is tried again later.
-const WRITE_TIME: Duration = Duration::from_secs(4);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Result chunks read at one time.
 pub(crate) const READ_PAGE: usize = 4;
 
@@ -66,7 +66,7 @@
 ) -> Option<(Box<JobRecord>, i64)> {
     let mine = record.taken_over(me, run);
     let txn = Txn::replace(job_key(&record.id), revision, job_value(&mine));
-    match kv.commit(&txn, kv.now() + WRITE_TIME) {
+    match kv.commit(&txn, kv.now() + WRITE_TIMEOUT) {
         Commit::Applied { revision } => Some((Box::new(mine), revision)),
         Commit::Beaten(_) | Commit::NotDone(_) | Commit::Unknown(_) => None,
     }
@@ -74,17 +74,17 @@
 
 /// Reads what is recorded of a job.
 pub(crate) fn open_job(
-    at: JobStorage<'_>,
+    storage: JobStorage<'_>,
     record: JobRecord,
     revision: i64,
 ) -> Result<OpenedJob, KvError> {
     let mut recorded = Vec::new();
-    for_each_result(at, &record, |result| {
+    for_each_result(storage, &record, |result| {
         let succeeded = matches!(result.end, ItemEnd::Succeeded { .. });
         recorded.push((result.index, succeeded));
     })?;
     let mut claims: Vec<ClaimedItem> = Vec::new();
-    for_each_chunk(at.kv, &item_claim_prefix(&record.id), |_, value| {
+    for_each_chunk(storage.kv, &item_claim_prefix(&record.id), |_, value| {
         let chunk: ClaimChunk = parse(value)?;
         claims.extend(chunk.claims);
         Ok(())
@@ -99,12 +99,12 @@
 
 /// Visits every result that is recorded.
 pub(crate) fn for_each_result(
-    at: JobStorage<'_>,
+    storage: JobStorage<'_>,
     record: &JobRecord,
     mut visit: impl FnMut(ItemResult),
 ) -> Result<(), KvError> {
-    for_each_chunk(at.kv, &output_prefix(&record.id), |_, value| {
-        results_of(at, record, value)?
+    for_each_chunk(storage.kv, &output_prefix(&record.id), |_, value| {
+        results_of(storage, record, value)?
             .into_iter()
             .for_each(&mut visit);
         Ok(())
@@ -113,7 +113,7 @@
 
 /// The results of one chunk, wherever they lie.
 pub(crate) fn results_of(
-    at: JobStorage<'_>,
+    storage: JobStorage<'_>,
     record: &JobRecord,
     value: &[u8],
 ) -> Result<Vec<ItemResult>, KvError> {
@@ -121,7 +121,7 @@
     let Some(held) = chunk.held else {
         return Ok(chunk.results);
     };
-    let bytes = at.data.get(record, &held);
+    let bytes = storage.data.get(record, &held);
     parse(&bytes.ok_or_else(|| KvError::NotDone("results cannot be read from disks".into()))?)
 }
 
@@ -149,13 +149,17 @@
 }
 
 /// Reads an input chunk and checks that it is the one that was accepted.
-pub(crate) fn load_chunk(at: JobStorage<'_>, record: &JobRecord, chunk: u32) -> Option<Vec<u8>> {
+pub(crate) fn load_chunk(
+    storage: JobStorage<'_>,
+    record: &JobRecord,
+    chunk: u32,
+) -> Option<Vec<u8>> {
     let expected = record.chunks.get(chunk as usize)?;
     let found = if let Some(held) = expected.held() {
-        Ok(at.data.get(record, &held))
+        Ok(storage.data.get(record, &held))
     } else {
         let key = input_key(&record.id, &record.upload, chunk);
-        at.kv.get(&key).map(|found| Some(found?.value))
+        storage.kv.get(&key).map(|found| Some(found?.value))
     };
     match found {
         Ok(Some(bytes)) if content_digest(&bytes) == expected.digest => Some(bytes),
@@ -192,15 +196,18 @@
 /// all of it there if they are few or no disk takes them. Results are never
 /// given up for want of a disk.
 pub(crate) fn record_results(
-    at: JobStorage<'_>,
+    storage: JobStorage<'_>,
     record: &JobRecord,
     revision: i64,
     seq: u64,
     results: &[ItemResult],
 ) -> JobWrite {
     let bytes = serde_json::to_vec(results).unwrap_or_default();
-    let held = if at.data.takes(bytes.len()) {
-        at.data.put(record.id.as_str(), &record.upload, &bytes).ok()
+    let held = if storage.data.stores_on_disk(bytes.len()) {
+        storage
+            .data
+            .put(record.id.as_str(), &record.upload, &bytes)
+            .ok()
     } else {
         None
     };
@@ -216,7 +223,7 @@
     let value = serde_json::to_vec(&chunk).unwrap_or_default();
     let key = output_key(&record.id, record.epoch, seq);
     let txn = guarded(record, revision, key.clone(), value);
-    match at.kv.commit(&txn, at.kv.now() + WRITE_TIME) {
+    match storage.kv.commit(&txn, storage.kv.now() + WRITE_TIMEOUT) {
         // Guard: a try whose answer was lost is no other owner's. Taken for one,
         // its job was let go of and lay for ever, as its record names a daemon
         // that lives. Only an owner writes under its epoch, and equal results
@@ -257,7 +264,7 @@
     let value = serde_json::to_vec(&chunk).unwrap_or_default();
     let key = item_claim_key(&record.id, record.epoch, seq);
     let txn = guarded(record, revision, key, value);
-    write_of(&kv.commit(&txn, kv.now() + WRITE_TIME))
+    write_of(&kv.commit(&txn, kv.now() + WRITE_TIMEOUT))
 }
 
 /// Moves a job to its end, in one transaction with one winner.
@@ -267,7 +274,7 @@
     revision: i64,
     ended: &JobRecord,
 ) -> JobWrite {
-    write_of(&kv.commit(&end_txn(record, revision, ended), kv.now() + WRITE_TIME))
+    write_of(&kv.commit(&end_txn(record, revision, ended), kv.now() + WRITE_TIMEOUT))
 }
 
 fn end_txn(record: &JobRecord, revision: i64, ended: &JobRecord) -> Txn {
@@ -310,9 +317,9 @@
 }
 
 /// Cancels a job for good. Answered only once it is recorded.
-pub(crate) fn cancel_job(at: JobStorage<'_>, id: &JobId, now: Moment) -> CancelAnswer {
-    let kv = at.kv;
-    let until = kv.now() + WRITE_TIME;
+pub(crate) fn cancel_job(storage: JobStorage<'_>, id: &JobId, now: Moment) -> CancelAnswer {
+    let kv = storage.kv;
+    let until = kv.now() + WRITE_TIMEOUT;
     loop {
         let found = match find_job(kv, id) {
             Ok(Some(found)) => found,
@@ -326,7 +333,7 @@
         if found.record.state != JobState::Running {
             return CancelAnswer::Over(Box::new(found.record));
         }
-        let counts = count_results(at, &found.record).unwrap_or(found.record.counts);
+        let counts = count_results(storage, &found.record).unwrap_or(found.record.counts);
         let ended = found.record.ended(JobState::Cancelled, counts, now);
         let txn = end_txn(&found.record, found.revision, &ended);
         match kv.commit(&txn, until) {
@@ -351,9 +358,9 @@
 }
 
 /// Counts the results that are recorded.
-fn count_results(at: JobStorage<'_>, record: &JobRecord) -> Result<JobCounts, KvError> {
+fn count_results(storage: JobStorage<'_>, record: &JobRecord) -> Result<JobCounts, KvError> {
     let mut counts = JobCounts::default();
-    for_each_result(at, record, |result| match result.end {
+    for_each_result(storage, record, |result| match result.end {
         ItemEnd::Succeeded { .. } => counts.succeeded += 1,
         ItemEnd::Failed { .. } => counts.failed += 1,
     })?;
--- a/crates/bluebellreel_entry/src/jobs/store/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/store/tests.rs
@@ -15,7 +15,7 @@
     kv: KvClient,
     data: ChunkAccess,
     /// Whether calls are done and their answers lost.
-    is_deaf: Arc<AtomicBool>,
+    drops_answers: Arc<AtomicBool>,
     clock: Clock,
 }
 
@@ -23,12 +23,12 @@
     fn new() -> Self {
         let clock = Clock::standing_at(Moment(1_000_000));
         let calls = Mutex::new(KvCalls::new(VALUE_BYTES));
-        let is_deaf = Arc::new(AtomicBool::new(false));
-        let (time, deaf) = (clock.clone(), is_deaf.clone());
+        let drops_answers = Arc::new(AtomicBool::new(false));
+        let (time, drop_answers) = (clock.clone(), drops_answers.clone());
         let send = move |path: &str, body: &serde_json::Value| {
             let mut calls = calls.lock().expect("no test thread panicked");
             let answer = calls.call(path, body, time.now());
-            if deaf.load(Ordering::Relaxed) {
+            if drop_answers.load(Ordering::Relaxed) {
                 return Err(KvError::Unknown("the answer is lost".into()));
             }
             answer.map_err(KvError::Refused)
@@ -42,14 +42,14 @@
         Self {
             kv,
             data: ChunkAccess::default(),
-            is_deaf,
+            drops_answers,
             clock,
         }
     }
 
     fn put(&self, record: &JobRecord) -> i64 {
         let txn = Txn::create(job_key(&record.id), job_value(record));
-        match self.kv.commit(&txn, self.clock.now() + WRITE_TIME) {
+        match self.kv.commit(&txn, self.clock.now() + WRITE_TIMEOUT) {
             Commit::Applied { revision } => revision,
             other => panic!("{other:?}"),
         }
@@ -60,7 +60,7 @@
     }
 
     fn write_item(&self, record: &JobRecord, revision: i64, seq: u64, index: u32) -> JobWrite {
-        let at = JobStorage {
+        let storage = JobStorage {
             kv: &self.kv,
             data: &self.data,
         };
@@ -72,7 +72,7 @@
                 body: Arc::from("answer"),
             },
         };
-        record_results(at, record, revision, seq, &[result])
+        record_results(storage, record, revision, seq, &[result])
     }
 }
 
@@ -104,9 +104,9 @@
     let fixture = Fixture::new();
     let record = record();
     let revision = fixture.put(&record);
-    fixture.is_deaf.store(true, Ordering::Relaxed);
+    fixture.drops_answers.store(true, Ordering::Relaxed);
     assert_eq!(fixture.write(&record, revision, 0), JobWrite::Failed);
-    fixture.is_deaf.store(false, Ordering::Relaxed);
+    fixture.drops_answers.store(false, Ordering::Relaxed);
     assert_eq!(fixture.write(&record, revision, 0), JobWrite::Done);
     assert_eq!(fixture.write(&record, revision, 1), JobWrite::Done);
 }
--- a/crates/bluebellreel_entry/src/jobs/sweep.rs
+++ b/crates/bluebellreel_entry/src/jobs/sweep.rs
@@ -4,9 +4,9 @@
 //! All of it may be done twice, or half and then again: only what no record
 //! names is removed, and a job's record goes last.
 
-use crate::jobs::ages::{began_at, day_of};
+use crate::handles::DaemonHandles;
 use crate::jobs::store::{JobStorage, find_job};
-use crate::parts::Parts;
+use crate::jobs::timestamps::{day_of, upload_started_at};
 use crate::platform::{
     STOPPED, done_key, ended_prefix, entry_prefix, input_prefix, item_claim_prefix, output_prefix,
     uploads_prefix,
@@ -20,17 +20,17 @@
 use std::time::{Duration, SystemTime};
 
 /// Between two passes.
-const PERIOD: Duration = Duration::from_mins(10);
+const SWEEP_PERIOD: Duration = Duration::from_mins(10);
 /// Between two looks at whether the daemon stops.
-const STOP_LOOK: Duration = Duration::from_secs(1);
+const STOP_POLL_PERIOD: Duration = Duration::from_secs(1);
 /// Age at which an upload without a record is no upload under way any more.
-pub(crate) const UPLOAD_AGE: Duration = Duration::from_hours(1);
+pub(crate) const ABANDONED_UPLOAD_AGE: Duration = Duration::from_hours(1);
 /// Keys looked at in one pass.
-const KEYS_A_PASS: usize = 2_000;
+const MAX_KEYS_PER_PASS: usize = 2_000;
 /// Folders of a disk looked at in one pass.
-const FOLDERS_A_PASS: usize = 500;
+const MAX_FOLDERS_PER_PASS: usize = 500;
 /// Longest time for one removal.
-const REMOVE_TIME: Duration = Duration::from_secs(5);
+const REMOVE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Where a sweep of the key-value service goes on.
 #[derive(Debug, Default)]
@@ -40,18 +40,18 @@
 }
 
 /// Sweeps from time to time, until the daemon stops.
-pub(crate) fn keep_swept(parts: &Parts) -> io::Result<()> {
-    let parts = parts.clone();
+pub(crate) fn start_sweeper(handles: &DaemonHandles) -> io::Result<()> {
+    let handles = handles.clone();
     thread::Builder::new()
         .name("job-sweep".into())
         .spawn(move || {
             let mut sweeper = Sweeper::default();
-            let mut due = parts.clock.now() + PERIOD;
-            while parts.lease.load(Ordering::SeqCst) != STOPPED {
-                thread::sleep(STOP_LOOK);
-                if due.is_past(parts.clock.now()) {
-                    due = parts.clock.now() + PERIOD;
-                    if let Err(e) = sweeper.pass(&parts) {
+            let mut due = handles.clock.now() + SWEEP_PERIOD;
+            while handles.lease.load(Ordering::SeqCst) != STOPPED {
+                thread::sleep(STOP_POLL_PERIOD);
+                if due.is_past(handles.clock.now()) {
+                    due = handles.clock.now() + SWEEP_PERIOD;
+                    if let Err(e) = sweeper.pass(&handles) {
                         log::warn!(target: "jobs", error:% = e; "A sweep was cut short.");
                     }
                 }
@@ -61,16 +61,16 @@
 }
 
 impl Sweeper {
-    fn pass(&mut self, parts: &Parts) -> Result<(), KvError> {
-        let now = parts.clock.now();
+    fn pass(&mut self, handles: &DaemonHandles) -> Result<(), KvError> {
+        let now = handles.clock.now();
         // One daemon is enough for the key-value service; that another may
         // think itself the first as well does no harm.
-        if is_first(parts)? {
-            self.sweep_uploads(parts.storage(), now)?;
-            sweep_ended(&parts.kv, parts.settings.limits.keep, now)?;
+        if is_first(handles)? {
+            self.sweep_uploads(handles.storage(), now)?;
+            sweep_ended(&handles.kv, handles.settings.limits.keep, now)?;
         }
-        if let Some(own) = parts.data.own() {
-            self.sweep_disk(&parts.kv, own)?;
+        if let Some(own) = handles.data.own() {
+            self.sweep_disk(&handles.kv, own)?;
         }
         Ok(())
     }
@@ -78,22 +78,25 @@
     /// Removes input chunks of uploads that no record names.
     pub(crate) fn sweep_uploads(
         &mut self,
-        at: JobStorage<'_>,
+        storage: JobStorage<'_>,
         now: Moment,
     ) -> Result<usize, KvError> {
         let prefix = uploads_prefix();
         let start = self.next_input.take().unwrap_or_else(|| prefix.clone());
-        let (page, more) = at
-            .kv
-            .range_page(&start, &prefix.prefix_end(), KEYS_A_PASS, true)?;
+        let (page, more) =
+            storage
+                .kv
+                .range_page(&start, &prefix.prefix_end(), MAX_KEYS_PER_PASS, true)?;
         let mut uploads: Vec<(JobId, String)> = page.iter().filter_map(upload_of).collect();
         uploads.dedup();
         let mut removed = 0;
         for (job, upload) in uploads {
-            if is_abandoned(at.kv, &job, &upload, now)? {
+            if is_abandoned(storage.kv, &job, &upload, now)? {
                 log::info!(target: "jobs", job:% = job; "Chunks of a cut-off upload are removed.");
                 let prefix = input_prefix(&job, &upload);
-                at.kv.delete_prefix(&prefix, at.kv.now() + REMOVE_TIME)?;
+                storage
+                    .kv
+                    .delete_prefix(&prefix, storage.kv.now() + REMOVE_TIMEOUT)?;
                 removed += 1;
             }
         }
@@ -115,10 +118,10 @@
         let some = folders
             .into_iter()
             .skip(self.next_folder)
-            .take(FOLDERS_A_PASS);
+            .take(MAX_FOLDERS_PER_PASS);
         for (folder, written_at) in some {
             self.next_folder += 1;
-            if is_old(written_at) && !is_named(kv, &folder)? {
+            if is_old(written_at) && !is_referenced(kv, &folder)? {
                 log::info!(target: "data", job:% = folder.job; "Chunks that no job names are removed.");
                 if let Err(e) = own.remove(&folder) {
                     log::error!(target: "data", error:% = e; "Chunks could not be removed.");
@@ -129,26 +132,26 @@
     }
 }
 
-fn is_first(parts: &Parts) -> Result<bool, KvError> {
+fn is_first(handles: &DaemonHandles) -> Result<bool, KvError> {
     let prefix = entry_prefix();
-    let (first, _) = parts
+    let (first, _) = handles
         .kv
         .range_page(&prefix, &prefix.prefix_end(), 1, true)?;
-    let me = crate::platform::entry_key(&parts.settings.name);
+    let me = crate::platform::entry_key(&handles.settings.name);
     Ok(first.first().is_some_and(|found| found.key == me))
 }
 
 /// The upload that a key of an input chunk names.
 fn upload_of(kv: &bluebellreel_kv::KeyValue) -> Option<(JobId, String)> {
-    let mut parts = kv.key.as_str().split('/').skip(1);
-    Some((JobId::from(parts.next()?), parts.next()?.to_owned()))
+    let mut segments = kv.key.as_str().split('/').skip(1);
+    Some((JobId::from(segments.next()?), segments.next()?.to_owned()))
 }
 
 fn is_abandoned(kv: &KvClient, job: &JobId, upload: &str, now: Moment) -> Result<bool, KvError> {
-    let Some(began_at) = began_at(upload) else {
+    let Some(upload_started_at) = upload_started_at(upload) else {
         return Ok(false);
     };
-    if !(began_at + UPLOAD_AGE).is_past(now) {
+    if !(upload_started_at + ABANDONED_UPLOAD_AGE).is_past(now) {
         return Ok(false);
     }
     let found = find_job(kv, job)?;
@@ -156,10 +159,12 @@
 }
 
 fn is_old(written_at: SystemTime) -> bool {
-    written_at.elapsed().is_ok_and(|age| age > UPLOAD_AGE)
+    written_at
+        .elapsed()
+        .is_ok_and(|age| age > ABANDONED_UPLOAD_AGE)
 }
 
-fn is_named(kv: &KvClient, folder: &ChunkFolder) -> Result<bool, KvError> {
+fn is_referenced(kv: &KvClient, folder: &ChunkFolder) -> Result<bool, KvError> {
     let found = find_job(kv, &JobId::from(&*folder.job))?;
     Ok(found.is_some_and(|found| *found.record.upload == *folder.upload))
 }
@@ -173,13 +178,13 @@
     };
     let start = ended_prefix(0);
     let end = ended_prefix(last).prefix_end();
-    let (page, _) = kv.range_page(&start, &end, KEYS_A_PASS, true)?;
+    let (page, _) = kv.range_page(&start, &end, MAX_KEYS_PER_PASS, true)?;
     for found in &page {
         let Some(id) = found.key.as_str().split('/').nth(2) else {
             continue;
         };
         remove_if_old(kv, &JobId::from(id), last)?;
-        kv.delete_prefix(&found.key, kv.now() + REMOVE_TIME)?;
+        kv.delete_prefix(&found.key, kv.now() + REMOVE_TIMEOUT)?;
     }
     Ok(page.len())
 }
@@ -206,7 +211,7 @@
         done_key(id),
     ];
     for prefix in all {
-        kv.delete_prefix(&prefix, kv.now() + REMOVE_TIME)?;
+        kv.delete_prefix(&prefix, kv.now() + REMOVE_TIMEOUT)?;
     }
     Ok(())
 }
@@ -215,7 +220,7 @@
 mod tests {
     use super::*;
     use crate::data::ChunkAccess;
-    use crate::jobs::ages::{DAY_MICROS, upload_name};
+    use crate::jobs::timestamps::{DAY_MICROS, upload_name};
     use crate::jobs::upload::{AcceptAnswer, Submission, accept_job};
     use crate::jobs::{CancelAnswer, cancel_job};
     use crate::platform::input_key;
@@ -273,7 +278,7 @@
                 accepted_at: self.clock.now(),
                 owner: EntryName::from("e"),
                 owner_run: Incarnation(1),
-                most_items: 10,
+                max_items: 10,
             };
             let mut body = Some(LINE.to_vec());
             let answer = accept_job(self.storage(), &submission, || Ok(()), || Ok(body.take()));
@@ -289,7 +294,9 @@
             let job = JobId::derived(&TeamName::from("school"), key);
             let upload = upload_name(self.clock.now());
             let txn = Txn::create(input_key(&job, &upload, 0), b"half a job".to_vec());
-            let commit = self.kv.commit(&txn, self.clock.now() + UPLOAD_AGE);
+            let commit = self
+                .kv
+                .commit(&txn, self.clock.now() + ABANDONED_UPLOAD_AGE);
             assert!(matches!(commit, Commit::Applied { .. }));
             job
         }
@@ -313,7 +320,9 @@
         let fixture = Fixture::new();
         let dead = fixture.cut_off_upload("dead");
         let accepted = fixture.submit("accepted");
-        fixture.clock.advance(UPLOAD_AGE + Duration::from_secs(1));
+        fixture
+            .clock
+            .advance(ABANDONED_UPLOAD_AGE + Duration::from_secs(1));
         let young = fixture.cut_off_upload("young");
         fixture.sweep();
         assert_eq!(fixture.inputs(&dead), 0);
@@ -329,7 +338,9 @@
         let job = fixture.submit("twice");
         fixture.cut_off_upload("twice");
         assert_eq!(fixture.inputs(&job), 2);
-        fixture.clock.advance(UPLOAD_AGE + Duration::from_secs(1));
+        fixture
+            .clock
+            .advance(ABANDONED_UPLOAD_AGE + Duration::from_secs(1));
         fixture.sweep();
         assert_eq!(fixture.inputs(&job), 1);
     }
@@ -364,7 +375,7 @@
         assert!(matches!(over, CancelAnswer::Over(_)));
         fixture.clock.advance(KEEP + Duration::from_hours(24));
         for gone in [job_inputs(&job), done_key(&job)] {
-            let until = fixture.clock.now() + REMOVE_TIME;
+            let until = fixture.clock.now() + REMOVE_TIMEOUT;
             fixture.kv.delete_prefix(&gone, until).expect("removed");
         }
         assert_eq!(fixture.submit("again"), job, "the same id");
--- a/crates/bluebellreel_entry/src/jobs/ages.rs
+++ b/crates/bluebellreel_entry/src/jobs/timestamps.rs
@@ -11,7 +11,7 @@
 }
 
 /// When an upload began; none for a name that does not tell.
-pub(crate) fn began_at(upload: &str) -> Option<Moment> {
+pub(crate) fn upload_started_at(upload: &str) -> Option<Moment> {
     let (time, _) = upload.split_once('-')?;
     u64::from_str_radix(time, 16).ok().map(Moment)
 }
--- a/crates/bluebellreel_entry/src/jobs/upload.rs
+++ b/crates/bluebellreel_entry/src/jobs/upload.rs
@@ -2,8 +2,8 @@
 //! created. The record is the acceptance.
 
 use crate::data::PutError;
-use crate::jobs::ages::upload_name;
 use crate::jobs::store::{JobStorage, find_job, job_value};
+use crate::jobs::timestamps::upload_name;
 use crate::platform::{done_key, input_key, input_prefix, job_key};
 use bluebellreel_chunk::VolumeId;
 use bluebellreel_http::ApiError;
@@ -14,11 +14,11 @@
 use std::time::Duration;
 
 /// Longest time to store one chunk.
-const CHUNK_TIME: Duration = Duration::from_secs(5);
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(5);
 /// When a caller may come back whose job found the disks full.
-const FULL_PAUSE: Duration = Duration::from_mins(1);
+const DISKS_FULL_RETRY_AFTER: Duration = Duration::from_mins(1);
 /// Longest time to create the record.
-const ACCEPT_TIME: Duration = Duration::from_secs(5);
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How a submission came out.
 #[derive(Debug)]
@@ -38,7 +38,7 @@
     pub(crate) accepted_at: Moment,
     pub(crate) owner: EntryName,
     pub(crate) owner_run: Incarnation,
-    pub(crate) most_items: usize,
+    pub(crate) max_items: usize,
 }
 
 /// Hashes a body that is read piece by piece.
@@ -55,12 +55,12 @@
 /// Accepts a job whose body `next` gives piece by piece. `admit` may refuse a
 /// new one; a resend of one that was accepted always finds it.
 pub(crate) fn accept_job(
-    at: JobStorage<'_>,
+    storage: JobStorage<'_>,
     submission: &Submission,
     admit: impl FnOnce() -> Result<(), ApiError>,
     mut next: impl FnMut() -> Result<Option<Vec<u8>>, ApiError>,
 ) -> Result<AcceptAnswer, ApiError> {
-    let kv = at.kv;
+    let kv = storage.kv;
     if kv.seems_down() {
         return Err(not_accepted("the key-value service is down"));
     }
@@ -71,7 +71,7 @@
     }
     admit()?;
     let upload = upload_name(submission.accepted_at);
-    let stored = store_body(at, submission, &upload, &mut next);
+    let stored = store_body(storage, submission, &upload, &mut next);
     let record = match stored {
         Ok(record) => record,
         Err(e) => {
@@ -83,24 +83,36 @@
 }
 
 fn store_body(
-    at: JobStorage<'_>,
+    storage: JobStorage<'_>,
     submission: &Submission,
     upload: &str,
     next: &mut impl FnMut() -> Result<Option<Vec<u8>>, ApiError>,
 ) -> Result<JobRecord, ApiError> {
-    let mut reader = InputReader::new(submission.most_items);
+    let mut reader = InputReader::new(submission.max_items);
     let mut hasher = Sha256::new();
     let mut chunks = Vec::new();
     let bad_line = |e: bluebellreel_job::InputError| ApiError::new(400, "bad_line", e.to_string());
     while let Some(piece) = next()? {
         hasher.update(&piece);
         for chunk in reader.push(&piece).map_err(bad_line)? {
-            chunks.push(store_chunk(at, submission, upload, chunks.len(), &chunk)?);
+            chunks.push(store_chunk(
+                storage,
+                submission,
+                upload,
+                chunks.len(),
+                &chunk,
+            )?);
         }
     }
     let (target, last) = reader.finish().map_err(bad_line)?;
     if let Some(chunk) = last {
-        chunks.push(store_chunk(at, submission, upload, chunks.len(), &chunk)?);
+        chunks.push(store_chunk(
+            storage,
+            submission,
+            upload,
+            chunks.len(),
+            &chunk,
+        )?);
     }
     Ok(JobRecord {
         id: submission.id.clone(),
@@ -122,14 +134,14 @@
 }
 
 fn store_chunk(
-    at: JobStorage<'_>,
+    storage: JobStorage<'_>,
     submission: &Submission,
     upload: &str,
     number: usize,
     chunk: &InputChunk,
 ) -> Result<ChunkRef, ApiError> {
-    let volume = if at.data.takes(chunk.bytes.len()) {
-        hold_chunk(at, submission, upload, chunk)?
+    let volume = if storage.data.stores_on_disk(chunk.bytes.len()) {
+        store_on_disks(storage, submission, upload, chunk)?
     } else {
         None
     };
@@ -137,7 +149,7 @@
         let number = u32::try_from(number).unwrap_or(u32::MAX);
         let key = input_key(&submission.id, upload, number);
         let txn = Txn::create(key, chunk.bytes.clone());
-        match at.kv.commit(&txn, at.kv.now() + CHUNK_TIME) {
+        match storage.kv.commit(&txn, storage.kv.now() + CHUNK_TIMEOUT) {
             Commit::Applied { .. } => {}
             Commit::Beaten(_) => return Err(not_accepted("the upload's name was taken")),
             Commit::NotDone(reason) | Commit::Unknown(reason) => {
@@ -156,19 +168,22 @@
 
 /// Keeps a chunk on disks; none if no volume has both holders now, as in a site
 /// that has just started: then the key-value service takes it.
-fn hold_chunk(
-    at: JobStorage<'_>,
+fn store_on_disks(
+    storage: JobStorage<'_>,
     submission: &Submission,
     upload: &str,
     chunk: &InputChunk,
 ) -> Result<Option<VolumeId>, ApiError> {
-    match at.data.put(submission.id.as_str(), upload, &chunk.bytes) {
+    match storage
+        .data
+        .put(submission.id.as_str(), upload, &chunk.bytes)
+    {
         Ok(held) => Ok(Some(held.volume)),
         Err(PutError::NoHolders) => Ok(None),
         Err(PutError::Full) => {
             let message = "the job could not be stored: the disks are full";
             let error = ApiError::new(507, "disks_full", message);
-            Err(error.retry_after(FULL_PAUSE))
+            Err(error.retry_after(DISKS_FULL_RETRY_AFTER))
         }
     }
 }
@@ -190,7 +205,7 @@
         ..Txn::default()
     }
     .reading(done);
-    match kv.commit(&txn, kv.now() + ACCEPT_TIME) {
+    match kv.commit(&txn, kv.now() + ACCEPT_TIMEOUT) {
         Commit::Applied { revision } => Ok(AcceptAnswer::Accepted(Box::new(record), revision)),
         Commit::Beaten(found) => {
             discard_upload(kv, &record.id, &record.upload);
@@ -231,7 +246,7 @@
 /// deleted now is found by the sweep.
 fn discard_upload(kv: &KvClient, id: &JobId, upload: &str) {
     let prefix = input_prefix(id, upload);
-    let until = kv.now() + CHUNK_TIME;
+    let until = kv.now() + CHUNK_TIMEOUT;
     if let Err(e) = kv.delete_prefix(&prefix, until) {
         log::warn!(target: "jobs", job:% = id, error:% = e; "Chunks were left behind.");
     }
--- a/crates/bluebellreel_entry/src/lib.rs
+++ b/crates/bluebellreel_entry/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! Files take only from those below them, from top to bottom: `run`, `bench`;
 //! `actor`, `core`; `http`; the actor's parts and the threads that watch the
-//! platform; `parts`; `message`; chunks, and jobs in the store; messages and
+//! platform; `handles`; `message`; chunks, and jobs in the store; messages and
 //! records; names of keys.
 //!
 //! ```no_run
@@ -23,11 +23,11 @@
 mod core;
 mod data;
 mod fleet;
+mod handles;
 mod http;
 mod jobs;
 mod message;
 mod online;
-mod parts;
 mod platform;
 mod readiness;
 mod run;
--- a/crates/bluebellreel_entry/src/message.rs
+++ b/crates/bluebellreel_entry/src/message.rs
@@ -23,13 +23,13 @@
     /// The platform lists these workers.
     Listed(Vec<crate::platform::ListedWorker>),
     /// Another daemon's lease is there.
-    EntrySeen(crate::platform::EntryRecord),
+    EntryJoined(crate::platform::EntryRecord),
     /// Another daemon's lease has ended.
-    EntryGone(EntryName),
+    EntryLeft(EntryName),
     /// The process is asked to stop gracefully.
-    StopAsked,
+    Stop,
     /// Whether a stop would cut nothing now is asked for.
-    IdleAsked(Sender<bool>),
+    QueryIdle(Sender<bool>),
     /// The actors' thread is to end.
     Quit,
 }
--- a/crates/bluebellreel_entry/src/online/caller.rs
+++ b/crates/bluebellreel_entry/src/online/caller.rs
@@ -42,15 +42,15 @@
     /// An outcome was recorded, or given up on.
     OutcomeRecorded(RequestId),
     /// Asks the side process that a claim names what became of the call.
-    AskClaim {
+    QueryClaim {
         record: Box<ClaimRecord>,
-        answer: Sender<AskAnswer>,
+        answer: Sender<ClaimQueryResult>,
     },
 }
 
 /// What can be told of a claimed call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum AskAnswer {
+pub(crate) enum ClaimQueryResult {
     /// Its side process has spoken.
     Verdict(AttemptVerdict),
     /// Its side process cannot be asked now.
--- a/crates/bluebellreel_entry/src/online/part.rs
+++ b/crates/bluebellreel_entry/src/online/component.rs
@@ -2,9 +2,9 @@
 
 mod claiming;
 
-use crate::online::caller::{AskAnswer, CallerEvent, NewCall, OnlineMessage};
+use crate::handles::DaemonHandles;
+use crate::online::caller::{CallerEvent, ClaimQueryResult, NewCall, OnlineMessage};
 use crate::online::claims::{ClaimAnswer, ClaimContext};
-use crate::parts::Parts;
 use crate::platform::{ListedState, ListedWorker};
 use bluebellreel_fleet::Manifest;
 use bluebellreel_routing::{ClaimIntent, Effect, Event, Outcome, Router, RouterLimits, step};
@@ -24,7 +24,7 @@
     tx: Sender<CallerEvent>,
     arrived_at: Moment,
     deadline: Moment,
-    heard_at: Option<Moment>,
+    first_text_at: Option<Moment>,
     span: Span,
     /// The attempt that is out, as a hop of its own.
     rpc: Option<Span>,
@@ -38,47 +38,47 @@
 }
 
 /// Somebody who waits for a side process to tell about an attempt.
-struct Asker {
+struct VerdictWaiter {
     until: Moment,
-    answer: Sender<AskAnswer>,
+    answer: Sender<ClaimQueryResult>,
 }
 
 /// Drives the router.
-pub(crate) struct OnlinePart {
+pub(crate) struct OnlineComponent {
     router: Router,
     rng: SmallRng,
-    parts: Parts,
+    handles: DaemonHandles,
     callers: HashMap<RequestId, Caller>,
-    askers: HashMap<AttemptId, Vec<Asker>>,
+    verdict_waiters: HashMap<AttemptId, Vec<VerdictWaiter>>,
     links: BTreeMap<WorkerName, ListedWorker>,
     /// Daemons that are there, this one among them.
     entries: HashMap<EntryName, Incarnation>,
     /// Listed workers whose first try to connect is still out; none before the
     /// first list.
-    untried: Option<HashSet<WorkerName>>,
+    unattempted: Option<HashSet<WorkerName>>,
     /// Whether workers of some model are still looked for.
     is_short: bool,
     started_at: Moment,
 }
 
-impl OnlinePart {
-    pub(crate) fn new(parts: Parts) -> Self {
+impl OnlineComponent {
+    pub(crate) fn new(handles: DaemonHandles) -> Self {
         let limits = RouterLimits {
-            requests: parts.settings.limits.requests,
-            team_requests: parts.settings.limits.team_requests,
-            online_per_worker: parts.settings.limits.online_per_worker,
+            requests: handles.settings.limits.requests,
+            team_requests: handles.settings.limits.team_requests,
+            online_per_worker: handles.settings.limits.online_per_worker,
             ..RouterLimits::default()
         };
-        let started_at = parts.clock.now();
+        let started_at = handles.clock.now();
         Self {
-            untried: None,
+            unattempted: None,
             is_short: false,
             started_at,
-            router: Router::new(limits, parts.settings.data_centre.clone()),
-            rng: SmallRng::seed_from_u64(parts.run.0),
-            parts,
+            router: Router::new(limits, handles.settings.data_centre.clone()),
+            rng: SmallRng::seed_from_u64(handles.run.0),
+            handles,
             callers: HashMap::new(),
-            askers: HashMap::new(),
+            verdict_waiters: HashMap::new(),
             links: BTreeMap::new(),
             entries: HashMap::new(),
         }
@@ -86,25 +86,28 @@
 
     /// Looks at deadlines.
     pub(crate) fn tick(&mut self) {
-        self.decide(Event::Ticked);
+        self.handle_event(Event::Ticked);
         let now = self.now();
-        self.askers.retain(|_, askers| {
-            for asker in askers.iter().filter(|asker| asker.until.is_past(now)) {
-                asker.answer.send(AskAnswer::Unreachable).ok();
+        self.verdict_waiters.retain(|_, verdict_waiters| {
+            for waiter in verdict_waiters
+                .iter()
+                .filter(|waiter| waiter.until.is_past(now))
+            {
+                waiter.answer.send(ClaimQueryResult::Unreachable).ok();
             }
-            askers.retain(|asker| !asker.until.is_past(now));
-            !askers.is_empty()
+            verdict_waiters.retain(|waiter| !waiter.until.is_past(now));
+            !verdict_waiters.is_empty()
         });
         let in_progress = i64::try_from(self.router.requests.len()).unwrap_or(i64::MAX);
-        self.parts.metrics.in_progress.set(in_progress);
-        let all_tried = self.untried.as_ref().is_some_and(HashSet::is_empty) && !self.is_short;
+        self.handles.metrics.in_progress.set(in_progress);
+        let all_tried = self.unattempted.as_ref().is_some_and(HashSet::is_empty) && !self.is_short;
         let now = self.now();
-        let readiness = &self.parts.readiness;
-        readiness.note_workers(all_tried, self.started_at, now);
+        let readiness = &self.handles.readiness;
+        readiness.update(all_tried, self.started_at, now);
     }
 
     fn now(&self) -> Moment {
-        self.parts.clock.now()
+        self.handles.clock.now()
     }
 
     /// Whether no caller waits.
@@ -118,7 +121,7 @@
     }
 
     /// Takes in the manifest in force.
-    pub(crate) fn apply(&mut self, manifest: &Manifest) {
+    pub(crate) fn apply_manifest(&mut self, manifest: &Manifest) {
         self.router.team_limits = manifest
             .teams
             .iter()
@@ -130,14 +133,14 @@
         match message {
             OnlineMessage::Call(call) => self.begin(*call),
             OnlineMessage::CallerGone(id) => {
-                self.decide(Event::CallerGone(id));
+                self.handle_event(Event::CallerGone(id));
                 if !self.router.requests.contains_key(&id) {
                     self.callers.remove(&id);
                 }
             }
             OnlineMessage::Claim { attempt, answer } => self.note_claim(attempt, answer),
-            OnlineMessage::OutcomeRecorded(id) => self.decide(Event::OutcomeRecorded(id)),
-            OnlineMessage::AskClaim { record, answer } => self.ask(&record, answer),
+            OnlineMessage::OutcomeRecorded(id) => self.handle_event(Event::OutcomeRecorded(id)),
+            OnlineMessage::QueryClaim { record, answer } => self.query_claim(&record, answer),
         }
     }
 
@@ -150,8 +153,8 @@
                 team: request.work.team.clone(),
                 key: request.work.key.clone(),
                 digest: call.digest,
-                entry: self.parts.settings.name.clone(),
-                entry_run: self.parts.run,
+                entry: self.handles.settings.name.clone(),
+                entry_run: self.handles.run,
                 deadline: request.deadline,
                 revision: 0,
             },
@@ -161,39 +164,39 @@
             tx: call.caller,
             arrived_at: now,
             deadline: request.deadline,
-            heard_at: None,
+            first_text_at: None,
             span,
             rpc: None,
             claim,
         };
         self.callers.insert(request.id, caller);
-        self.decide(Event::Arrived(request));
+        self.handle_event(Event::Arrived(request));
     }
 
     pub(crate) fn on_notice(&mut self, notice: EntryNotice) {
         match notice {
             EntryNotice::Connected(hello) => {
                 log::info!(target: "router", worker:% = hello.worker; "Worker connected.");
-                self.note_tried(&hello.worker);
-                self.decide(Event::WorkerConnected(hello));
+                self.on_connect_attempted(&hello.worker);
+                self.handle_event(Event::WorkerConnected(hello));
             }
             EntryNotice::Lost(worker) => {
-                self.note_tried(&worker);
+                self.on_connect_attempted(&worker);
                 let known = self.router.workers.get(&worker);
                 if known.is_some_and(|w| w.incarnation.is_some()) {
                     log::warn!(target: "router", worker:% = worker; "Worker lost.");
                 }
-                self.decide(Event::WorkerLost(worker));
+                self.handle_event(Event::WorkerLost(worker));
             }
             EntryNotice::Part { attempt, text } => {
-                self.decide(Event::PartArrived { attempt, text });
+                self.handle_event(Event::PartArrived { attempt, text });
             }
             EntryNotice::Ended {
                 worker,
                 attempt,
                 end,
                 load,
-            } => self.decide(Event::AttemptEnded {
+            } => self.handle_event(Event::AttemptEnded {
                 worker,
                 attempt,
                 end,
@@ -201,7 +204,7 @@
             }),
             EntryNotice::Verdict { attempt, verdict } => self.note_verdict(attempt, verdict),
             EntryNotice::Load { worker, load } => {
-                self.decide(Event::LoadArrived { worker, load });
+                self.handle_event(Event::LoadArrived { worker, load });
             }
             EntryNotice::Pull { .. }
             | EntryNotice::Reports { .. }
@@ -211,15 +214,18 @@
     }
 
     fn note_verdict(&mut self, attempt: AttemptId, verdict: AttemptVerdict) {
-        for asker in self.askers.remove(&attempt).unwrap_or_default() {
-            asker.answer.send(AskAnswer::Verdict(verdict.clone())).ok();
+        for waiter in self.verdict_waiters.remove(&attempt).unwrap_or_default() {
+            waiter
+                .answer
+                .send(ClaimQueryResult::Verdict(verdict.clone()))
+                .ok();
         }
-        self.decide(Event::VerdictArrived { attempt, verdict });
+        self.handle_event(Event::VerdictArrived { attempt, verdict });
     }
 
-    fn note_tried(&mut self, worker: &WorkerName) {
-        if let Some(untried) = &mut self.untried {
-            untried.remove(worker);
+    fn on_connect_attempted(&mut self, worker: &WorkerName) {
+        if let Some(unattempted) = &mut self.unattempted {
+            unattempted.remove(worker);
         }
     }
 
@@ -230,9 +236,13 @@
     }
 
     /// Holds connections to these workers and closes the others; those closed.
-    pub(crate) fn hold(&mut self, list: Vec<ListedWorker>, is_short: bool) -> Vec<WorkerName> {
+    pub(crate) fn set_connections(
+        &mut self,
+        list: Vec<ListedWorker>,
+        is_short: bool,
+    ) -> Vec<WorkerName> {
         self.is_short = is_short;
-        self.untried
+        self.unattempted
             .get_or_insert_with(|| list.iter().map(|w| w.name.clone()).collect());
         let listed: HashSet<&WorkerName> = list.iter().map(|w| &w.name).collect();
         let gone: Vec<WorkerName> = self
@@ -243,8 +253,9 @@
             .collect();
         for worker in &gone {
             self.links.remove(worker);
-            self.parts.send(EntryCommand::Forget(worker.clone()));
-            self.decide(Event::WorkerUnlisted(worker.clone()));
+            self.handles
+                .send_command(EntryCommand::Forget(worker.clone()));
+            self.handle_event(Event::WorkerUnlisted(worker.clone()));
         }
         for listed in list {
             self.note_listed(listed);
@@ -254,7 +265,7 @@
 
     fn note_listed(&mut self, listed: ListedWorker) {
         let leaving = listed.state == ListedState::Leaving;
-        self.decide(Event::WorkerListed {
+        self.handle_event(Event::WorkerListed {
             worker: listed.name.clone(),
             data_centre: listed.data_centre.clone(),
             leaving,
@@ -263,9 +274,9 @@
         if known.is_none_or(|before| before.side != listed.side) {
             if known.is_some() {
                 let worker = listed.name.clone();
-                self.parts.send(EntryCommand::Forget(worker));
+                self.handles.send_command(EntryCommand::Forget(worker));
             }
-            self.parts.send(EntryCommand::Connect {
+            self.handles.send_command(EntryCommand::Connect {
                 worker: listed.name.clone(),
                 address: listed.side,
             });
@@ -279,15 +290,15 @@
                 if let Some(claim) = self.claim_of(attempt.request) {
                     claim.cx.revision = revision;
                 }
-                self.decide(Event::ClaimRecorded(attempt));
+                self.handle_event(Event::ClaimRecorded(attempt));
             }
             ClaimAnswer::Taken(record) => {
-                self.decide(Event::ClaimTaken(attempt));
+                self.handle_event(Event::ClaimTaken(attempt));
                 if let Some(caller) = self.callers.remove(&attempt.request) {
                     caller.tx.send(CallerEvent::Claimed(record)).ok();
                 }
             }
-            ClaimAnswer::Unavailable => self.decide(Event::ClaimFailed(attempt)),
+            ClaimAnswer::Unavailable => self.handle_event(Event::ClaimFailed(attempt)),
         }
     }
 
@@ -295,14 +306,14 @@
         self.callers.get_mut(&request)?.claim.as_mut()
     }
 
-    fn decide(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now();
         for effect in step(&mut self.router, event, now, &mut self.rng) {
-            self.carry_out(effect, now);
+            self.execute(effect, now);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect, now: Moment) {
+    fn execute(&mut self, effect: Effect, now: Moment) {
         match effect {
             Effect::Claim(intent) => self.write_claim(intent, now),
             Effect::RecordOutcome { request, outcome } => self.record(request, &outcome),
@@ -311,18 +322,20 @@
                 mut dispatch,
             } => {
                 if let Some(caller) = self.callers.get_mut(&dispatch.attempt.request) {
-                    let hop = Span::begin(caller.span.below(), "rpc", now);
-                    dispatch.trace = hop.below();
-                    let before = caller.rpc.replace(hop.with("worker", worker.as_str()));
-                    end_hop(&self.parts.tracer, before, now);
+                    let rpc_span = Span::begin(caller.span.below(), "rpc", now);
+                    dispatch.trace = rpc_span.below();
+                    let before = caller.rpc.replace(rpc_span.with("worker", worker.as_str()));
+                    finish_rpc_span(&self.handles.tracer, before, now);
                 }
                 if dispatch.attempt.number > 1 {
-                    self.parts.metrics.retries.inc();
+                    self.handles.metrics.retries.inc();
                 }
-                self.parts.send(EntryCommand::Submit { worker, dispatch });
+                self.handles
+                    .send_command(EntryCommand::Submit { worker, dispatch });
             }
             Effect::Cancel { worker, attempt } => {
-                self.parts.send(EntryCommand::Cancel { worker, attempt });
+                self.handles
+                    .send_command(EntryCommand::Cancel { worker, attempt });
             }
             Effect::Deliver { request, text } => self.deliver(request, text, now),
             Effect::Finish {
@@ -337,10 +350,10 @@
         let Some(caller) = self.callers.get_mut(&request) else {
             return;
         };
-        if caller.heard_at.is_none() {
-            caller.heard_at = Some(now);
+        if caller.first_text_at.is_none() {
+            caller.first_text_at = Some(now);
             let waited = now.since(caller.arrived_at).as_secs_f64();
-            self.parts.metrics.first_token.observe(waited);
+            self.handles.metrics.first_token.observe(waited);
         }
         caller.tx.send(CallerEvent::Text(text)).ok();
     }
@@ -350,7 +363,7 @@
             return;
         };
         let label = outcome_label(&outcome);
-        let metrics = &self.parts.metrics;
+        let metrics = &self.handles.metrics;
         let counted = OutcomeLabel { outcome: label };
         metrics.requests.get_or_create(&counted).inc();
         let answered = matches!(
@@ -362,17 +375,17 @@
         } else {
             metrics.late.inc();
         }
-        end_hop(&self.parts.tracer, caller.rpc, now);
+        finish_rpc_span(&self.handles.tracer, caller.rpc, now);
         let span = caller.span.with("outcome", label);
         let span = span.with("attempts", attempts.to_string());
-        self.parts.tracer.finish(span, now);
+        self.handles.tracer.finish(span, now);
         caller.tx.send(CallerEvent::Finished(outcome)).ok();
     }
 }
 
-fn end_hop(tracer: &Tracer, hop: Option<Span>, now: Moment) {
-    if let Some(hop) = hop {
-        tracer.finish(hop, now);
+fn finish_rpc_span(tracer: &Tracer, rpc_span: Option<Span>, now: Moment) {
+    if let Some(rpc_span) = rpc_span {
+        tracer.finish(rpc_span, now);
     }
 }
 
--- a/crates/bluebellreel_entry/src/online/part/claiming.rs
+++ b/crates/bluebellreel_entry/src/online/component/claiming.rs
@@ -1,8 +1,8 @@
 //! Claims of calls that may not be repeated: written, settled, asked about.
 
-use super::{Asker, Claim, OnlinePart};
+use super::{Claim, OnlineComponent, VerdictWaiter};
 use crate::message::Message;
-use crate::online::caller::{AskAnswer, OnlineMessage};
+use crate::online::caller::{ClaimQueryResult, OnlineMessage};
 use crate::online::claims;
 use bluebellreel_claim::{ClaimRecord, ClaimState};
 use bluebellreel_routing::{ClaimIntent, Event, Outcome};
@@ -13,11 +13,11 @@
 
 /// Longest time that a claim may take: a caller who hears "not run" soon can
 /// still go elsewhere.
-const LONGEST_CLAIM: Duration = Duration::from_secs(2);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long an outcome is tried to be recorded.
-const LONGEST_RECORD: Duration = Duration::from_mins(2);
+const RECORD_TIMEOUT: Duration = Duration::from_mins(2);
 
-impl OnlinePart {
+impl OnlineComponent {
     /// A daemon is there.
     pub(crate) fn note_entry(&mut self, name: EntryName, run: Incarnation) {
         self.entries.insert(name, run);
@@ -30,24 +30,24 @@
 
     pub(super) fn write_claim(&mut self, intent: ClaimIntent, now: Moment) {
         let attempt = intent.attempt;
-        let kv_down = self.parts.kv.seems_down();
+        let kv_down = self.handles.kv.seems_down();
         let Some(claim) = self.claim_of(intent.request) else {
             return;
         };
         if kv_down {
-            return self.decide(Event::ClaimFailed(attempt));
+            return self.handle_event(Event::ClaimFailed(attempt));
         }
         claim.intent = Some(intent.clone());
         let cx = claim.cx.clone();
-        let until = cx.deadline.min(now + LONGEST_CLAIM);
-        let parts = self.parts.clone();
-        let queued = self.parts.pool.run(move |kv| {
+        let until = cx.deadline.min(now + CLAIM_TIMEOUT);
+        let handles = self.handles.clone();
+        let queued = self.handles.pool.run(move |kv| {
             let answer = claims::claim(kv, &cx, &intent, until);
             let message = OnlineMessage::Claim { attempt, answer };
-            parts.tell(Message::Online(message));
+            handles.send_message(Message::Online(message));
         });
         if !queued {
-            self.decide(Event::ClaimFailed(attempt));
+            self.handle_event(Event::ClaimFailed(attempt));
         }
     }
 
@@ -57,41 +57,41 @@
             return;
         };
         let Some(record) = claim_record(claim, state) else {
-            self.decide(Event::OutcomeRecorded(request));
+            self.handle_event(Event::OutcomeRecorded(request));
             return;
         };
         let revision = claim.cx.revision;
-        let parts = self.parts.clone();
-        let until = self.now() + LONGEST_RECORD;
-        let queued = self.parts.pool.run(move |kv| {
+        let handles = self.handles.clone();
+        let until = self.now() + RECORD_TIMEOUT;
+        let queued = self.handles.pool.run(move |kv| {
             claims::record_state(kv, &record, revision, until);
             let message = OnlineMessage::OutcomeRecorded(request);
-            parts.tell(Message::Online(message));
+            handles.send_message(Message::Online(message));
         });
         if !queued {
-            self.decide(Event::OutcomeRecorded(request));
+            self.handle_event(Event::OutcomeRecorded(request));
         }
     }
 
     /// Whether the daemon that claimed a call lives and is to tell its end.
-    fn is_under_way(&self, record: &ClaimRecord) -> bool {
+    fn is_in_progress(&self, record: &ClaimRecord) -> bool {
         if record.deadline.is_past(self.now()) {
             return false;
         }
-        if record.entry_run == self.parts.run {
+        if record.entry_run == self.handles.run {
             return self.router.requests.contains_key(&record.attempt.request);
         }
         self.entries.get(&record.entry) == Some(&record.entry_run)
     }
 
     /// Asks the side process that a claim names.
-    pub(super) fn ask(&mut self, record: &ClaimRecord, answer: Sender<AskAnswer>) {
+    pub(super) fn query_claim(&mut self, record: &ClaimRecord, answer: Sender<ClaimQueryResult>) {
         // Guard: a question that comes before the call itself ends it, as the
         // side process refuses from then on what it says it has never seen. Of
         // eight confirmations at once all were told "not run".
-        if self.is_under_way(record) {
+        if self.is_in_progress(record) {
             answer
-                .send(AskAnswer::Verdict(AttemptVerdict::Running))
+                .send(ClaimQueryResult::Verdict(AttemptVerdict::Running))
                 .ok();
             return;
         }
@@ -103,17 +103,21 @@
         match present {
             Some(run) if run == record.incarnation => {
                 let until = self.now() + Duration::from_secs(2);
-                let asker = Asker { until, answer };
+                let waiter = VerdictWaiter { until, answer };
                 let attempt = record.attempt;
-                self.askers.entry(attempt).or_default().push(asker);
+                self.verdict_waiters
+                    .entry(attempt)
+                    .or_default()
+                    .push(waiter);
                 let worker = record.worker.clone();
-                self.parts.send(EntryCommand::Cancel { worker, attempt });
+                self.handles
+                    .send_command(EntryCommand::Cancel { worker, attempt });
             }
             Some(_) => {
-                answer.send(AskAnswer::Gone).ok();
+                answer.send(ClaimQueryResult::Gone).ok();
             }
             None => {
-                answer.send(AskAnswer::Unreachable).ok();
+                answer.send(ClaimQueryResult::Unreachable).ok();
             }
         }
     }
--- a/crates/bluebellreel_entry/src/online/reach.rs
+++ b/crates/bluebellreel_entry/src/online/connections.rs
@@ -1,6 +1,6 @@
 //! Which of the listed workers the daemon is connected to.
 
-use crate::parts::Parts;
+use crate::handles::DaemonHandles;
 use crate::platform::ListedWorker;
 use bluebellreel_routing::{Listing, Reach, ReachLimits, ReachNeeds, rendezvous_score};
 use bluebellreel_rpc::EntryNotice;
@@ -9,34 +9,34 @@
 use std::time::Duration;
 
 /// Between two plans.
-const PERIOD: Duration = Duration::from_millis(500);
+const PLAN_PERIOD: Duration = Duration::from_millis(500);
 
 /// Plans the daemon's connections.
-pub(crate) struct ReachPart {
-    reach: Reach,
+pub(crate) struct ConnectionsComponent {
+    planner: Reach,
     listed: BTreeMap<WorkerName, ListedWorker>,
-    due_at: Moment,
+    next_plan_at: Moment,
 }
 
 /// Listed workers to be connected to.
-pub(crate) struct Reached {
+pub(crate) struct ConnectionTargets {
     pub(crate) workers: Vec<ListedWorker>,
     /// Whether some model lacks workers that may still be found.
     pub(crate) is_short: bool,
 }
 
-impl ReachPart {
-    pub(crate) fn new(parts: &Parts) -> Self {
+impl ConnectionsComponent {
+    pub(crate) fn new(handles: &DaemonHandles) -> Self {
         let limits = ReachLimits {
-            whole: parts.settings.limits.workers_whole,
-            per_model: parts.settings.limits.workers_per_model,
+            whole: handles.settings.limits.workers_whole,
+            per_model: handles.settings.limits.workers_per_model,
             ..ReachLimits::default()
         };
-        let entry_key = rendezvous_score(0, parts.settings.name.as_str());
+        let entry_key = rendezvous_score(0, handles.settings.name.as_str());
         Self {
-            reach: Reach::new(limits, entry_key, parts.settings.data_centre.clone()),
+            planner: Reach::new(limits, entry_key, handles.settings.data_centre.clone()),
             listed: BTreeMap::new(),
-            due_at: Moment::FAR,
+            next_plan_at: Moment::FAR,
         }
     }
 
@@ -46,9 +46,9 @@
             worker: listed.name.clone(),
             data_centre: listed.data_centre.clone(),
         };
-        self.reach.list(list.iter().map(listing).collect());
+        self.planner.list(list.iter().map(listing).collect());
         self.listed = list.into_iter().map(|l| (l.name.clone(), l)).collect();
-        self.due_at = Moment(0);
+        self.next_plan_at = Moment(0);
     }
 
     /// Learns what a worker serves.
@@ -56,28 +56,28 @@
         match notice {
             EntryNotice::Connected(hello) => {
                 let models = hello.models.iter().cloned();
-                self.reach.note_models(&hello.worker, models, now);
+                self.planner.note_models(&hello.worker, models, now);
             }
             EntryNotice::Load { worker, load } => {
                 let models = load.models.iter().cloned();
-                self.reach.note_models(worker, models, now);
+                self.planner.note_models(worker, models, now);
             }
-            EntryNotice::Lost(worker) => self.reach.note_unreachable(worker, now),
+            EntryNotice::Lost(worker) => self.planner.note_unreachable(worker, now),
             _ => {}
         }
     }
 
     /// Whether a plan is due.
     pub(crate) fn is_due(&self, now: Moment) -> bool {
-        self.due_at.is_past(now)
+        self.next_plan_at.is_past(now)
     }
 
     /// Makes a plan.
-    pub(crate) fn plan(&mut self, needs: &ReachNeeds, now: Moment) -> Reached {
-        self.due_at = now + PERIOD;
-        let plan = self.reach.plan(needs, now);
+    pub(crate) fn plan(&mut self, needs: &ReachNeeds, now: Moment) -> ConnectionTargets {
+        self.next_plan_at = now + PLAN_PERIOD;
+        let plan = self.planner.plan(needs, now);
         let listed = plan.workers.iter().filter_map(|w| self.listed.get(w));
-        Reached {
+        ConnectionTargets {
             workers: listed.cloned().collect(),
             is_short: plan.is_short,
         }
--- a/crates/bluebellreel_entry/src/online/mod.rs
+++ b/crates/bluebellreel_entry/src/online/mod.rs
@@ -2,10 +2,10 @@
 
 mod caller;
 mod claims;
-mod part;
-mod reach;
+mod component;
+mod connections;
 
-pub(crate) use caller::{AskAnswer, CallerEvent, NewCall, OnlineMessage};
+pub(crate) use caller::{CallerEvent, ClaimQueryResult, NewCall, OnlineMessage};
 pub(crate) use claims::{find_claim, record_state};
-pub(crate) use part::OnlinePart;
-pub(crate) use reach::ReachPart;
+pub(crate) use component::OnlineComponent;
+pub(crate) use connections::ConnectionsComponent;
--- a/crates/bluebellreel_entry/src/platform/kv_pool.rs
+++ b/crates/bluebellreel_entry/src/platform/kv_pool.rs
@@ -8,9 +8,9 @@
 use std::thread;
 
 /// Threads: calls in progress at one time.
-const THREADS: usize = 8;
+const THREAD_COUNT: usize = 8;
 /// Tasks that wait.
-const QUEUE: usize = 4_096;
+const QUEUE_CAPACITY: usize = 4_096;
 
 pub(crate) type Task = Box<dyn FnOnce(&KvClient) + Send>;
 
@@ -20,13 +20,13 @@
     /// On threads.
     Threads(Sender<Task>),
     /// By hand, one at a time.
-    Held(Arc<Mutex<VecDeque<Task>>>),
+    Manual(Arc<Mutex<VecDeque<Task>>>),
 }
 
 impl KvPool {
     pub(crate) fn start(kv: &Arc<KvClient>) -> io::Result<Self> {
-        let (tx, rx) = bounded::<Task>(QUEUE);
-        for _ in 0..THREADS {
+        let (tx, rx) = bounded::<Task>(QUEUE_CAPACITY);
+        for _ in 0..THREAD_COUNT {
             let rx: Receiver<Task> = rx.clone();
             let kv = kv.clone();
             thread::Builder::new()
@@ -41,15 +41,15 @@
     }
 
     /// A pool whose tasks wait until they are taken.
-    pub(crate) fn held() -> Self {
-        Self::Held(Arc::default())
+    pub(crate) fn manual() -> Self {
+        Self::Manual(Arc::default())
     }
 
     /// The next task that waits to be run by hand.
-    pub(crate) fn take(&self) -> Option<Task> {
+    pub(crate) fn pop_manual(&self) -> Option<Task> {
         match self {
             Self::Threads(_) => None,
-            Self::Held(tasks) => tasks.lock().ok()?.pop_front(),
+            Self::Manual(tasks) => tasks.lock().ok()?.pop_front(),
         }
     }
 
@@ -58,7 +58,7 @@
     pub(crate) fn run(&self, task: impl FnOnce(&KvClient) + Send + 'static) -> bool {
         let tx = match self {
             Self::Threads(tx) => tx,
-            Self::Held(tasks) => {
+            Self::Manual(tasks) => {
                 if let Ok(mut tasks) = tasks.lock() {
                     tasks.push_back(Box::new(task));
                 }
