--- a/crates/bluebellreel_entry/src/platform/membership.rs
+++ b/crates/bluebellreel_entry/src/platform/membership.rs
@@ -1,7 +1,7 @@
 //! Which entry daemons are there: a lease each, watched by all.
 
+use crate::handles::DaemonHandles;
 use crate::message::Message;
-use crate::parts::Parts;
 use crate::platform::keys::{entry_key, entry_prefix};
 use crate::platform::records::EntryRecord;
 use bluebellreel_kv::{
@@ -18,33 +18,33 @@
 /// Stands for the lease of a daemon that has stopped.
 pub(crate) const STOPPED: i64 = -1;
 /// Pause before a watch is opened again.
-const WATCH_PAUSE: Duration = Duration::from_millis(500);
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Holds the daemon's lease until the process ends.
-pub(crate) fn hold_lease(parts: &Parts, address: SocketAddr) -> io::Result<()> {
-    let parts = parts.clone();
+pub(crate) fn hold_lease(handles: &DaemonHandles, address: SocketAddr) -> io::Result<()> {
+    let handles = handles.clone();
     let record = EntryRecord {
-        name: parts.settings.name.clone(),
-        run: parts.run,
+        name: handles.settings.name.clone(),
+        run: handles.run,
         address,
-        data_centre: parts.settings.data_centre.clone(),
-        disk: parts.data.own().map(|own| own.id.clone()),
+        data_centre: handles.settings.data_centre.clone(),
+        disk: handles.data.own().map(|own| own.id.clone()),
     };
     thread::Builder::new()
         .name("entry-lease".into())
         .spawn(move || {
-            let ttl = parts.settings.lease;
+            let ttl = handles.settings.lease;
             let mut lease = None;
-            while parts.lease.load(Ordering::SeqCst) != STOPPED {
-                lease = renew(&parts.kv, lease, ttl, &record);
-                parts.note_lease(lease.unwrap_or(0));
+            while handles.lease.load(Ordering::SeqCst) != STOPPED {
+                lease = renew(&handles.kv, lease, ttl, &record);
+                handles.note_lease(lease.unwrap_or(0));
                 thread::sleep(ttl / 3);
             }
         })?;
     Ok(())
 }
 
-impl Parts {
+impl DaemonHandles {
     /// Notes the lease, unless the daemon has stopped meanwhile: one that was
     /// taken too late goes back at once.
     fn note_lease(&self, lease: i64) {
@@ -102,17 +102,17 @@
 }
 
 /// Watches the leases of all daemons.
-pub(crate) fn watch_entries(parts: &Parts) -> io::Result<()> {
-    let parts = parts.clone();
+pub(crate) fn watch_entries(handles: &DaemonHandles) -> io::Result<()> {
+    let handles = handles.clone();
     thread::Builder::new()
         .name("entry-watch".into())
         .spawn(move || {
             let mut known = BTreeSet::new();
             follow_prefix(
-                &parts.kv,
+                &handles.kv,
                 &entry_prefix(),
-                |all| note_all(&parts, &mut known, &all),
-                |event| note_event(&parts, event),
+                |all| note_all(&handles, &mut known, &all),
+                |event| note_event(&handles, event),
             );
         })?;
     Ok(())
@@ -138,7 +138,7 @@
             }
         }
         // With jitter: after an outage all daemons start over.
-        thread::sleep(WATCH_PAUSE + backoff.next(&mut rand::rng()));
+        thread::sleep(WATCH_RETRY_DELAY + backoff.next(&mut rand::rng()));
     }
 }
 
@@ -173,36 +173,37 @@
     serde_json::from_slice(&kv.value).ok()
 }
 
-fn note_all(parts: &Parts, known: &mut BTreeSet<EntryName>, all: &[KeyValue]) -> bool {
+fn note_all(handles: &DaemonHandles, known: &mut BTreeSet<EntryName>, all: &[KeyValue]) -> bool {
     let records: Vec<EntryRecord> = all.iter().filter_map(record_of).collect();
     let present: BTreeSet<EntryName> = records.iter().map(|r| r.name.clone()).collect();
     let gone: Vec<EntryName> = known.difference(&present).cloned().collect();
     *known = present;
     for name in &gone {
-        parts.data.note_daemon_gone(name);
+        handles.data.note_daemon_gone(name);
     }
     for record in &records {
-        parts.data.note_daemon(record);
+        handles.data.note_daemon(record);
     }
-    let seen = records.into_iter().map(Message::EntrySeen);
-    let gone = gone.into_iter().map(Message::EntryGone);
-    gone.chain(seen).all(|message| parts.tell(message))
+    let seen = records.into_iter().map(Message::EntryJoined);
+    let gone = gone.into_iter().map(Message::EntryLeft);
+    gone.chain(seen)
+        .all(|message| handles.send_message(message))
 }
 
-fn note_event(parts: &Parts, event: WatchEvent) -> bool {
+fn note_event(handles: &DaemonHandles, event: WatchEvent) -> bool {
     match event {
         WatchEvent::Put(kv) => match record_of(&kv) {
             Some(record) => {
-                parts.data.note_daemon(&record);
-                parts.tell(Message::EntrySeen(record))
+                handles.data.note_daemon(&record);
+                handles.send_message(Message::EntryJoined(record))
             }
             None => true,
         },
         WatchEvent::Deleted { key, .. } => {
             let text = key.as_str();
             let name = EntryName::from(text.strip_prefix("entry/").unwrap_or(text));
-            parts.data.note_daemon_gone(&name);
-            parts.tell(Message::EntryGone(name))
+            handles.data.note_daemon_gone(&name);
+            handles.send_message(Message::EntryLeft(name))
         }
     }
 }
--- a/crates/bluebellreel_entry/src/platform/vm_list.rs
+++ b/crates/bluebellreel_entry/src/platform/vm_list.rs
@@ -1,14 +1,14 @@
 //! The platform's list of VMs.
 
+use crate::handles::DaemonHandles;
 use crate::message::Message;
-use crate::parts::Parts;
 use crate::platform::records::ListedWorker;
 use std::io;
 use std::thread;
 use std::time::Duration;
 
 /// Between two looks at the list.
-const PERIOD: Duration = Duration::from_secs(2);
+const POLL_PERIOD: Duration = Duration::from_secs(2);
 /// The list is the one that was seen last.
 const NOT_MODIFIED: u16 = 304;
 /// Longest wait for the list.
@@ -16,8 +16,8 @@
 
 /// Looks at the list from time to time. While it cannot be read, the last one
 /// counts.
-pub(crate) fn watch_vms(parts: &Parts) -> io::Result<()> {
-    let parts = parts.clone();
+pub(crate) fn watch_vms(handles: &DaemonHandles) -> io::Result<()> {
+    let handles = handles.clone();
     thread::Builder::new()
         .name("vm-list".into())
         .spawn(move || {
@@ -25,21 +25,21 @@
                 .timeout_global(Some(TIMEOUT))
                 .build();
             let agent = config.new_agent();
-            let url = format!("{}/vms", parts.settings.vm_list);
+            let url = format!("{}/vms", handles.settings.vm_list);
             let mut seen = String::new();
             loop {
-                let told = match read(&agent, &url, &mut seen) {
-                    Ok(Some(list)) => parts.tell(Message::Listed(list)),
+                let delivered = match read(&agent, &url, &mut seen) {
+                    Ok(Some(list)) => handles.send_message(Message::Listed(list)),
                     Ok(None) => true,
                     Err(e) => {
                         log::warn!(target: "fleet", error:% = e; "The VM list cannot be read.");
                         true
                     }
                 };
-                if !told {
+                if !delivered {
                     return;
                 }
-                thread::sleep(PERIOD);
+                thread::sleep(POLL_PERIOD);
             }
         })?;
     Ok(())
--- a/crates/bluebellreel_entry/src/readiness.rs
+++ b/crates/bluebellreel_entry/src/readiness.rs
@@ -7,7 +7,7 @@
 
 /// Longest time that a daemon stays away from the balancer while it looks for
 /// its workers and its manifest: with the VM list down it can still take jobs.
-const LONGEST_LOOK: Duration = Duration::from_secs(10);
+const MAX_DISCOVERY_TIME: Duration = Duration::from_secs(10);
 
 /// Whether this daemon serves, as told at `/readyz`.
 ///
@@ -40,8 +40,8 @@
     /// A daemon that said "ready" before that, or before it has read the
     /// manifest, would refuse people with "no worker serves this model" or "no
     /// such service" right after a restart, though the fleet is whole.
-    pub(crate) fn note_workers(&self, all_tried: bool, started_at: Moment, now: Moment) {
-        let waited = (started_at + LONGEST_LOOK).is_past(now);
+    pub(crate) fn update(&self, all_tried: bool, started_at: Moment, now: Moment) {
+        let waited = (started_at + MAX_DISCOVERY_TIME).is_past(now);
         let manifest = self.knows_manifest();
         let found = all_tried && manifest;
         if (found || waited) && !self.started.swap(true, Ordering::SeqCst) {
@@ -63,12 +63,12 @@
     fn waits_for_workers_but_not_for_ever() {
         let start = Moment(1_000_000);
         let readiness = Readiness::default();
-        readiness.note_workers(false, start, start);
+        readiness.update(false, start, start);
         assert!(!readiness.is_ready());
-        readiness.note_workers(
+        readiness.update(
             false,
             start,
-            start + LONGEST_LOOK + Duration::from_millis(1),
+            start + MAX_DISCOVERY_TIME + Duration::from_millis(1),
         );
         assert!(readiness.is_ready());
         readiness.stop();
@@ -80,8 +80,8 @@
         let start = Moment(1_000_000);
         let readiness = Readiness::default();
         readiness.note_manifest();
-        readiness.note_workers(true, start, start);
-        readiness.note_workers(false, start, start);
+        readiness.update(true, start, start);
+        readiness.update(false, start, start);
         assert!(readiness.is_ready());
     }
 
@@ -89,10 +89,10 @@
     fn waits_for_the_manifest_as_well() {
         let start = Moment(1_000_000);
         let readiness = Readiness::default();
-        readiness.note_workers(true, start, start);
+        readiness.update(true, start, start);
         assert!(!readiness.is_ready());
         readiness.note_manifest();
-        readiness.note_workers(true, start, start);
+        readiness.update(true, start, start);
         assert!(readiness.is_ready());
     }
 }
--- a/crates/bluebellreel_entry/src/run.rs
+++ b/crates/bluebellreel_entry/src/run.rs
@@ -4,10 +4,10 @@
 use crate::core::EntryCore;
 use crate::data::{ChunkAccess, keep_volumes, watch_volumes};
 use crate::fleet::{SharedManifest, watch_drains, watch_manifest, watch_matchers};
-use crate::http::{Rim, handle};
-use crate::jobs::{JobsMessage, keep_swept};
+use crate::handles::DaemonHandles;
+use crate::http::{HttpContext, handle};
+use crate::jobs::{JobsMessage, start_sweeper};
 use crate::message::Message;
-use crate::parts::Parts;
 use crate::platform::{
     KvPool, STOPPED, follow_prefix, hold_lease, job_prefix, watch_entries, watch_vms,
 };
@@ -30,16 +30,16 @@
 use tokio::sync::mpsc;
 
 /// Messages that wait for the actors; past it, senders wait.
-const MESSAGES: usize = 65_536;
+const MESSAGE_QUEUE_CAPACITY: usize = 65_536;
 /// Messages handled before timers are looked at again.
-const MESSAGES_AT_ONCE: usize = 1_024;
+const MAX_MESSAGES_PER_TURN: usize = 1_024;
 /// Longest sleep of the actors' loop.
-const LONGEST_SLEEP: Duration = Duration::from_millis(100);
+const MAX_SLEEP: Duration = Duration::from_millis(100);
 /// Between two looks at whether a stop is done.
 const IDLE_POLL: Duration = Duration::from_millis(10);
 /// Time for connections to be closed, also past the deadline: longer than the
 /// HTTP server waits for a caller that says nothing more.
-const CLOSE_TIME: Duration = Duration::from_secs(4);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Longest wait for one call to the key-value service.
 const KV_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -50,7 +50,7 @@
     tx: Sender<Message>,
     http: HttpServer,
     actors: JoinHandle<()>,
-    parts: Parts,
+    handles: DaemonHandles,
 }
 
 impl Entry {
@@ -64,14 +64,14 @@
     #[must_use = "a stop that cut something must be reported"]
     pub fn stop(self) -> bool {
         self.leave_rotation();
-        let until = Instant::now() + self.parts.settings.stop;
-        self.tx.send(Message::StopAsked).ok();
+        let until = Instant::now() + self.handles.settings.stop;
+        self.tx.send(Message::Stop).ok();
         // Late callers may come one after another for as long as anybody can
         // connect; the actors' work only becomes less.
         wait_until(until, || self.is_idle());
-        give_back_lease(&self.parts);
+        revoke_lease(&self.handles);
         self.http.stop();
-        let until = until.max(Instant::now() + CLOSE_TIME);
+        let until = until.max(Instant::now() + CLOSE_TIMEOUT);
         // Whether connections are gone is looked at first: once they are, the
         // actors get nothing new.
         wait_until(until, || self.http.is_gone() && self.is_idle());
@@ -89,33 +89,33 @@
 
     /// The balancer goes on sending for a while; those callers are served.
     fn leave_rotation(&self) {
-        self.parts.readiness.stop();
+        self.handles.readiness.stop();
         self.http.leave();
         log::info!(target: "entry", "Stopping: not ready any more.");
-        thread::sleep(self.parts.settings.notice);
+        thread::sleep(self.handles.settings.notice);
     }
 
     /// Whether the actors have nothing to do any more.
     fn is_idle(&self) -> bool {
         let (answer, idle) = bounded(1);
-        self.tx.send(Message::IdleAsked(answer)).ok();
-        idle.recv_timeout(LONGEST_SLEEP * 10).unwrap_or(false)
+        self.tx.send(Message::QueryIdle(answer)).ok();
+        idle.recv_timeout(MAX_SLEEP * 10).unwrap_or(false)
     }
 }
 
 /// Looks until it holds or the time is up.
-fn wait_until(until: Instant, holds: impl Fn() -> bool) {
-    while !holds() && Instant::now() < until {
+fn wait_until(until: Instant, condition: impl Fn() -> bool) {
+    while !condition() && Instant::now() < until {
         thread::sleep(IDLE_POLL);
     }
 }
 
 /// Gives the lease back, so that other daemons need not wait for its end to
 /// take over what is left.
-fn give_back_lease(parts: &Parts) {
-    let lease = parts.lease.swap(STOPPED, Ordering::SeqCst);
+fn revoke_lease(handles: &DaemonHandles) {
+    let lease = handles.lease.swap(STOPPED, Ordering::SeqCst);
     if lease > 0
-        && let Err(e) = parts.kv.revoke(lease)
+        && let Err(e) = handles.kv.revoke(lease)
     {
         log::warn!(target: "entry", error:% = e; "The lease could not be given back.");
     }
@@ -130,7 +130,7 @@
 pub fn start_entry(settings: EntrySettings) -> eyre::Result<Entry> {
     let settings = Arc::new(settings);
     let run = Incarnation::random();
-    let (tx, rx) = bounded(MESSAGES);
+    let (tx, rx) = bounded(MESSAGE_QUEUE_CAPACITY);
     let clock = Clock::start();
     let kv = Arc::new(KvClient::new(
         KvSettings {
@@ -141,7 +141,7 @@
         run,
         clock.clone(),
     ));
-    let parts = Parts {
+    let handles = DaemonHandles {
         run,
         clock: clock.clone(),
         lease: Arc::default(),
@@ -156,27 +156,27 @@
         data: ChunkAccess::open(settings.data.as_ref(), &clock)?,
     };
     let shared = SharedManifest::default();
-    let rim = Rim {
-        parts: parts.clone(),
+    let cx = HttpContext {
+        handles: handles.clone(),
         manifest: shared.clone(),
     };
     let http = serve(settings.listen, settings.limits.threads, move |req| {
-        handle(&rim, req);
+        handle(&cx, req);
     })?;
-    hold_lease(&parts, http.address)?;
-    watch_volumes(&parts)?;
-    watch_entries(&parts)?;
-    keep_volumes(&parts)?;
-    watch_vms(&parts)?;
-    watch_manifest(&parts)?;
-    watch_drains(&parts)?;
-    watch_matchers(&parts)?;
-    watch_jobs(&parts)?;
-    keep_swept(&parts)?;
+    hold_lease(&handles, http.address)?;
+    watch_volumes(&handles)?;
+    watch_entries(&handles)?;
+    keep_volumes(&handles)?;
+    watch_vms(&handles)?;
+    watch_manifest(&handles)?;
+    watch_drains(&handles)?;
+    watch_matchers(&handles)?;
+    watch_jobs(&handles)?;
+    start_sweeper(&handles)?;
     let name = settings.name.clone();
     let actors = thread::Builder::new().name("entry-actors".into()).spawn({
-        let parts = parts.clone();
-        move || run_actor(&parts, shared, &rx)
+        let handles = handles.clone();
+        move || run_actor(&handles, shared, &rx)
     })?;
     log::info!(target: "entry", entry:% = name, address:% = http.address; "Entry daemon started.");
     Ok(Entry {
@@ -184,7 +184,7 @@
         tx,
         http,
         actors,
-        parts,
+        handles,
     })
 }
 
@@ -219,19 +219,19 @@
 }
 
 /// Follows the jobs that are not over.
-fn watch_jobs(parts: &Parts) -> io::Result<()> {
-    let parts = parts.clone();
+fn watch_jobs(handles: &DaemonHandles) -> io::Result<()> {
+    let handles = handles.clone();
     thread::Builder::new()
         .name("job-watch".into())
         .spawn(move || {
             follow_prefix(
-                &parts.kv,
+                &handles.kv,
                 &job_prefix(),
                 |all| {
                     let jobs = all.iter().filter_map(job_of).collect();
-                    parts.tell(Message::Jobs(JobsMessage::AllJobs(jobs)))
+                    handles.send_message(Message::Jobs(JobsMessage::AllJobs(jobs)))
                 },
-                |event| parts.tell(Message::Jobs(JobsMessage::Changed(event))),
+                |event| handles.send_message(Message::Jobs(JobsMessage::Changed(event))),
             );
         })?;
     Ok(())
@@ -243,18 +243,18 @@
 }
 
 /// Runs the actor until it is told to quit.
-fn run_actor(parts: &Parts, shared: SharedManifest, rx: &Receiver<Message>) {
+fn run_actor(handles: &DaemonHandles, shared: SharedManifest, rx: &Receiver<Message>) {
     let mut stakker = Stakker::new(Instant::now());
     let s = &mut stakker;
-    let core = EntryCore::new(parts, shared);
+    let core = EntryCore::new(handles, shared);
     let entry: ActorOwn<EntryActor> = actor!(s, EntryActor::init(core), ret_nop!());
     s.run(Instant::now(), false);
     let mut running = true;
     while running {
-        let sleep = s.next_wait_max(Instant::now(), LONGEST_SLEEP, false);
+        let sleep = s.next_wait_max(Instant::now(), MAX_SLEEP, false);
         match rx.recv_timeout(sleep) {
             Ok(first) => {
-                let more = rx.try_iter().take(MESSAGES_AT_ONCE);
+                let more = rx.try_iter().take(MAX_MESSAGES_PER_TURN);
                 for message in std::iter::once(first).chain(more) {
                     running &= !matches!(message, Message::Quit);
                     call!([entry], on_message(message));
