--- a/crates/bluebellreel_entry/src/core.rs
+++ b/crates/bluebellreel_entry/src/core.rs
@@ -77,7 +77,7 @@
             }
             Message::ManifestRead => self.handles.readiness.note_manifest(),
             Message::Listed(list) => {
-                self.connections.list(list);
+                self.connections.set_vm_list(list);
                 self.update_connections();
             }
             Message::EntryJoined(record) => {
@@ -104,7 +104,7 @@
 
     /// Connections and verdicts concern several parts; the rest concerns one.
     fn deliver_notice(&mut self, notice: EntryNotice) {
-        self.connections.note(&notice, self.handles.clock.now());
+        self.connections.on_notice(&notice, self.handles.clock.now());
         match notice {
             EntryNotice::Connected(hello) => {
                 self.online.on_notice(EntryNotice::Connected(hello.clone()));
--- a/crates/bluebellreel_entry/src/online/caller.rs
+++ b/crates/bluebellreel_entry/src/online/caller.rs
@@ -1,4 +1,4 @@
-//! Messages between HTTP threads and the online part.
+//! Messages between HTTP threads and the online component.
 
 use crate::online::claims::ClaimAnswer;
 use bluebellreel_claim::ClaimRecord;
@@ -7,54 +7,55 @@
 use crossbeam_channel::Sender;
 use std::sync::Arc;
 
-/// What the thread that serves a caller hears.
+/// An event for the HTTP thread that serves a caller.
 #[derive(Clone, Debug)]
 pub(crate) enum CallerEvent {
-    /// Text of the answer.
+    /// A piece of the answer's text.
     Text(Arc<str>),
-    /// The end.
+    /// The request ended with this outcome.
     Finished(Outcome),
-    /// The key was used before.
+    /// The idempotency key already has this claim.
     Claimed(Box<ClaimRecord>),
 }
 
-/// A caller's request on its way to the actor.
+/// A caller's request as an HTTP thread hands it to the actor.
 #[derive(Debug)]
 pub(crate) struct NewCall {
     pub(crate) request: NewRequest,
-    /// SHA-256 of what is asked, for calls with a key.
+    /// SHA-256 of the request, compared when its idempotency key is used again.
     pub(crate) digest: String,
     pub(crate) caller: Sender<CallerEvent>,
 }
 
-/// What reaches the online part.
+/// A message to the online component.
 #[derive(Debug)]
 pub(crate) enum OnlineMessage {
-    /// A request.
+    /// A new request.
     Call(Box<NewCall>),
-    /// The caller went away.
+    /// The caller closed its connection.
     CallerGone(RequestId),
-    /// A claim's fate.
+    /// The result of writing a claim.
     Claim {
         attempt: AttemptId,
         answer: ClaimAnswer,
     },
-    /// An outcome was recorded, or given up on.
+    /// The outcome was recorded, or the attempt to record it was abandoned.
     OutcomeRecorded(RequestId),
-    /// Asks the side process that a claim names what became of the call.
+    /// Queries the side process named by a claim for the outcome of the call.
     QueryClaim {
         record: Box<ClaimRecord>,
         answer: Sender<ClaimQueryResult>,
     },
 }
 
-/// What can be told of a claimed call.
+/// The result of querying a claimed call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ClaimQueryResult {
-    /// Its side process has spoken.
+    /// The verdict of the call's side process, or `Running` while its entry
+    /// daemon still handles the call.
     Verdict(AttemptVerdict),
-    /// Its side process cannot be asked now.
+    /// The side process is not connected or did not reply in time.
     Unreachable,
-    /// The run of the side process that could tell is over.
+    /// The side process has restarted, so the outcome cannot be determined.
     Gone,
 }
--- a/crates/bluebellreel_entry/src/online/claims.rs
+++ b/crates/bluebellreel_entry/src/online/claims.rs
@@ -1,4 +1,7 @@
-//! Claims in the key-value service.
+//! Claims of non-repeatable calls in the key-value service.
+//!
+//! A claim ties an idempotency key to one attempt, so that the call runs at most
+//! once.
 
 use crate::platform::claim_key;
 use bluebellreel_claim::{ClaimRecord, ClaimState, Resend, decide};
@@ -7,18 +10,18 @@
 use bluebellreel_types::{EntryName, Incarnation, Moment, TeamName};
 use std::sync::Arc;
 
-/// A claim's fate.
+/// The result of writing a claim.
 #[derive(Clone, Debug)]
 pub(crate) enum ClaimAnswer {
-    /// It is ours, at this revision: the call may be sent.
+    /// The claim was written at this revision: the call may be sent.
     Recorded(i64),
-    /// The key was used before.
+    /// The key already has this claim.
     Taken(Box<ClaimRecord>),
-    /// It could not be recorded: the call will not be sent.
+    /// The claim could not be confirmed: the call will not be sent.
     Unavailable,
 }
 
-/// What a claim says beside the router's intent.
+/// Fields of a claim that do not come from the router's intent.
 #[derive(Clone, Debug)]
 pub(crate) struct ClaimContext {
     pub(crate) team: TeamName,
@@ -27,11 +30,12 @@
     pub(crate) entry: EntryName,
     pub(crate) entry_run: Incarnation,
     pub(crate) deadline: Moment,
-    /// Revision of our own claim of an earlier attempt, zero for none.
+    /// Revision of this request's claim for an earlier attempt, zero for none.
     pub(crate) revision: i64,
 }
 
-/// Records a claim. A claim whose call surely did not run gives way.
+/// Writes a claim. An existing claim is replaced only if its digest is the same
+/// and its call certainly did not run.
 pub(crate) fn claim(
     kv: &KvClient,
     cx: &ClaimContext,
@@ -97,7 +101,7 @@
     Some((record, kv.revision))
 }
 
-/// Reads the claim of a team's key.
+/// Reads the claim of a team's idempotency key.
 pub(crate) fn find_claim(
     kv: &KvClient,
     team: &TeamName,
@@ -107,7 +111,8 @@
     Ok(found.as_ref().and_then(read))
 }
 
-/// Records what became of a claimed call. Whatever came first stays.
+/// Records the outcome of a claimed call. An outcome that was recorded first is
+/// kept and counts as success.
 pub(crate) fn record_state(
     kv: &KvClient,
     record: &ClaimRecord,
@@ -120,7 +125,7 @@
     )
 }
 
-/// The state to record for a request's outcome.
+/// The claim state that corresponds to a request's outcome.
 pub(crate) fn state_of(outcome: &Outcome) -> ClaimState {
     match outcome {
         Outcome::Completed { status, body, .. } => ClaimState::Completed {
--- a/crates/bluebellreel_entry/src/online/component.rs
+++ b/crates/bluebellreel_entry/src/online/component.rs
@@ -1,4 +1,4 @@
-//! The part that drives the router.
+//! The component that drives the router.
 
 mod claiming;
 
@@ -19,31 +19,31 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-/// A caller that waits.
+/// A caller waiting for its answer.
 struct Caller {
     tx: Sender<CallerEvent>,
     arrived_at: Moment,
     deadline: Moment,
     first_text_at: Option<Moment>,
     span: Span,
-    /// The attempt that is out, as a hop of its own.
+    /// Span of the attempt in flight.
     rpc: Option<Span>,
     claim: Option<Claim>,
 }
 
-/// The claim of a caller's call.
+/// The claim of a caller's non-repeatable call.
 struct Claim {
     cx: ClaimContext,
     intent: Option<ClaimIntent>,
 }
 
-/// Somebody who waits for a side process to tell about an attempt.
+/// A query waiting for a side process's verdict on an attempt.
 struct VerdictWaiter {
     until: Moment,
     answer: Sender<ClaimQueryResult>,
 }
 
-/// Drives the router.
+/// Drives the router: feeds it events and executes its effects.
 pub(crate) struct OnlineComponent {
     router: Router,
     rng: SmallRng,
@@ -51,12 +51,12 @@
     callers: HashMap<RequestId, Caller>,
     verdict_waiters: HashMap<AttemptId, Vec<VerdictWaiter>>,
     links: BTreeMap<WorkerName, ListedWorker>,
-    /// Daemons that are there, this one among them.
+    /// Live entry daemons, including this one.
     entries: HashMap<EntryName, Incarnation>,
-    /// Listed workers whose first try to connect is still out; none before the
-    /// first list.
+    /// Workers of the first connection targets whose first connection attempt has
+    /// not ended; `None` before these targets are known.
     unattempted: Option<HashSet<WorkerName>>,
-    /// Whether workers of some model are still looked for.
+    /// Whether some model lacks workers that may still be found.
     is_short: bool,
     started_at: Moment,
 }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Looks at deadlines.
+    /// Processes expired deadlines and updates metrics and readiness.
     pub(crate) fn tick(&mut self) {
         self.handle_event(Event::Ticked);
         let now = self.now();
@@ -110,17 +110,17 @@
         self.handles.clock.now()
     }
 
-    /// Whether no caller waits.
+    /// Whether no request is in progress.
     pub(crate) fn is_idle(&self) -> bool {
         self.router.requests.is_empty()
     }
 
-    /// Takes nothing new from now on.
+    /// Makes the router refuse new requests from now on.
     pub(crate) fn stop(&mut self) {
         self.router.stopping = true;
     }
 
-    /// Takes in the manifest in force.
+    /// Applies the teams' request limits of the manifest in force.
     pub(crate) fn apply_manifest(&mut self, manifest: &Manifest) {
         self.router.team_limits = manifest
             .teams
@@ -235,7 +235,8 @@
         busy.map(|w| w.name.clone()).collect()
     }
 
-    /// Holds connections to these workers and closes the others; those closed.
+    /// Connects to the given workers and closes all other connections. Returns the
+    /// workers whose connections were closed.
     pub(crate) fn set_connections(
         &mut self,
         list: Vec<ListedWorker>,
--- a/crates/bluebellreel_entry/src/online/component/claiming.rs
+++ b/crates/bluebellreel_entry/src/online/component/claiming.rs
@@ -1,4 +1,4 @@
-//! Claims of calls that may not be repeated: written, settled, asked about.
+//! Writes, resolves and queries claims of non-repeatable calls.
 
 use super::{Claim, OnlineComponent, VerdictWaiter};
 use crate::message::Message;
@@ -11,19 +11,19 @@
 use crossbeam_channel::Sender;
 use std::time::Duration;
 
-/// Longest time that a claim may take: a caller who hears "not run" soon can
-/// still go elsewhere.
+/// Timeout for writing a claim. It is short so that a caller whose claim fails
+/// gets "not run" early enough to try elsewhere.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an outcome is tried to be recorded.
+/// Timeout for recording an outcome.
 const RECORD_TIMEOUT: Duration = Duration::from_mins(2);
 
 impl OnlineComponent {
-    /// A daemon is there.
+    /// Adds a live entry daemon.
     pub(crate) fn note_entry(&mut self, name: EntryName, run: Incarnation) {
         self.entries.insert(name, run);
     }
 
-    /// A daemon is gone.
+    /// Removes an entry daemon whose lease has ended.
     pub(crate) fn forget_entry(&mut self, name: &EntryName) {
         self.entries.remove(name);
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether the daemon that claimed a call lives and is to tell its end.
+    /// Whether the daemon that claimed a call is live and will record its outcome.
     fn is_in_progress(&self, record: &ClaimRecord) -> bool {
         if record.deadline.is_past(self.now()) {
             return false;
@@ -84,11 +84,12 @@
         self.entries.get(&record.entry) == Some(&record.entry_run)
     }
 
-    /// Asks the side process that a claim names.
+    /// Queries the side process that a claim names.
     pub(super) fn query_claim(&mut self, record: &ClaimRecord, answer: Sender<ClaimQueryResult>) {
-        // Guard: a question that comes before the call itself ends it, as the
-        // side process refuses from then on what it says it has never seen. Of
-        // eight confirmations at once all were told "not run".
+        // A query that reaches the side process before the call itself ends the
+        // call: the side process answers that it has never seen the attempt and
+        // refuses it from then on. Without this check, eight simultaneous
+        // confirmations were all answered "not run".
         if self.is_in_progress(record) {
             answer
                 .send(ClaimQueryResult::Verdict(AttemptVerdict::Running))
@@ -125,7 +126,7 @@
 
 fn claim_record(claim: &Claim, state: ClaimState) -> Option<ClaimRecord> {
     let intent = claim.intent.as_ref()?;
-    // Nothing was recorded, so there is nothing to settle.
+    // No claim was written, so there is none to update.
     if claim.cx.revision == 0 {
         return None;
     }
--- a/crates/bluebellreel_entry/src/online/connections.rs
+++ b/crates/bluebellreel_entry/src/online/connections.rs
@@ -1,4 +1,4 @@
-//! Which of the listed workers the daemon is connected to.
+//! Chooses the listed workers that the daemon connects to.
 
 use crate::handles::DaemonHandles;
 use crate::platform::ListedWorker;
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Between two plans.
+/// Interval between two connection plans.
 const PLAN_PERIOD: Duration = Duration::from_millis(500);
 
 /// Plans the daemon's connections.
@@ -18,7 +18,7 @@
     next_plan_at: Moment,
 }
 
-/// Listed workers to be connected to.
+/// Workers that the daemon should be connected to.
 pub(crate) struct ConnectionTargets {
     pub(crate) workers: Vec<ListedWorker>,
     /// Whether some model lacks workers that may still be found.
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Takes in the VM list; a plan is due at once.
-    pub(crate) fn list(&mut self, list: Vec<ListedWorker>) {
+    /// Replaces the VM list and makes a new plan due at once.
+    pub(crate) fn set_vm_list(&mut self, list: Vec<ListedWorker>) {
         let listing = |listed: &ListedWorker| Listing {
             worker: listed.name.clone(),
             data_centre: listed.data_centre.clone(),
@@ -51,8 +51,8 @@
         self.next_plan_at = Moment(0);
     }
 
-    /// Learns what a worker serves.
-    pub(crate) fn note(&mut self, notice: &EntryNotice, now: Moment) {
+    /// Records the models that a worker serves, and workers that are unreachable.
+    pub(crate) fn on_notice(&mut self, notice: &EntryNotice, now: Moment) {
         match notice {
             EntryNotice::Connected(hello) => {
                 let models = hello.models.iter().cloned();
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Whether a plan is due.
+    /// Whether the next plan is due.
     pub(crate) fn is_due(&self, now: Moment) -> bool {
         self.next_plan_at.is_past(now)
     }
 
-    /// Makes a plan.
+    /// Chooses the workers to connect to and schedules the next plan.
     pub(crate) fn plan(&mut self, needs: &ReachNeeds, now: Moment) -> ConnectionTargets {
         self.next_plan_at = now + PLAN_PERIOD;
         let plan = self.planner.plan(needs, now);
--- a/crates/bluebellreel_entry/src/online/mod.rs
+++ b/crates/bluebellreel_entry/src/online/mod.rs
@@ -1,4 +1,5 @@
-//! Online requests: the part that drives the router, and claims.
+//! Online requests: the component that drives the router, claims of
+//! non-repeatable calls, and the choice of worker connections.
 
 mod caller;
 mod claims;
