--- a/crates/bluebellreel_entry/src/core.rs
+++ b/crates/bluebellreel_entry/src/core.rs
@@ -104,7 +104,8 @@
 
     /// Connections and verdicts concern several parts; the rest concerns one.
     fn deliver_notice(&mut self, notice: EntryNotice) {
-        self.connections.on_notice(&notice, self.handles.clock.now());
+        self.connections
+            .on_notice(&notice, self.handles.clock.now());
         match notice {
             EntryNotice::Connected(hello) => {
                 self.online.on_notice(EntryNotice::Connected(hello.clone()));
--- a/crates/bluebellreel_entry/src/jobs/component.rs
+++ b/crates/bluebellreel_entry/src/jobs/component.rs
@@ -1,4 +1,4 @@
-//! The part that owns jobs.
+//! The component that owns batch jobs.
 
 mod handout;
 mod ownership;
@@ -17,16 +17,16 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Between two looks at all jobs.
+/// Interval between two polls of all jobs.
 const TICK: Duration = Duration::from_millis(50);
-/// How often a worker is told again that batch work waits.
+/// Interval at which an offer of waiting batch work is repeated to a worker.
 const OFFER_REPEAT_PERIOD: Duration = Duration::from_secs(1);
-/// Pause before a job that could not be opened is tried again.
+/// Delay before opening a job is retried.
 const REOPEN_DELAY: Duration = Duration::from_millis(500);
-/// Between two tidyings.
+/// Interval between two clean-ups of the scheduler.
 const CLEANUP_PERIOD: Duration = Duration::from_secs(10);
 
-/// A connected worker as this part sees it.
+/// A connected worker, which pulls batch items.
 struct Puller {
     incarnation: Incarnation,
     models: BTreeSet<ModelName>,
@@ -34,7 +34,8 @@
     offer_at: Moment,
 }
 
-/// Owns jobs.
+/// Owns batch jobs: hands out their items, records results, and takes over jobs
+/// of daemons that are gone.
 pub(crate) struct JobsComponent {
     handles: DaemonHandles,
     scheduler: Board,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Looks at all jobs.
+    /// Polls all jobs, takes over orphaned ones, and sends offers to workers.
     pub(crate) fn tick(&mut self) {
         let now = self.now();
         if !self.tick_at.is_past(now) {
@@ -91,7 +92,7 @@
         self.handles.clock.now()
     }
 
-    /// Hands out nothing new from now on.
+    /// Stops handing out items and prepares all jobs for hand-over.
     pub(crate) fn stop(&mut self) {
         self.stopping = true;
         for job in self.scheduler.jobs.values_mut() {
@@ -99,12 +100,12 @@
         }
     }
 
-    /// Whether all that is out has come back and been recorded.
+    /// Whether all leased items have returned and their results are recorded.
     pub(crate) fn is_idle(&self) -> bool {
         self.scheduler.jobs.values().all(OwnedJob::is_handed_over)
     }
 
-    /// Models and services that waiting items need.
+    /// Models and services needed by waiting items.
     pub(crate) fn waiting_models(&self) -> BTreeSet<ModelName> {
         if self.stopping {
             return BTreeSet::new();
@@ -122,7 +123,7 @@
     }
 
     pub(crate) fn on_entry_left(&mut self, name: &EntryName) {
-        log::warn!(target: "jobs", entry:% = name; "Entry daemon gone.");
+        log::warn!(target: "jobs", entry:% = name; "Entry daemon lease ended.");
         self.index.forget_entry(name);
     }
 
@@ -237,7 +238,7 @@
             return;
         };
         if let Err(reason) = job.note_chunk(chunk, bytes) {
-            log::error!(target: "jobs", job:% = id, reason; "An input chunk is not as accepted.");
+            log::error!(target: "jobs", job:% = id, reason; "Input chunk does not match the accepted job.");
             job.note_chunk_failed(now);
         }
     }
@@ -417,8 +418,8 @@
 }
 
 fn send_pull_answer(pull: PendingPull) {
-    // A side process that is gone hears nothing; its leases come back when
-    // its connection is seen to be lost.
+    // If the side process has disconnected, sending fails. Its leases are
+    // released when the lost connection is reported.
     pull.answer.0.send(pull.ready).ok();
 }
 
--- a/crates/bluebellreel_entry/src/jobs/component/handout.rs
+++ b/crates/bluebellreel_entry/src/jobs/component/handout.rs
@@ -1,4 +1,4 @@
-//! Handing items out to side processes that pull.
+//! Hands out items to side processes that pull.
 
 use super::{JobsComponent, OFFER_REPEAT_PERIOD, dispatch_of, send_pull_answer};
 use crate::jobs::messages::{ClaimedDispatches, JobWrite, JobsMessage, PendingPull};
@@ -45,9 +45,9 @@
         }
     }
 
-    /// Items that may not be repeated leave only after their claims are
-    /// recorded under our epoch, so that an owner that was paused while
-    /// another took over can send none of them.
+    /// Non-repeatable items are sent only after their claims are recorded under
+    /// this owner's epoch, so that an owner that was paused while another took
+    /// over cannot send any of them.
     pub(super) fn write_claims(&mut self, pull: PendingPull) {
         let mut writes = Vec::new();
         for part in &pull.claimed {
@@ -62,8 +62,8 @@
         }
         let handles = self.handles.clone();
         let pull = Box::new(pull);
-        // A pull that cannot be queued is dropped: the side asks again, and
-        // the leases come back when they lapse.
+        // A pull that cannot be queued is dropped: the side process pulls again,
+        // and the items are released when their leases expire.
         self.handles.pool.run(move |kv| {
             let written = writes
                 .into_iter()
@@ -84,15 +84,16 @@
                 JobWrite::Fenced => self.drop_job(&part.job),
             }
         }
-        // A job may have been cancelled, or taken over, while the claims were written.
+        // The job may have been cancelled or taken over while the claims were written.
         let jobs = &self.scheduler.jobs;
         let is_held = |d: &Dispatch| jobs.values().any(|job| job.holds(d.attempt.request));
         pull.ready.retain(is_held);
         send_pull_answer(pull);
     }
 
-    /// The claim's fate is open, but nothing was sent: the items stay claimed
-    /// by attempts that will never run, and are claimed anew later.
+    /// Releases items whose claims may or may not have been written. None of
+    /// them was sent: they stay claimed by attempts that never run, and are
+    /// claimed again for later attempts.
     pub(super) fn release(&mut self, part: &ClaimedDispatches) {
         if let Some(job) = self.scheduler.jobs.get_mut(&part.job) {
             for dispatch in &part.dispatches {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Tells workers that batch work waits, so that they pull.
+    /// Offers waiting batch work to workers, so that they pull.
     pub(super) fn offer_all(&mut self, now: Moment) {
         if self.stopping {
             return;
--- a/crates/bluebellreel_entry/src/jobs/component/ownership.rs
+++ b/crates/bluebellreel_entry/src/jobs/component/ownership.rs
@@ -1,4 +1,4 @@
-//! Which jobs are ours: accepted, taken over, lost.
+//! Ownership of jobs: acceptance, take-over and loss.
 
 use super::{JobsComponent, REOPEN_DELAY};
 use crate::jobs::messages::{JobsMessage, OpenedJob};
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Tries again to open jobs that could not be opened before.
+    /// Retries opening jobs whose earlier attempt failed.
     pub(super) fn reopen_due(&mut self, now: Moment) {
         let due = self.reopen_at.iter().filter(|(_, at)| at.is_past(now));
         let due: Vec<JobId> = due.map(|(id, _)| id.clone()).collect();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Reads what is recorded of a job that is ours, then opens it.
+    /// Reads the recorded state of an owned job; the job is opened once it is read.
     pub(super) fn reopen(&mut self, id: &JobId) {
         let Some(job) = self.index.jobs.get(id) else {
             return;
@@ -73,7 +73,7 @@
             let message = match store::open_job(handles.storage(), record, revision) {
                 Ok(opened) => JobsMessage::Opened(Box::new(opened)),
                 Err(e) => {
-                    log::warn!(target: "jobs", job:% = id, error:% = e; "A job cannot be opened yet.");
+                    log::warn!(target: "jobs", job:% = id, error:% = e; "Job cannot be opened; retrying.");
                     JobsMessage::OpenFailed(id)
                 }
             };
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A job could not be opened: it is tried again later.
+    /// Schedules another attempt for a job that could not be opened.
     pub(super) fn on_open_failed(&mut self, id: JobId) {
         self.opening.remove(&id);
         self.reopen_at.insert(id, self.now() + REOPEN_DELAY);
@@ -97,7 +97,8 @@
         if current != Some(opened.revision) {
             return;
         }
-        // A job may hold any call of a service, so all of them run at most once.
+        // A service job may contain any call of the service, also non-repeatable
+        // ones, so all its calls run at most once.
         let repeatable = matches!(opened.record.target, JobTarget::Chat(_));
         let job = OwnedJob::open(
             opened.record,
@@ -114,7 +115,7 @@
         let Some(mut job) = self.scheduler.jobs.remove(id) else {
             return;
         };
-        log::info!(target: "jobs", job:% = id; "Job is no longer ours.");
+        log::info!(target: "jobs", job:% = id; "Job no longer owned by this daemon.");
         let mut effects = Vec::new();
         job.withdraw_all(&mut effects);
         for effect in effects {
@@ -166,7 +167,8 @@
         }
     }
 
-    /// A record under another owner ends our ownership.
+    /// Updates the index. A newer record that names another owner ends this
+    /// daemon's ownership.
     pub(super) fn note_record(&mut self, record: JobRecord, revision: i64) {
         let mine = self.is_mine(&record);
         let id = record.id.clone();
--- a/crates/bluebellreel_entry/src/jobs/component/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/component/tests.rs
@@ -1,4 +1,4 @@
-//! Jobs at a daemon whose calls to the key-value service queue up.
+//! Tests of job ownership while calls to the key-value service are queued.
 
 use super::*;
 use crate::data::ChunkAccess;
@@ -18,12 +18,12 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc::unbounded_channel, oneshot};
 
-/// Longer than any pause before something is tried again.
+/// Longer than any retry delay.
 const LONGER_THAN_ANY_DELAY: Duration = Duration::from_secs(5);
 
 type Task = Box<dyn FnOnce(&KvClient) + Send>;
 
-/// The part, and the queue of its calls, which takes one.
+/// The component and its call queue, which has a capacity of one.
 struct Fixture {
     part: JobsComponent,
     queue: Receiver<Task>,
@@ -31,33 +31,35 @@
 }
 
 impl Fixture {
-    /// A daemon whose queue is full.
+    /// A component whose call queue is full.
     fn full() -> Self {
         let clock = Clock::standing_at(Moment(1_000_000));
         let (tx, queue) = bounded::<Task>(1);
         let handles = handles(KvPool::Threads(tx), &clock);
-        assert!(handles.pool.run(|_| ()), "one fits");
+        assert!(handles.pool.run(|_| ()), "the queue takes one call");
         let mut part = JobsComponent::new(handles);
         let (name, run) = (part.handles.settings.name.clone(), part.handles.run);
         part.index.note_entry(name, run);
         Self { part, queue, clock }
     }
 
-    /// A daemon with nothing queued.
+    /// A component whose call queue is empty.
     fn idle() -> Self {
         let fixture = Self::full();
         fixture.run_queued();
         fixture
     }
 
-    /// The calls that were queued are made; whether there were any.
+    /// Empties the call queue without running the calls. Returns whether there were
+    /// any.
     fn run_queued(&self) -> bool {
         self.queue.try_iter().map(drop).count() > 0
     }
 
-    /// There is room again; whether something is tried soon.
-    fn tries_once_there_is_room(&mut self) -> bool {
-        assert!(self.run_queued(), "the one that fitted");
+    /// Empties the full queue, then returns whether the component queues a call
+    /// within its retry delay.
+    fn retries_with_a_free_queue(&mut self) -> bool {
+        assert!(self.run_queued(), "the queue held one call");
         for _ in 0..2 {
             self.clock.advance(LONGER_THAN_ANY_DELAY);
             self.part.tick();
@@ -122,34 +124,36 @@
     }
 }
 
-/// A daemon died while too many calls waited at its successor. The take-over was not
-/// queued and never tried again: the dead daemon's job lay for ever.
+/// A daemon died while its successor's call queue was full. The take-over was not
+/// queued and never retried, so the job never continued.
 #[test]
-fn a_take_over_that_found_no_room_is_tried_again() {
+fn a_take_over_that_could_not_be_queued_is_retried() {
     let mut fixture = Fixture::full();
     let jobs = vec![(record("dead"), 1)];
     fixture.part.on_message(JobsMessage::AllJobs(jobs));
     fixture.part.tick();
     fixture.clock.advance(LONGER_THAN_ANY_DELAY);
     fixture.part.tick();
-    assert!(fixture.tries_once_there_is_room());
+    assert!(fixture.retries_with_a_free_queue());
 }
 
-/// The same for a job that is taken over and not read yet.
+/// The same for a job that was taken over but whose recorded state could not be
+/// read because the queue was full.
 #[test]
-fn a_job_that_found_no_room_to_be_opened_is_opened_later() {
+fn a_job_whose_opening_could_not_be_queued_is_opened_later() {
     let mut fixture = Fixture::full();
     let (id, result) = (JobId::from("job"), Some((Box::new(record("e")), 1)));
     let taken = JobsMessage::TakenOver { id, result };
     fixture.part.on_message(taken);
-    assert!(fixture.tries_once_there_is_room());
+    assert!(fixture.retries_with_a_free_queue());
 }
 
-/// All jobs were listed, one was accepted, and then the list was handed in: the
-/// daemon let go of the job, and the watch's word of it changed nothing. Its
-/// record names a daemon that lives, so nobody took it over.
+/// The daemon accepted a job after the list of all jobs was read but before the
+/// list was processed. It dropped the job as missing from the list, and the later
+/// watch event did not restore it. The job's record named a live daemon, so no
+/// daemon took it over.
 #[test]
-fn a_job_that_its_owner_let_go_of_is_taken_over_anew() {
+fn a_job_that_its_owner_dropped_is_taken_over_again() {
     let mut fixture = Fixture::idle();
     let record = record("e");
     let value = store::job_value(&record);
@@ -167,21 +171,21 @@
     fixture.part.tick();
     fixture.clock.advance(LONGER_THAN_ANY_DELAY);
     fixture.part.tick();
-    assert!(fixture.run_queued(), "nobody tries");
+    assert!(fixture.run_queued(), "no take-over was queued");
 }
 
-/// The owner of a job that it holds does not take it from itself: what is out
-/// with workers would run twice.
+/// A daemon must not take over a job that it holds already: items leased to
+/// workers would run twice.
 #[test]
-fn a_job_that_its_owner_holds_stays_as_it_is() {
+fn a_job_that_its_owner_holds_is_not_taken_over() {
     let mut fixture = Fixture::idle();
     let accepted = JobsMessage::Accepted(Box::new(record("e")), 5);
     fixture.part.on_message(accepted);
-    assert!(fixture.run_queued(), "its chunk is read");
+    assert!(fixture.run_queued(), "a read of the input chunk was queued");
     for _ in 0..3 {
         fixture.clock.advance(LONGER_THAN_ANY_DELAY);
         fixture.part.tick();
-        assert!(!fixture.run_queued(), "nothing else is to be done");
+        assert!(!fixture.run_queued(), "no other call must be queued");
     }
 }
 
@@ -210,9 +214,10 @@
     }
 }
 
-/// Guards that nothing is handed out of a job that was dropped while its claims were written.
+/// Items of a job that was dropped while its claims were written are not handed
+/// out.
 #[test]
-fn items_of_a_job_that_was_dropped_meanwhile_are_not_handed_out() {
+fn items_of_a_dropped_job_are_not_handed_out() {
     let mut fixture = Fixture::idle();
     let (tx, mut rx) = oneshot::channel();
     let part = ClaimedDispatches {
--- a/crates/bluebellreel_entry/src/jobs/index.rs
+++ b/crates/bluebellreel_entry/src/jobs/index.rs
@@ -1,4 +1,5 @@
-//! Jobs of the fleet that are not over, by owner.
+//! Index of all running jobs in the fleet and of the entry daemons that may own
+//! them.
 
 use crate::jobs::messages::JobsCount;
 use bluebellreel_job::JobRecord;
@@ -7,24 +8,24 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// How long an owner must be gone before its jobs are taken over.
+/// How long an owner's lease must be missing before its jobs are taken over.
 ///
-/// Guards against a stampede after an outage of the key-value service, when
-/// all leases have lapsed and every daemon is about to take a new one.
+/// Prevents mass take-overs after an outage of the key-value service: all leases
+/// have expired by then, and every daemon is about to acquire a new one.
 const TAKE_OVER_GRACE: Duration = Duration::from_millis(1_500);
 
-/// One job of the index.
+/// A running job.
 #[derive(Clone, Debug)]
 pub(crate) struct IndexedJob {
     pub(crate) record: JobRecord,
     pub(crate) revision: i64,
-    /// When its owner was first missed.
+    /// When the job was first seen without a live owner.
     owner_missing_since: Option<Moment>,
-    /// Whether a take-over is under way here.
+    /// Whether this daemon is trying to take the job over.
     takeover_pending: bool,
 }
 
-/// The index.
+/// Running jobs by id, and live entry daemons by name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct JobIndex {
     pub(crate) jobs: BTreeMap<JobId, IndexedJob>,
@@ -32,7 +33,8 @@
 }
 
 impl JobIndex {
-    /// Takes a record in, unless a later one is known.
+    /// Adds or replaces a job, unless a record of the same or a later revision is
+    /// known.
     pub(crate) fn put(&mut self, record: JobRecord, revision: i64) {
         let known = self.jobs.get(&record.id);
         if known.is_some_and(|job| job.revision >= revision) {
@@ -47,7 +49,7 @@
         self.jobs.insert(job.record.id.clone(), job);
     }
 
-    /// Takes a job out that is over.
+    /// Removes a job that has ended, unless a record of a later revision is known.
     pub(crate) fn remove(&mut self, id: &JobId, revision: i64) {
         let known = self.jobs.get(id);
         if known.is_some_and(|job| job.revision <= revision) {
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Jobs in all and of a team.
+    /// Counts all running jobs and those of a team.
     pub(crate) fn count(&self, team: &TeamName) -> JobsCount {
         let jobs = self.jobs.values();
         JobsCount {
@@ -64,8 +66,8 @@
         }
     }
 
-    /// A take-over did not come about. The grace time begins anew, so that one
-    /// that fails again and again costs few calls.
+    /// Records that a take-over failed. The grace period starts again, so that a
+    /// take-over that keeps failing makes few calls to the key-value service.
     pub(crate) fn on_takeover_failed(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.takeover_pending = false;
@@ -73,12 +75,12 @@
         }
     }
 
-    /// A daemon is there.
+    /// Adds a live entry daemon.
     pub(crate) fn note_entry(&mut self, name: EntryName, run: Incarnation) {
         self.entries.insert(name, run);
     }
 
-    /// A daemon is gone.
+    /// Removes an entry daemon whose lease has ended.
     pub(crate) fn forget_entry(&mut self, name: &EntryName) {
         self.entries.remove(name);
     }
@@ -87,7 +89,7 @@
         self.entries.get(&record.owner) == Some(&record.owner_run)
     }
 
-    /// Jobs whose owner is not there.
+    /// Number of jobs without a live owner.
     pub(crate) fn orphaned(&self) -> usize {
         let orphaned = self
             .jobs
@@ -96,13 +98,13 @@
         orphaned.count()
     }
 
-    /// The jobs that this daemon, in this run, should take over now. Each
-    /// orphaned job has one daemon that ranks highest for it, so that they do
-    /// not all try.
+    /// Jobs that this incarnation of the daemon should take over now. Only the
+    /// live daemon that ranks highest for an orphaned job is its successor, so
+    /// that not all daemons try.
     ///
-    /// Guard: a job that names this run and that it does not hold is taken over
-    /// anew. It had let go of it by mistake, and nobody else would take it up
-    /// while this run lives.
+    /// A job whose record names this incarnation but that the daemon does not
+    /// hold is taken over again: the daemon dropped it by mistake, and no other
+    /// daemon takes it over while this incarnation is live.
     pub(crate) fn due_takeovers(
         &mut self,
         (me, run): (&EntryName, Incarnation),
--- a/crates/bluebellreel_entry/src/jobs/messages.rs
+++ b/crates/bluebellreel_entry/src/jobs/messages.rs
@@ -1,4 +1,4 @@
-//! Messages to the jobs part.
+//! Messages to the jobs component.
 
 use bluebellreel_job::{ClaimedItem, JobRecord};
 use bluebellreel_kv::WatchEvent;
@@ -7,28 +7,28 @@
 use crossbeam_channel::Sender;
 use serde::Serialize;
 
-/// A job's items as its new owner found them.
+/// A job's recorded state as its new owner read it.
 #[derive(Debug)]
 pub(crate) struct OpenedJob {
     pub(crate) record: JobRecord,
     pub(crate) revision: i64,
-    /// Items recorded, and whether they succeeded.
+    /// Indices of the items with a recorded result, and whether each succeeded.
     pub(crate) recorded: Vec<(u32, bool)>,
     pub(crate) claims: Vec<ClaimedItem>,
 }
 
-/// What became of a write to a job.
+/// The result of a write to a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobWrite {
-    /// It took effect.
+    /// The write was applied.
     Done,
-    /// The job is another's, or over.
+    /// The write was refused: the job has another owner or has ended.
     Fenced,
-    /// It is to be made again.
+    /// The write may not have been applied and has to be retried.
     Failed,
 }
 
-/// A pull whose claims are being written.
+/// A worker's pull whose items' claims are being written.
 #[derive(Debug)]
 pub(crate) struct PendingPull {
     pub(crate) answer: PullAnswer,
@@ -36,39 +36,39 @@
     pub(crate) claimed: Vec<ClaimedDispatches>,
 }
 
-/// One job's part of such a pull.
+/// Dispatches of a pull that belong to one job and need claims.
 #[derive(Debug)]
 pub(crate) struct ClaimedDispatches {
     pub(crate) job: JobId,
     pub(crate) dispatches: Vec<Dispatch>,
 }
 
-/// What reaches the jobs part.
+/// A message to the jobs component.
 #[derive(Debug)]
 pub(crate) enum JobsMessage {
-    /// A job has been accepted here.
+    /// A job was accepted by this daemon, at this revision of its record.
     Accepted(Box<JobRecord>, i64),
-    /// All jobs that are not over, read anew.
+    /// The complete list of running jobs, with the revisions of their records.
     AllJobs(Vec<(JobRecord, i64)>),
-    /// A job's record changed.
+    /// The record of a running job was changed or deleted.
     Changed(WatchEvent),
-    /// A job has been opened by its new owner.
+    /// The recorded state of an owned job was read.
     Opened(Box<OpenedJob>),
-    /// A job could not be opened.
+    /// The recorded state of an owned job could not be read.
     OpenFailed(JobId),
-    /// A take-over has been tried.
+    /// A take-over ended: the new record and its revision, or `None` if it failed.
     TakenOver {
         id: JobId,
         result: Option<(Box<JobRecord>, i64)>,
     },
-    /// An input chunk was read, or not.
+    /// An input chunk was read, `None` if that failed.
     Chunk {
         id: JobId,
         epoch: u64,
         chunk: u32,
         bytes: Option<Vec<u8>>,
     },
-    /// Results were written, or not.
+    /// An attempt to write results ended.
     Recorded {
         id: JobId,
         epoch: u64,
@@ -77,48 +77,49 @@
         failed: u32,
         write: JobWrite,
     },
-    /// A job's end was written, or not.
+    /// An attempt to write a job's end ended.
     Closed {
         id: JobId,
         epoch: u64,
         write: JobWrite,
     },
-    /// Claims of a pull were written, or not, in the order of its parts.
+    /// Attempts to write a pull's claims ended; results are in the order of
+    /// `claimed`.
     Claimed {
         pull: Box<PendingPull>,
         written: Vec<JobWrite>,
     },
-    /// The jobs here are asked for.
+    /// Requests a summary of the jobs.
     QuerySummary(Sender<JobsSummary>),
-    /// How many jobs run is asked for, in all and of one team.
+    /// Requests the number of running jobs, in total and of one team.
     QueryCount(TeamName, Sender<JobsCount>),
 }
 
-/// Jobs of the fleet that are not over.
+/// Number of running jobs in the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct JobsCount {
-    /// All.
+    /// Jobs of all teams.
     pub(crate) all: usize,
-    /// Those of the team that was asked about.
+    /// Jobs of the requested team.
     pub(crate) of_team: usize,
 }
 
-/// Jobs as this daemon sees them.
+/// Summary of the jobs known to this daemon.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct JobsSummary {
-    /// Jobs in the fleet that are not over.
+    /// Running jobs in the fleet.
     pub(crate) running: usize,
-    /// Jobs owned here.
+    /// Jobs owned by this daemon.
     pub(crate) owned: Vec<OwnedSummary>,
-    /// Running jobs whose owner is not there.
+    /// Running jobs without a live owner.
     pub(crate) orphaned: usize,
     /// Running jobs past their deadline.
     pub(crate) late: usize,
-    /// Bytes of results not yet recorded here.
+    /// Bytes of results that this daemon has not recorded yet.
     pub(crate) unrecorded_bytes: usize,
 }
 
-/// One owned job.
+/// A job owned by this daemon.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct OwnedSummary {
     pub(crate) id: JobId,
--- a/crates/bluebellreel_entry/src/jobs/mod.rs
+++ b/crates/bluebellreel_entry/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! Batch jobs: accepting, owning, reading back.
+//! Batch jobs: acceptance, ownership, and reading of results.
 
 mod component;
 mod index;
--- a/crates/bluebellreel_entry/src/jobs/results.rs
+++ b/crates/bluebellreel_entry/src/jobs/results.rs
@@ -1,4 +1,4 @@
-//! Reading a job's results back, page by page.
+//! Reads a job's results page by page.
 
 use crate::jobs::store::{JobStorage, READ_PAGE, for_each_result, load_chunk, results_of};
 use crate::platform::output_prefix;
@@ -33,19 +33,19 @@
     pub(crate) attempts: u32,
 }
 
-/// A page of results and where the next one begins.
+/// A page of results and the cursor of the next one.
 #[derive(Clone, Debug)]
 pub(crate) struct ResultPage {
     pub(crate) lines: Vec<ItemLine>,
-    /// Cursor of the next page; none when this was the last one.
+    /// Cursor of the next page, `None` on the last page.
     pub(crate) next: Option<String>,
 }
 
-/// Cursor of the part that lists items without a recorded result.
+/// Cursor prefix of the pages that list items without a recorded result.
 const UNFINISHED: &str = "unfinished";
 
-/// Reads one page of results, in the order in which they were recorded. Items
-/// of a cancelled or expired job that never finished come last.
+/// Reads one page of results in the order in which they were recorded. Unfinished
+/// items of a cancelled or expired job come last.
 pub(crate) fn read_results(
     storage: JobStorage<'_>,
     record: &JobRecord,
@@ -90,8 +90,9 @@
     record: &JobRecord,
     result: ItemResult,
 ) -> Result<ItemLine, KvError> {
-    // An item that ended in doubt under a later owner was recorded before its
-    // chunk was read again; its name is found here.
+    // A later owner records an item with an unknown outcome before it has read
+    // the item's chunk, so the result has no custom id. It is read from the
+    // chunk here.
     let custom_id = if result.custom_id.is_empty() {
         name_of(storage, record, result.index)?
     } else {
@@ -139,7 +140,7 @@
     bluebellreel_job::custom_ids(&bytes).map_err(KvError::Refused)
 }
 
-/// Lists the items of one input chunk that have no recorded result.
+/// Reads the page of one input chunk's items without a recorded result.
 fn read_unfinished(
     storage: JobStorage<'_>,
     record: &JobRecord,
--- a/crates/bluebellreel_entry/src/jobs/store.rs
+++ b/crates/bluebellreel_entry/src/jobs/store.rs
@@ -1,4 +1,4 @@
-//! Jobs as they are kept.
+//! Jobs in the key-value service and on disks.
 
 use crate::data::ChunkAccess;
 use crate::jobs::messages::{JobWrite, OpenedJob};
@@ -14,35 +14,34 @@
 use bluebellreel_types::{EntryName, Incarnation, JobId, Moment, content_digest};
 use std::time::Duration;
 
-/// Longest time for one write to a job before it is tried again later.
+/// Timeout of one write to a job; the job's owner retries it later.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Result chunks read at one time.
+/// Result chunks read by one call.
 pub(crate) const READ_PAGE: usize = 4;
 
-/// Where jobs are kept: the key-value service, and disks for the chunks of
-/// large ones.
+/// Storage of jobs: the key-value service, and disks for large chunks.
 #[derive(Clone, Copy)]
 pub(crate) struct JobStorage<'a> {
     pub(crate) kv: &'a KvClient,
     pub(crate) data: &'a ChunkAccess,
 }
 
-/// A job as it is found.
+/// A stored job and the revision of its record.
 #[derive(Clone, Debug)]
 pub(crate) struct FoundJob {
     pub(crate) record: JobRecord,
     pub(crate) revision: i64,
 }
 
-/// A record as it is stored.
+/// The stored form of a job's record.
 pub(crate) fn job_value(record: &JobRecord) -> Vec<u8> {
     serde_json::to_vec(record).unwrap_or_default()
 }
 
-/// Finds a job, running or over.
+/// Finds a running or ended job.
 pub(crate) fn find_job(kv: &KvClient, id: &JobId) -> Result<Option<FoundJob>, KvError> {
-    // Running first: a job moves to `done/` in one transaction, so one that is
-    // not running any more is found there.
+    // Reads `job/` first: a job moves to `done/` in one transaction, so a job
+    // that has left `job/` by the first read is found by the second.
     for key in [job_key(id), done_key(id)] {
         if let Some(found) = kv.get(&key)? {
             let record = serde_json::from_slice(&found.value)
@@ -54,9 +53,9 @@
     Ok(None)
 }
 
-/// Takes a job over from an owner that is gone. The record's revision is the
-/// guard: of two daemons that try, one wins, and the old owner's writes fail
-/// from then on.
+/// Takes over a job whose owner is gone. The write is conditional on the record's
+/// revision: of two daemons that try, only one succeeds, and the former owner's
+/// writes fail from then on.
 pub(crate) fn take_over(
     kv: &KvClient,
     record: &JobRecord,
@@ -72,7 +71,7 @@
     }
 }
 
-/// Reads what is recorded of a job.
+/// Reads a job's recorded results and claims.
 pub(crate) fn open_job(
     storage: JobStorage<'_>,
     record: JobRecord,
@@ -97,7 +96,7 @@
     })
 }
 
-/// Visits every result that is recorded.
+/// Visits every recorded result of a job.
 pub(crate) fn for_each_result(
     storage: JobStorage<'_>,
     record: &JobRecord,
@@ -111,7 +110,7 @@
     })
 }
 
-/// The results of one chunk, wherever they lie.
+/// The results of one chunk, read from disks if they are stored there.
 pub(crate) fn results_of(
     storage: JobStorage<'_>,
     record: &JobRecord,
@@ -129,7 +128,8 @@
     serde_json::from_slice(value).map_err(|e| KvError::Refused(e.to_string()))
 }
 
-/// Reads the values of a prefix in order, a few at one time.
+/// Visits the values of a prefix in key order, reading [`READ_PAGE`] of them per
+/// call.
 fn for_each_chunk(
     kv: &KvClient,
     prefix: &Key,
@@ -148,7 +148,7 @@
     }
 }
 
-/// Reads an input chunk and checks that it is the one that was accepted.
+/// Reads an input chunk and checks its digest against the job's record.
 pub(crate) fn load_chunk(
     storage: JobStorage<'_>,
     record: &JobRecord,
@@ -164,7 +164,7 @@
     match found {
         Ok(Some(bytes)) if content_digest(&bytes) == expected.digest => Some(bytes),
         Ok(Some(_)) => {
-            log::error!(target: "jobs", job:% = record.id, chunk; "An input chunk is damaged.");
+            log::error!(target: "jobs", job:% = record.id, chunk; "Input chunk does not match its digest.");
             None
         }
         Ok(None) => {
@@ -172,7 +172,7 @@
             None
         }
         Err(e) => {
-            log::warn!(target: "jobs", job:% = record.id, error:% = e; "An input chunk cannot be read.");
+            log::warn!(target: "jobs", job:% = record.id, error:% = e; "Input chunk cannot be read.");
             None
         }
     }
@@ -186,15 +186,15 @@
     }
 }
 
-/// Guards a write by the record: an owner that another has followed, or whose
-/// job was cancelled, can write nothing more.
+/// A write that is conditional on the job record's revision: it fails once
+/// another owner has taken over or the job has ended.
 fn guarded(record: &JobRecord, revision: i64, key: Key, value: Vec<u8>) -> Txn {
     Txn::create(key, value).and(Compare::Unchanged(job_key(&record.id), revision))
 }
 
-/// Writes results: to disks, and only their place to the key-value service, or
-/// all of it there if they are few or no disk takes them. Results are never
-/// given up for want of a disk.
+/// Writes results to disks and a reference to them to the key-value service.
+/// Small results, and those that no disk accepts, go to the key-value service as
+/// a whole, so results are never lost for lack of a disk.
 pub(crate) fn record_results(
     storage: JobStorage<'_>,
     record: &JobRecord,
@@ -224,10 +224,11 @@
     let key = output_key(&record.id, record.epoch, seq);
     let txn = guarded(record, revision, key.clone(), value);
     match storage.kv.commit(&txn, storage.kv.now() + WRITE_TIMEOUT) {
-        // Guard: a try whose answer was lost is no other owner's. Taken for one,
-        // its job was let go of and lay for ever, as its record names a daemon
-        // that lives. Only an owner writes under its epoch, and equal results
-        // are no others'.
+        // If the response to an earlier attempt was lost, a retry finds the key
+        // already written by this owner, not by another one. Treated as fenced,
+        // the owner dropped its job, which no daemon took over because its
+        // record still named a live daemon. Only the owner writes under its
+        // epoch, so equal results under this key are its own.
         Commit::Beaten(found) if found.iter().any(|kv| kv.key == key && holds(kv, results)) => {
             JobWrite::Done
         }
@@ -235,7 +236,7 @@
     }
 }
 
-/// Whether a chunk of results holds just these, wherever they lie.
+/// Whether a stored chunk contains exactly these results, inline or on disks.
 fn holds(kv: &KeyValue, results: &[ItemResult]) -> bool {
     let Ok(chunk) = parse::<ResultChunk>(&kv.value) else {
         return false;
@@ -249,7 +250,7 @@
     }
 }
 
-/// Writes claims of items that may not be repeated.
+/// Writes claims of non-repeatable items.
 pub(crate) fn record_claims(
     kv: &KvClient,
     record: &JobRecord,
@@ -267,7 +268,8 @@
     write_of(&kv.commit(&txn, kv.now() + WRITE_TIMEOUT))
 }
 
-/// Moves a job to its end, in one transaction with one winner.
+/// Moves a job to `done/` in one conditional transaction, so that it ends only
+/// once.
 pub(crate) fn close_job(
     kv: &KvClient,
     record: &JobRecord,
@@ -300,23 +302,24 @@
     .deleting(running)
 }
 
-/// How a cancel came out.
+/// The result of a cancellation.
 #[derive(Clone, Debug)]
 pub(crate) enum CancelAnswer {
-    /// The job is over this way, by this cancel or before it.
+    /// The job has ended, by this cancellation or before it.
     Over(Box<JobRecord>),
     /// There is no such job.
     NoSuchJob,
-    /// It could not be recorded; whether it was is told by the flag.
+    /// The cancellation was not confirmed; `unknown` tells whether it may have taken
+    /// effect.
     Failed {
-        /// Whether it may have taken effect.
+        /// Whether the cancellation may have taken effect.
         unknown: bool,
-        /// Why.
+        /// Why it was not confirmed.
         reason: String,
     },
 }
 
-/// Cancels a job for good. Answered only once it is recorded.
+/// Cancels a job permanently. Returns `Over` only after the end is recorded.
 pub(crate) fn cancel_job(storage: JobStorage<'_>, id: &JobId, now: Moment) -> CancelAnswer {
     let kv = storage.kv;
     let until = kv.now() + WRITE_TIMEOUT;
@@ -338,7 +341,7 @@
         let txn = end_txn(&found.record, found.revision, &ended);
         match kv.commit(&txn, until) {
             Commit::Applied { .. } => return CancelAnswer::Over(Box::new(ended)),
-            // Completed, or taken over, at the same moment: look again.
+            // The job was completed or taken over concurrently: read it again.
             Commit::Beaten(_) if !until.is_past(kv.now()) => {}
             Commit::Beaten(_) => {
                 let reason = "the job changes too often".into();
@@ -357,7 +360,7 @@
     }
 }
 
-/// Counts the results that are recorded.
+/// Counts a job's recorded results.
 fn count_results(storage: JobStorage<'_>, record: &JobRecord) -> Result<JobCounts, KvError> {
     let mut counts = JobCounts::default();
     for_each_result(storage, record, |result| match result.end {
--- a/crates/bluebellreel_entry/src/jobs/store/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/store/tests.rs
@@ -1,4 +1,4 @@
-//! What writes to a job lead to.
+//! Tests of writes to a job.
 
 use super::*;
 use bluebellreel_kv::KvSettings;
@@ -8,13 +8,13 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Room of the stand-in's values.
+/// Total size of values that the key-value stand-in accepts.
 const VALUE_BYTES: usize = 1 << 20;
 
 struct Fixture {
     kv: KvClient,
     data: ChunkAccess,
-    /// Whether calls are done and their answers lost.
+    /// Whether calls are executed but their responses are lost.
     drops_answers: Arc<AtomicBool>,
     clock: Clock,
 }
@@ -24,11 +24,11 @@
         let clock = Clock::standing_at(Moment(1_000_000));
         let calls = Mutex::new(KvCalls::new(VALUE_BYTES));
         let drops_answers = Arc::new(AtomicBool::new(false));
-        let (time, drop_answers) = (clock.clone(), drops_answers.clone());
+        let (time, is_lost) = (clock.clone(), drops_answers.clone());
         let send = move |path: &str, body: &serde_json::Value| {
             let mut calls = calls.lock().expect("no test thread panicked");
             let answer = calls.call(path, body, time.now());
-            if drop_answers.load(Ordering::Relaxed) {
+            if is_lost.load(Ordering::Relaxed) {
                 return Err(KvError::Unknown("the answer is lost".into()));
             }
             answer.map_err(KvError::Refused)
@@ -96,11 +96,11 @@
     }
 }
 
-/// Results were written, but the answer was lost for as long as the write was
-/// tried. The next try found them and took them for another owner's: the daemon
-/// let go of its job, which then lay for ever.
+/// Results were written, but every response was lost until the write timed out.
+/// The retry found the results and took them for another owner's, so the daemon
+/// dropped its job, which never continued.
 #[test]
-fn results_whose_answer_was_lost_are_found() {
+fn results_whose_response_was_lost_are_found() {
     let fixture = Fixture::new();
     let record = record();
     let revision = fixture.put(&record);
@@ -111,10 +111,10 @@
     assert_eq!(fixture.write(&record, revision, 1), JobWrite::Done);
 }
 
-/// Other results under the same number are no lost answer: passed over, the
-/// later ones would be gone.
+/// Different results under the same sequence number are not a retry after a lost
+/// response. Accepted as one, the later results would be lost.
 #[test]
-fn other_results_under_a_number_are_not_taken_for_these() {
+fn different_results_under_a_sequence_number_are_fenced() {
     let fixture = Fixture::new();
     let record = record();
     let revision = fixture.put(&record);
@@ -124,7 +124,7 @@
     assert_eq!(other, JobWrite::Fenced);
 }
 
-/// An owner that another has followed can write nothing more.
+/// An owner whose job another daemon has taken over cannot write to it.
 #[test]
 fn a_former_owner_is_fenced() {
     let fixture = Fixture::new();
--- a/crates/bluebellreel_entry/src/jobs/sweep.rs
+++ b/crates/bluebellreel_entry/src/jobs/sweep.rs
@@ -1,8 +1,7 @@
-//! Removes what is not needed any more: chunks of uploads that were cut off,
-//! and jobs whose results have been kept long enough.
+//! Removes chunks of interrupted uploads and jobs past their retention period.
 //!
-//! All of it may be done twice, or half and then again: only what no record
-//! names is removed, and a job's record goes last.
+//! A sweep may be interrupted and repeated at any point: it removes only chunks
+//! that no record refers to, and deletes a job's record last.
 
 use crate::handles::DaemonHandles;
 use crate::jobs::store::{JobStorage, find_job};
@@ -19,27 +18,27 @@
 use std::thread;
 use std::time::{Duration, SystemTime};
 
-/// Between two passes.
+/// Interval between two passes.
 const SWEEP_PERIOD: Duration = Duration::from_mins(10);
-/// Between two looks at whether the daemon stops.
+/// Interval at which the sweeper checks whether the daemon has stopped.
 const STOP_POLL_PERIOD: Duration = Duration::from_secs(1);
-/// Age at which an upload without a record is no upload under way any more.
+/// Age at which an upload without a record counts as abandoned.
 pub(crate) const ABANDONED_UPLOAD_AGE: Duration = Duration::from_hours(1);
-/// Keys looked at in one pass.
+/// Maximum number of keys read in one pass.
 const MAX_KEYS_PER_PASS: usize = 2_000;
-/// Folders of a disk looked at in one pass.
+/// Maximum number of a disk's folders checked in one pass.
 const MAX_FOLDERS_PER_PASS: usize = 500;
-/// Longest time for one removal.
+/// Timeout for one removal.
 const REMOVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where a sweep of the key-value service goes on.
+/// Positions at which the next pass continues.
 #[derive(Debug, Default)]
 pub(crate) struct Sweeper {
     next_input: Option<Key>,
     next_folder: usize,
 }
 
-/// Sweeps from time to time, until the daemon stops.
+/// Starts the thread that sweeps periodically until the daemon stops.
 pub(crate) fn start_sweeper(handles: &DaemonHandles) -> io::Result<()> {
     let handles = handles.clone();
     thread::Builder::new()
@@ -52,7 +51,7 @@
                 if due.is_past(handles.clock.now()) {
                     due = handles.clock.now() + SWEEP_PERIOD;
                     if let Err(e) = sweeper.pass(&handles) {
-                        log::warn!(target: "jobs", error:% = e; "A sweep was cut short.");
+                        log::warn!(target: "jobs", error:% = e; "Sweep interrupted; the next pass continues.");
                     }
                 }
             }
@@ -63,8 +62,8 @@
 impl Sweeper {
     fn pass(&mut self, handles: &DaemonHandles) -> Result<(), KvError> {
         let now = handles.clock.now();
-        // One daemon is enough for the key-value service; that another may
-        // think itself the first as well does no harm.
+        // Only the first daemon by name sweeps the key-value service. It does no
+        // harm if two daemons each find themselves first.
         if is_first(handles)? {
             self.sweep_uploads(handles.storage(), now)?;
             sweep_ended(&handles.kv, handles.settings.limits.keep, now)?;
@@ -75,7 +74,7 @@
         Ok(())
     }
 
-    /// Removes input chunks of uploads that no record names.
+    /// Removes input chunks of abandoned uploads from the key-value service.
     pub(crate) fn sweep_uploads(
         &mut self,
         storage: JobStorage<'_>,
@@ -92,7 +91,7 @@
         let mut removed = 0;
         for (job, upload) in uploads {
             if is_abandoned(storage.kv, &job, &upload, now)? {
-                log::info!(target: "jobs", job:% = job; "Chunks of a cut-off upload are removed.");
+                log::info!(target: "jobs", job:% = job; "Removing chunks of an interrupted upload.");
                 let prefix = input_prefix(&job, &upload);
                 storage
                     .kv
@@ -107,7 +106,7 @@
         Ok(removed)
     }
 
-    /// Removes folders of uploads that no record names from this VM's disk.
+    /// Removes folders of abandoned uploads from this VM's disk.
     fn sweep_disk(&mut self, kv: &KvClient, own: &ChunkStore) -> Result<(), KvError> {
         let folders = own.folders_by_age();
         let mut folders = folders.map_err(|e| KvError::NotDone(e.to_string()))?;
@@ -122,9 +121,9 @@
         for (folder, written_at) in some {
             self.next_folder += 1;
             if is_old(written_at) && !is_referenced(kv, &folder)? {
-                log::info!(target: "data", job:% = folder.job; "Chunks that no job names are removed.");
+                log::info!(target: "data", job:% = folder.job; "Removing chunks that no job refers to.");
                 if let Err(e) = own.remove(&folder) {
-                    log::error!(target: "data", error:% = e; "Chunks could not be removed.");
+                    log::error!(target: "data", error:% = e; "Failed to remove chunks.");
                 }
             }
         }
@@ -141,7 +140,7 @@
     Ok(first.first().is_some_and(|found| found.key == me))
 }
 
-/// The upload that a key of an input chunk names.
+/// The job and upload in the key of an input chunk.
 fn upload_of(kv: &bluebellreel_kv::KeyValue) -> Option<(JobId, String)> {
     let mut segments = kv.key.as_str().split('/').skip(1);
     Some((JobId::from(segments.next()?), segments.next()?.to_owned()))
@@ -169,10 +168,11 @@
     Ok(found.is_some_and(|found| *found.record.upload == *folder.upload))
 }
 
-/// Removes jobs that ended longer ago than `keep`; how many.
+/// Removes jobs that ended longer ago than `keep`. Returns the number of end
+/// markers that were processed.
 pub(crate) fn sweep_ended(kv: &KvClient, keep: Duration, now: Moment) -> Result<usize, KvError> {
     let keep_days = keep.as_secs() / 86_400;
-    // The day of the end counts as not over yet.
+    // The day on which a job ended does not count towards its retention.
     let Some(last) = day_of(now).checked_sub(keep_days + 1) else {
         return Ok(0);
     };
@@ -189,11 +189,11 @@
     Ok(page.len())
 }
 
-/// Removes a job, if it is still the one that ended by the day `last`.
+/// Removes a job if it ended on the day `last` or earlier.
 ///
-/// A sweep that was cut off after it removed the record leaves its mark behind.
-/// The caller may have used the key again since: the new job has the same id,
-/// and must lose nothing by the old one's mark.
+/// A sweep that is interrupted after it has deleted the record leaves the end
+/// marker behind. If the caller has reused the idempotency key since, the new job
+/// has the same id and must not be removed because of the old marker.
 fn remove_if_old(kv: &KvClient, id: &JobId, last: u64) -> Result<(), KvError> {
     let Some(found) = find_job(kv, id)? else {
         return Ok(());
@@ -202,7 +202,7 @@
     if ended.is_none_or(|ended_at| day_of(ended_at) > last) {
         return Ok(());
     }
-    log::info!(target: "jobs", job:% = id; "Job removed: kept long enough.");
+    log::info!(target: "jobs", job:% = id; "Job removed: retention period ended.");
     let inputs = input_prefix(id, &found.record.upload);
     let all = [
         output_prefix(id),
@@ -232,7 +232,7 @@
     const LINE: &[u8] = br#"{"custom_id":"a","method":"POST","url":"/v1/chat/completions","body":{"model":"m","messages":[{"role":"user","content":"a"}]}}"#;
     const KEEP: Duration = Duration::from_hours(24 * 2);
 
-    /// All input chunks of a job.
+    /// Prefix of all input chunks of a job.
     fn job_inputs(id: &JobId) -> Key {
         Key::from(format!("in/{id}/"))
     }
@@ -289,8 +289,8 @@
             submission.id
         }
 
-        /// A daemon died while it took an upload in.
-        fn cut_off_upload(&self, key: &str) -> JobId {
+        /// Leaves the chunk of an upload whose daemon died before the record was created.
+        fn interrupted_upload(&self, key: &str) -> JobId {
             let job = JobId::derived(&TeamName::from("school"), key);
             let upload = upload_name(self.clock.now());
             let txn = Txn::create(input_key(&job, &upload, 0), b"half a job".to_vec());
@@ -313,30 +313,31 @@
         }
     }
 
-    /// A daemon died in the middle of an upload. Its chunks must go, but not
-    /// those of an upload that is still under way, nor any that a job names.
+    /// A daemon died during an upload. The sweep removes the upload's chunks, but
+    /// neither those of a recent upload, which may still be in progress, nor those
+    /// of an accepted job.
     #[test]
     fn only_abandoned_uploads_are_removed() {
         let fixture = Fixture::new();
-        let dead = fixture.cut_off_upload("dead");
+        let dead = fixture.interrupted_upload("dead");
         let accepted = fixture.submit("accepted");
         fixture
             .clock
             .advance(ABANDONED_UPLOAD_AGE + Duration::from_secs(1));
-        let young = fixture.cut_off_upload("young");
+        let young = fixture.interrupted_upload("young");
         fixture.sweep();
         assert_eq!(fixture.inputs(&dead), 0);
         assert_eq!(fixture.inputs(&young), 1);
         assert_eq!(fixture.inputs(&accepted), 1);
     }
 
-    /// A resend of a job was cut off beside the first one: same job, another
-    /// upload. Only the resend's chunks go.
+    /// A resend of an accepted job was interrupted: same job, another upload. Only
+    /// the resend's chunks are removed.
     #[test]
     fn chunks_of_the_accepted_upload_stay() {
         let fixture = Fixture::new();
         let job = fixture.submit("twice");
-        fixture.cut_off_upload("twice");
+        fixture.interrupted_upload("twice");
         assert_eq!(fixture.inputs(&job), 2);
         fixture
             .clock
@@ -345,10 +346,10 @@
         assert_eq!(fixture.inputs(&job), 1);
     }
 
-    /// Results stay readable for as long as was promised, and not for ever. A
-    /// job that still runs is never removed, however old it is.
+    /// An ended job stays readable for the retention period and is removed after
+    /// it. A running job is never removed, whatever its age.
     #[test]
-    fn ended_jobs_go_after_their_time_and_running_ones_never() {
+    fn ended_jobs_are_removed_after_retention_and_running_ones_never() {
         let fixture = Fixture::new();
         let (ended, running) = (fixture.submit("ended"), fixture.submit("running"));
         let over = cancel_job(fixture.storage(), &ended, fixture.clock.now());
@@ -364,11 +365,11 @@
         assert_eq!(fixture.inputs(&running), 1);
     }
 
-    /// A sweep was cut off after it had removed a job's record, but not the mark
-    /// of its end. The caller used the key again; the next sweep found the mark
-    /// and took the new, running job's notes away.
+    /// A sweep was interrupted after it had deleted a job's record, but not its end
+    /// marker. The caller reused the key; the next sweep found the marker and
+    /// deleted data of the new, running job.
     #[test]
-    fn key_used_again_loses_nothing_to_a_sweep_that_was_cut_off() {
+    fn reused_key_loses_nothing_to_an_interrupted_sweep() {
         let fixture = Fixture::new();
         let job = fixture.submit("again");
         let over = cancel_job(fixture.storage(), &job, fixture.clock.now());
--- a/crates/bluebellreel_entry/src/jobs/upload.rs
+++ b/crates/bluebellreel_entry/src/jobs/upload.rs
@@ -1,5 +1,5 @@
-//! Accepting a job: its body streams into input chunks, then its record is
-//! created. The record is the acceptance.
+//! Accepts a job: streams its body into input chunks, then creates its record.
+//! The job is accepted exactly when its record exists.
 
 use crate::data::PutError;
 use crate::jobs::store::{JobStorage, find_job, job_value};
@@ -13,23 +13,23 @@
 use sha2::{Digest, Sha256};
 use std::time::Duration;
 
-/// Longest time to store one chunk.
+/// Timeout for storing one chunk.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(5);
-/// When a caller may come back whose job found the disks full.
+/// `Retry-After` of a job that was refused because the disks are full.
 const DISKS_FULL_RETRY_AFTER: Duration = Duration::from_mins(1);
-/// Longest time to create the record.
+/// Timeout for creating the record.
 const ACCEPT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How a submission came out.
+/// The result of a successful submission.
 #[derive(Debug)]
 pub(crate) enum AcceptAnswer {
-    /// Accepted now, at this revision of its record.
+    /// The job was accepted at this revision of its record.
     Accepted(Box<JobRecord>, i64),
-    /// The same job had been accepted before.
+    /// The same job had been accepted earlier.
     Existing(Box<JobRecord>),
 }
 
-/// Who submits, and how.
+/// A job to be accepted, apart from its body.
 #[derive(Clone, Debug)]
 pub(crate) struct Submission {
     pub(crate) id: JobId,
@@ -41,7 +41,7 @@
     pub(crate) max_items: usize,
 }
 
-/// Hashes a body that is read piece by piece.
+/// Hashes the body that `next` yields piece by piece.
 pub(crate) fn digest_body(
     mut next: impl FnMut() -> Result<Option<Vec<u8>>, ApiError>,
 ) -> Result<String, ApiError> {
@@ -52,8 +52,8 @@
     Ok(hex::encode(hasher.finalize()))
 }
 
-/// Accepts a job whose body `next` gives piece by piece. `admit` may refuse a
-/// new one; a resend of one that was accepted always finds it.
+/// Accepts a job whose body `next` yields piece by piece. `admit` may refuse a new
+/// job; a resend of an accepted job always returns the accepted one.
 pub(crate) fn accept_job(
     storage: JobStorage<'_>,
     submission: &Submission,
@@ -166,8 +166,9 @@
     })
 }
 
-/// Keeps a chunk on disks; none if no volume has both holders now, as in a site
-/// that has just started: then the key-value service takes it.
+/// Stores a chunk on disks. Returns `None` if no volume has both its holders now,
+/// as in a site that has just started; the chunk then goes to the key-value
+/// service.
 fn store_on_disks(
     storage: JobStorage<'_>,
     submission: &Submission,
@@ -188,7 +189,8 @@
     }
 }
 
-/// Nothing of a job runs before its record is there, so "not run" is true.
+/// The error of a job that was not accepted. No item runs before the record
+/// exists, so "not run" is correct.
 fn not_accepted(reason: &str) -> ApiError {
     let message = format!("the job could not be stored: {reason}");
     ApiError::new(503, "unavailable", message).retry_after(Duration::from_secs(2))
@@ -221,7 +223,7 @@
             discard_upload(kv, &record.id, &record.upload);
             Err(not_accepted(&reason))
         }
-        // The record may be there: only a resend, or a look, can tell.
+        // The record may exist: the caller has to resend or read the job.
         Commit::Unknown(reason) => {
             let message = format!("whether the job was accepted is not known: {reason}");
             let error = ApiError::new(503, "unknown", message).ran(Ran::Unknown);
@@ -230,7 +232,8 @@
     }
 }
 
-/// The same key finds the first job; with another body it is an error.
+/// Answers a submission whose key was used before: the existing job if the body
+/// is the same, else an error.
 fn same_body(first: JobRecord, digest: &str) -> Result<AcceptAnswer, ApiError> {
     if first.digest == digest {
         return Ok(AcceptAnswer::Existing(Box::new(first)));
@@ -242,12 +245,12 @@
     Err(ApiError::new(409, "key_reused", message))
 }
 
-/// Deletes the chunks of an upload that no record names. What cannot be
-/// deleted now is found by the sweep.
+/// Deletes the chunks of an upload that no record refers to. The sweeper later
+/// removes chunks that cannot be deleted now.
 fn discard_upload(kv: &KvClient, id: &JobId, upload: &str) {
     let prefix = input_prefix(id, upload);
     let until = kv.now() + CHUNK_TIMEOUT;
     if let Err(e) = kv.delete_prefix(&prefix, until) {
-        log::warn!(target: "jobs", job:% = id, error:% = e; "Chunks were left behind.");
+        log::warn!(target: "jobs", job:% = id, error:% = e; "Chunks of a refused upload could not be deleted; the sweeper removes them later.");
     }
 }
