--- a/crates/bluebellreel_entry/src/fleet/component.rs
+++ b/crates/bluebellreel_entry/src/fleet/component.rs
@@ -1,4 +1,4 @@
-//! The part that brings manifests into force.
+//! The component that brings manifests into force and matches the fleet to them.
 
 use crate::fleet::messages::{DrainOrder, FleetMessage, FleetSummary};
 use crate::handles::DaemonHandles;
@@ -13,15 +13,16 @@
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
 
-/// Between two repairs of side processes that are behind.
+/// Interval at which side processes with an older manifest are sent the current
+/// one again.
 const CATCH_UP_PERIOD: Duration = Duration::from_millis(500);
 
-/// The manifest in force, for threads that serve callers.
+/// The manifest in force, shared with the HTTP threads.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedManifest(Arc<RwLock<Arc<Manifest>>>);
 
 impl SharedManifest {
-    /// The manifest in force; an empty one before the first.
+    /// The manifest in force, or an empty one before the first.
     pub(crate) fn get(&self) -> Arc<Manifest> {
         self.0.read().map(|m| m.clone()).unwrap_or_default()
     }
@@ -33,7 +34,8 @@
     }
 }
 
-/// Brings manifests into force.
+/// Brings manifests into force on this daemon and on connected workers, and orders
+/// model loads while this daemon is its data centre's matcher.
 pub(crate) struct FleetComponent {
     handles: DaemonHandles,
     applied: Applied,
@@ -41,19 +43,19 @@
     workers: BTreeMap<WorkerName, KnownWorker>,
     drains: BTreeMap<WorkerName, DrainOrder>,
     matcher: Matcher,
-    /// Whether this daemon matches the fleet in its data centre.
+    /// Whether this daemon is its data centre's matcher.
     is_matching: bool,
-    /// The highest fencing number known.
+    /// The highest known fencing token.
     fence: u64,
     catch_up_at: Moment,
 }
 
-/// A connected worker as this part sees it.
+/// What is known of a connected worker.
 struct KnownWorker {
     incarnation: Incarnation,
-    /// The generation that it has in force.
+    /// The manifest generation that the worker has applied.
     applied: u64,
-    /// As the matcher sees it; none until its first load report.
+    /// The matcher's view of the worker, `None` until its first load report.
     view: Option<WorkerView>,
     data_centre: DataCentre,
 }
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Models and services that the manifest in force names.
+    /// Names of the models and services in the manifest in force.
     pub(crate) fn served_names(&self) -> BTreeSet<ModelName> {
         let manifest = self.shared.get();
         let models = manifest.models.iter().map(|model| model.name.clone());
@@ -81,12 +83,13 @@
         models.chain(services).collect()
     }
 
-    /// Whether this daemon matches the fleet in its data centre.
+    /// Whether this daemon is its data centre's matcher.
     pub(crate) fn is_matcher(&self) -> bool {
         self.is_matching
     }
 
-    /// Tells side processes that are behind again: a message may be lost.
+    /// Matches the fleet, and sends the manifest again to side processes that have
+    /// not applied it: the earlier message may have been lost.
     pub(crate) fn tick(&mut self) {
         let now = self.handles.clock.now();
         if !self.catch_up_at.is_past(now) {
@@ -114,9 +117,10 @@
         }
     }
 
-    /// A side process takes no order before it has heard the number that
-    /// stands. Without a matcher there is none to tell. Numbers of other data
-    /// centres' matchers would only make this one's orders look outdated.
+    /// Sends the current fencing token to a side process, which accepts no order
+    /// before it has received one. Nothing is sent before the first matcher is
+    /// known, or to workers of other data centres: a token of another data
+    /// centre's matcher would make orders of their own matcher look outdated.
     fn send_fence(&self, worker: &WorkerName) {
         let here = &self.handles.settings.data_centre;
         let known = self.workers.get(worker);
@@ -176,8 +180,8 @@
         }
     }
 
-    /// Lets a worker leave if that was ordered for this run of it. The side
-    /// process then tells all daemons with its load.
+    /// Tells a worker to drain if that was ordered for its current incarnation. The
+    /// side process then announces it to all daemons in its load reports.
     fn drain_if_ordered(&self, worker: &WorkerName) {
         let order = self.drains.get(worker);
         let known = self.workers.get(worker);
@@ -187,7 +191,7 @@
         }
     }
 
-    /// The run of a connected worker's side process.
+    /// The incarnation of a connected worker's side process.
     fn incarnation_of(&self, worker: &WorkerName) -> Option<Incarnation> {
         self.workers.get(worker).map(|known| known.incarnation)
     }
@@ -203,7 +207,7 @@
         });
     }
 
-    /// Takes a manifest in, or tells what is in force.
+    /// Handles a message from another thread.
     pub(crate) fn on_message(&mut self, message: FleetMessage) {
         match message {
             FleetMessage::ManifestAccepted(accepted) => self.offer(accepted),
--- a/crates/bluebellreel_entry/src/fleet/drain.rs
+++ b/crates/bluebellreel_entry/src/fleet/drain.rs
@@ -1,7 +1,7 @@
 //! Operators' drain orders.
 //!
-//! An order names the run of the side process that it was given for, so that a
-//! VM which comes back under the same name is not held to it.
+//! An order names the incarnation of the side process that it applies to, so that
+//! it does not apply to a VM that later returns under the same name.
 
 use crate::fleet::messages::{DrainOrder, FleetMessage};
 use crate::handles::DaemonHandles;
@@ -12,11 +12,11 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longest time to record an order.
+/// Timeout for recording an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Records a drain order; the reason when it could not be. An order for the
-/// same run that is there already is as good.
+/// Records a drain order, or returns the reason why it was not recorded. An
+/// existing order for the same incarnation counts as success.
 pub(crate) fn order_drain(kv: &KvClient, order: &DrainOrder) -> Result<(), String> {
     let until = kv.now() + ORDER_TIMEOUT;
     let value = serde_json::to_vec(order).unwrap_or_default();
@@ -50,7 +50,8 @@
     serde_json::from_slice(&kv.value).ok()
 }
 
-/// Follows drain orders.
+/// Starts the thread that watches drain orders and forwards them to the fleet
+/// component.
 pub(crate) fn watch_drains(handles: &DaemonHandles) -> io::Result<()> {
     let handles = handles.clone();
     thread::Builder::new()
--- a/crates/bluebellreel_entry/src/fleet/matching.rs
+++ b/crates/bluebellreel_entry/src/fleet/matching.rs
@@ -1,8 +1,9 @@
-//! Matching the fleet to the manifest, by a lease for each data centre.
+//! Election of each data centre's matcher, the daemon that matches the fleet to
+//! the manifest.
 //!
-//! The lease's key is created under the daemon's own lease. The revision that
-//! creates it is the fencing number of all orders: it grows with every change
-//! of the holder, without anybody counting.
+//! The matcher creates the data centre's key under its own lease. The revision
+//! that creates the key is the fencing token of all the matcher's orders: it grows
+//! with every change of matcher, so that no counter is needed.
 
 use crate::fleet::FleetMessage;
 use crate::handles::DaemonHandles;
@@ -14,13 +15,14 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longest time to take the lease.
+/// Timeout for one attempt to create the key.
 const ACQUIRE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest pause before a free lease is taken, so that not all daemons of a
-/// data centre try at the same moment.
+/// Upper bound of the random delay before creating a free key, so that the daemons
+/// of a data centre do not all try at the same moment.
 const MAX_ACQUIRE_DELAY: Duration = Duration::from_millis(500);
 
-/// Follows the matchers and takes a free place in this data centre.
+/// Starts the thread that watches the matchers and becomes this data centre's
+/// matcher if it has none.
 pub(crate) fn watch_matchers(handles: &DaemonHandles) -> io::Result<()> {
     let handles = handles.clone();
     thread::Builder::new()
@@ -48,7 +50,7 @@
     Ok(())
 }
 
-/// Tells who matches in this data centre, and under which number.
+/// Reports this data centre's matcher and its fencing token to the fleet component.
 fn report_matcher(handles: &DaemonHandles, kv: &KeyValue) -> bool {
     if kv.key != matcher_key(&handles.settings.data_centre) {
         return true;
@@ -58,7 +60,8 @@
     handles.send_message(Message::Fleet(FleetMessage::MatcherElected { fence, mine }))
 }
 
-/// Takes the free place, or sees that another has; false once the daemon stops.
+/// Tries to become the matcher until this daemon or another one is. Returns false
+/// once the daemon has stopped.
 fn acquire(handles: &DaemonHandles) -> bool {
     thread::sleep(MAX_ACQUIRE_DELAY.mul_f64(rand::random::<f64>()));
     let key = matcher_key(&handles.settings.data_centre);
@@ -71,7 +74,8 @@
             let value = handles.run.to_string().into_bytes();
             let txn = Txn::create(key.clone(), value).leased(lease);
             match handles.kv.commit(&txn, handles.kv.now() + ACQUIRE_TIMEOUT) {
-                // Taken by us or by another: the watch tells.
+                // The key exists, created by this daemon or by another one:
+                // the watch reports which.
                 Commit::Applied { .. } | Commit::Beaten(_) => return true,
                 Commit::NotDone(_) | Commit::Unknown(_) => {}
             }
--- a/crates/bluebellreel_entry/src/fleet/messages.rs
+++ b/crates/bluebellreel_entry/src/fleet/messages.rs
@@ -1,11 +1,11 @@
-//! What reaches the fleet part, and what it answers.
+//! Messages to the fleet component and its replies.
 
 use bluebellreel_fleet::AcceptedManifest;
 use bluebellreel_types::{Incarnation, Moment, WorkerName};
 use crossbeam_channel::Sender;
 use serde::{Deserialize, Serialize};
 
-/// A drain order as it is stored.
+/// The stored form of a drain order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct DrainOrder {
     pub(crate) worker: WorkerName,
@@ -13,38 +13,40 @@
     pub(crate) at: Moment,
 }
 
-/// What reaches the fleet part.
+/// A message to the fleet component.
 #[derive(Debug)]
 pub(crate) enum FleetMessage {
-    /// A manifest that was accepted.
+    /// A manifest was accepted by this daemon or another one.
     ManifestAccepted(AcceptedManifest),
-    /// Who matches the fleet in this data centre, and under which number.
+    /// This data centre has a matcher, which has this fencing token; `mine` if it is
+    /// this daemon.
     MatcherElected { fence: u64, mine: bool },
-    /// Nobody matches it now.
+    /// This data centre has no matcher.
     MatcherLost,
-    /// An operator ordered a worker to leave.
+    /// An operator ordered a worker to drain.
     DrainOrdered(DrainOrder),
-    /// What is in force is asked for.
+    /// Requests a summary of the fleet.
     QuerySummary(Sender<FleetSummary>),
-    /// The run of a worker's side process is asked for.
+    /// Requests the incarnation of a worker's side process, `None` if the worker is
+    /// not connected.
     QueryIncarnation(WorkerName, Sender<Option<Incarnation>>),
 }
 
-/// What is in force where.
+/// Which manifest is in force here and on the connected workers.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct FleetSummary {
-    /// The generation in force here.
+    /// Generation of the manifest in force on this daemon.
     pub(crate) generation: u64,
-    /// Workers connected here.
+    /// Number of workers connected to this daemon.
     pub(crate) workers: usize,
-    /// Workers that have it in force.
+    /// Number of connected workers that have applied this generation.
     pub(crate) in_force: usize,
-    /// Workers that do not.
+    /// Connected workers that have not applied it.
     pub(crate) behind: Vec<WorkerName>,
-    /// Workers that an operator ordered to leave.
+    /// Workers that an operator ordered to drain.
     pub(crate) draining: Vec<WorkerName>,
-    /// All connected workers.
+    /// Names of all connected workers.
     pub(crate) names: Vec<WorkerName>,
-    /// Loads that failed and are tried again.
+    /// Model loads that failed and are retried.
     pub(crate) failed_loads: Vec<String>,
 }
--- a/crates/bluebellreel_entry/src/fleet/mod.rs
+++ b/crates/bluebellreel_entry/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! The manifest: accepting it, bringing it into force, seeing that it is.
+//! The manifest: accepts it, distributes it to side processes, and tracks which of
+//! them have applied it.
 
 mod component;
 mod drain;
--- a/crates/bluebellreel_entry/src/fleet/store.rs
+++ b/crates/bluebellreel_entry/src/fleet/store.rs
@@ -12,28 +12,28 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longest time to put a manifest.
+/// Timeout for writing a manifest.
 const PUT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A manifest as it is stored.
+/// The stored form of a manifest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StoredManifest {
-    /// Grows with every acceptance.
+    /// Incremented with every accepted manifest.
     pub(crate) generation: u64,
-    /// As it was put.
+    /// The manifest's text as the operator sent it.
     pub(crate) text: Arc<str>,
 }
 
-/// How a put came out.
+/// The result of putting a manifest.
 #[derive(Clone, Debug)]
 pub(crate) enum PutAnswer {
-    /// Accepted.
+    /// The manifest was accepted.
     Accepted(StoredManifest),
-    /// Another was accepted first; this is the one that stands.
+    /// Another manifest was accepted first; contains the current one.
     Beaten(Option<StoredManifest>),
-    /// It was not accepted.
+    /// The manifest was not accepted, for this reason.
     NotDone(String),
-    /// It may have been accepted.
+    /// The manifest may have been accepted; contains the reason for the doubt.
     Unknown(String),
 }
 
@@ -41,13 +41,13 @@
     serde_json::from_slice(&kv.value).ok()
 }
 
-/// Reads the manifest that stands.
+/// Reads the current manifest.
 pub(crate) fn get_manifest(kv: &KvClient) -> Result<Option<StoredManifest>, KvError> {
     Ok(kv.get(&manifest_key())?.as_ref().and_then(parse))
 }
 
-/// Accepts a checked manifest if the one that stands has the generation that
-/// the operator saw.
+/// Accepts a validated manifest if the current one has the generation that the
+/// operator saw.
 pub(crate) fn put_manifest(kv: &KvClient, seen: u64, text: &str) -> PutAnswer {
     let found = match kv.get(&manifest_key()) {
         Ok(found) => found,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Checks a stored manifest again, as every process does for itself.
+/// Validates a stored manifest, as every process does for itself.
 pub(crate) fn accepted(stored: &StoredManifest) -> Option<AcceptedManifest> {
     match Manifest::try_from(&*stored.text) {
         Ok(manifest) => Some(AcceptedManifest {
@@ -85,13 +85,14 @@
         }),
         Err(errors) => {
             let error = errors.first().map(ToString::to_string).unwrap_or_default();
-            log::error!(target: "fleet", generation = stored.generation, error; "The stored manifest cannot be read.");
+            log::error!(target: "fleet", generation = stored.generation, error; "Stored manifest is invalid.");
             None
         }
     }
 }
 
-/// Follows the manifest and offers each one to the fleet part.
+/// Starts the thread that watches the manifest and sends each new one to the fleet
+/// component.
 pub(crate) fn watch_manifest(handles: &DaemonHandles) -> io::Result<()> {
     let handles = handles.clone();
     thread::Builder::new()
--- a/crates/bluebellreel_entry/src/platform/keys.rs
+++ b/crates/bluebellreel_entry/src/platform/keys.rs
@@ -1,8 +1,8 @@
-//! Names of the keys in the key-value service.
+//! Key names in the key-value service.
 //!
-//! `job/` holds only the jobs that are not over, so that a watch on it tells
-//! every change of ownership and every end, and a daemon that starts reads
-//! little. Ended jobs move to `done/` in the transaction that ends them.
+//! `job/` contains only running jobs, so that a watch on it reports every change of
+//! ownership and every end, and a starting daemon reads little. Ended jobs move to
+//! `done/` in the transaction that ends them.
 
 use bluebellreel_chunk::VolumeId;
 use bluebellreel_kv::Key;
@@ -23,7 +23,7 @@
     Key::from(format!("order/drain/{worker}"))
 }
 
-/// All matchers at work.
+/// The matchers of all data centres.
 pub(crate) fn matcher_prefix() -> Key {
     Key::from("matcher/")
 }
@@ -53,33 +53,33 @@
     Key::from(format!("entry/{name}"))
 }
 
-/// All jobs that are not over.
+/// All running jobs.
 pub(crate) fn job_prefix() -> Key {
     Key::from("job/")
 }
 
-/// A job that is not over.
+/// A running job.
 pub(crate) fn job_key(id: &JobId) -> Key {
     Key::from(format!("job/{id}"))
 }
 
-/// The job that a key under [`job_prefix`] names.
+/// The job id in a key under [`job_prefix`].
 pub(crate) fn job_id_of(key: &Key) -> JobId {
     let text = key.as_str();
     JobId::from(text.strip_prefix("job/").unwrap_or(text))
 }
 
-/// A job that is over.
+/// An ended job.
 pub(crate) fn done_key(id: &JobId) -> Key {
     Key::from(format!("done/{id}"))
 }
 
-/// Jobs that ended on a day, counted from 1970.
+/// End markers of the jobs that ended on a day, counted from 1970-01-01.
 pub(crate) fn ended_prefix(day: u64) -> Key {
     Key::from(format!("ended/{day:08}/"))
 }
 
-/// Says that a job ended on a day; what a sweep of old jobs goes by.
+/// Marker of a job that ended on a day; the sweep of old jobs reads these markers.
 pub(crate) fn ended_key(day: u64, id: &JobId) -> Key {
     Key::from(format!("ended/{day:08}/{id}"))
 }
@@ -109,17 +109,17 @@
     Key::from(format!("out/{id}/{epoch:08}-{seq:08}"))
 }
 
-/// All claims of items that may not be repeated.
+/// All claims of a job's non-repeatable items.
 pub(crate) fn item_claim_prefix(id: &JobId) -> Key {
     Key::from(format!("sent/{id}/"))
 }
 
-/// One group of such claims.
+/// One group of claims of non-repeatable items, written by one transaction.
 pub(crate) fn item_claim_key(id: &JobId, epoch: u64, seq: u64) -> Key {
     Key::from(format!("sent/{id}/{epoch:08}-{seq:08}"))
 }
 
-/// The claim of an online call that may not be repeated.
+/// The claim of a non-repeatable online call.
 pub(crate) fn claim_key(id: &str) -> Key {
     Key::from(format!("claim/{id}"))
 }
--- a/crates/bluebellreel_entry/src/platform/kv_pool.rs
+++ b/crates/bluebellreel_entry/src/platform/kv_pool.rs
@@ -1,4 +1,4 @@
-//! Threads that make the daemon's calls to the key-value service.
+//! A thread pool for the actors' calls to the key-value service.
 
 use bluebellreel_kv::KvClient;
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
@@ -7,9 +7,9 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// Threads: calls in progress at one time.
+/// Number of threads, which bounds the calls in progress.
 const THREAD_COUNT: usize = 8;
-/// Tasks that wait.
+/// Maximum number of queued tasks.
 const QUEUE_CAPACITY: usize = 4_096;
 
 pub(crate) type Task = Box<dyn FnOnce(&KvClient) + Send>;
@@ -17,9 +17,9 @@
 /// Runs tasks that block on the key-value service.
 #[derive(Clone)]
 pub(crate) enum KvPool {
-    /// On threads.
+    /// Tasks run on threads.
     Threads(Sender<Task>),
-    /// By hand, one at a time.
+    /// Tasks are queued until a test harness takes and runs them.
     Manual(Arc<Mutex<VecDeque<Task>>>),
 }
 
@@ -40,12 +40,12 @@
         Ok(Self::Threads(tx))
     }
 
-    /// A pool whose tasks wait until they are taken.
+    /// Creates a pool without threads, whose tasks are taken by [`Self::pop_manual`].
     pub(crate) fn manual() -> Self {
         Self::Manual(Arc::default())
     }
 
-    /// The next task that waits to be run by hand.
+    /// Takes the next task of a pool without threads.
     pub(crate) fn pop_manual(&self) -> Option<Task> {
         match self {
             Self::Threads(_) => None,
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Queues a task; false when too many wait. The actors must never block
-    /// on the service: during its outage online requests go on.
+    /// Queues a task. Returns false if the queue is full: the actors must never block
+    /// on the service, so that online requests continue during its outages.
     pub(crate) fn run(&self, task: impl FnOnce(&KvClient) + Send + 'static) -> bool {
         let tx = match self {
             Self::Threads(tx) => tx,
@@ -68,7 +68,7 @@
         match tx.try_send(Box::new(task)) {
             Ok(()) => true,
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-                log::warn!(target: "kv", "Too many calls wait for the key-value service.");
+                log::warn!(target: "kv", "Queue of calls to the key-value service is full; call rejected.");
                 false
             }
         }
--- a/crates/bluebellreel_entry/src/platform/membership.rs
+++ b/crates/bluebellreel_entry/src/platform/membership.rs
@@ -1,4 +1,5 @@
-//! Which entry daemons are there: a lease each, watched by all.
+//! Membership of entry daemons: each daemon holds a lease, and all watch the
+//! leases.
 
 use crate::handles::DaemonHandles;
 use crate::message::Message;
@@ -15,12 +16,12 @@
 use std::thread;
 use std::time::Duration;
 
-/// Stands for the lease of a daemon that has stopped.
+/// Value of the shared lease id after the daemon has stopped.
 pub(crate) const STOPPED: i64 = -1;
-/// Pause before a watch is opened again.
+/// Minimum delay before a prefix is read again and its watch reopened.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Holds the daemon's lease until the process ends.
+/// Starts the thread that holds the daemon's lease until the daemon stops.
 pub(crate) fn hold_lease(handles: &DaemonHandles, address: SocketAddr) -> io::Result<()> {
     let handles = handles.clone();
     let record = EntryRecord {
@@ -45,8 +46,8 @@
 }
 
 impl DaemonHandles {
-    /// Notes the lease, unless the daemon has stopped meanwhile: one that was
-    /// taken too late goes back at once.
+    /// Publishes the lease to the other threads. If the daemon has stopped meanwhile,
+    /// the lease is revoked at once instead.
     fn note_lease(&self, lease: i64) {
         let noted = self
             .lease
@@ -59,14 +60,14 @@
     }
 }
 
-/// Renews the lease, or takes a new one when it has lapsed.
+/// Renews the lease, or acquires a new one if it has expired.
 fn renew(kv: &KvClient, lease: Option<i64>, ttl: Duration, record: &EntryRecord) -> Option<i64> {
     if let Some(id) = lease {
         match kv.keep_alive(id) {
             Ok(true) => return Some(id),
-            Ok(false) => log::warn!(target: "entry", "The lease had lapsed; taking a new one."),
+            Ok(false) => log::warn!(target: "entry", "Lease expired; acquiring a new one."),
             Err(e) => {
-                log::warn!(target: "entry", error:% = e; "The lease could not be renewed.");
+                log::warn!(target: "entry", error:% = e; "Lease could not be renewed; retrying.");
                 return Some(id);
             }
         }
@@ -74,7 +75,7 @@
     match register(kv, ttl, record) {
         Ok(id) => Some(id),
         Err(e) => {
-            log::warn!(target: "entry", error:% = e; "No lease could be taken.");
+            log::warn!(target: "entry", error:% = e; "Lease could not be acquired; retrying.");
             None
         }
     }
@@ -94,14 +95,14 @@
     match kv.commit(&txn, kv.now() + ttl) {
         Commit::Applied { .. } => Ok(id),
         Commit::Beaten(_) => Err(KvError::Refused(
-            "a write without a guard was beaten".into(),
+            "unconditional write reported a failed condition".into(),
         )),
         Commit::NotDone(reason) => Err(KvError::NotDone(reason)),
         Commit::Unknown(reason) => Err(KvError::Unknown(reason)),
     }
 }
 
-/// Watches the leases of all daemons.
+/// Starts the thread that watches the leases of all daemons.
 pub(crate) fn watch_entries(handles: &DaemonHandles) -> io::Result<()> {
     let handles = handles.clone();
     thread::Builder::new()
@@ -118,8 +119,8 @@
     Ok(())
 }
 
-/// Reads a prefix, then follows its changes; starts over when the watch
-/// cannot go on. Ends never.
+/// Reads a prefix, then follows its changes, and reads it again when the watch
+/// cannot continue. Returns only when a callback returns false.
 pub(crate) fn follow_prefix(
     kv: &KvClient,
     prefix: &Key,
@@ -137,13 +138,13 @@
                 return;
             }
         }
-        // With jitter: after an outage all daemons start over.
+        // Random jitter, because all daemons start over after an outage.
         thread::sleep(WATCH_RETRY_DELAY + backoff.next(&mut rand::rng()));
     }
 }
 
-/// Follows changes as long as watches can be opened; false when the receiver
-/// is gone.
+/// Follows changes for as long as watches can be opened. Returns false if
+/// `on_event` returned false.
 fn follow_from(
     kv: &KvClient,
     prefix: &Key,
--- a/crates/bluebellreel_entry/src/platform/mod.rs
+++ b/crates/bluebellreel_entry/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform as the daemon meets it: key-value service and VM list.
+//! Access to the platform's key-value service and VM list.
 
 mod keys;
 mod kv_pool;
--- a/crates/bluebellreel_entry/src/platform/records.rs
+++ b/crates/bluebellreel_entry/src/platform/records.rs
@@ -1,22 +1,22 @@
-//! What the platform tells of daemons and of VMs.
+//! Records of entry daemons and VMs.
 
 use bluebellreel_chunk::DiskId;
 use bluebellreel_types::{DataCentre, EntryName, Incarnation, WorkerName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A live daemon, as its lease's key tells.
+/// A live entry daemon, stored under its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct EntryRecord {
-    /// Its name.
+    /// Name of the daemon.
     pub(crate) name: EntryName,
-    /// Its run.
+    /// Incarnation of the daemon.
     pub(crate) run: Incarnation,
-    /// Where operators reach it.
+    /// Address of the daemon's HTTP server.
     pub(crate) address: SocketAddr,
-    /// Where it stands.
+    /// Data centre of the daemon's VM.
     pub(crate) data_centre: DataCentre,
-    /// Its disk for chunks, if it has one.
+    /// Disk on which the daemon stores chunks, if it has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) disk: Option<DiskId>,
 }
@@ -26,20 +26,20 @@
 pub(crate) struct ListedWorker {
     /// The worker's name.
     pub(crate) name: WorkerName,
-    /// Where its side process listens.
+    /// Address of the worker's side process.
     pub(crate) side: SocketAddr,
-    /// Where it stands.
+    /// Data centre of the VM.
     pub(crate) data_centre: DataCentre,
-    /// Whether it stays.
+    /// Whether the VM will be removed.
     pub(crate) state: ListedState,
 }
 
-/// Whether a VM stays.
+/// Whether a VM will be removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum ListedState {
-    /// It stays.
+    /// The VM stays in service.
     Live,
-    /// It will be taken away.
+    /// The VM will be removed soon.
     Leaving,
 }
--- a/crates/bluebellreel_entry/src/platform/vm_list.rs
+++ b/crates/bluebellreel_entry/src/platform/vm_list.rs
@@ -7,15 +7,15 @@
 use std::thread;
 use std::time::Duration;
 
-/// Between two looks at the list.
+/// Interval between two reads of the list.
 const POLL_PERIOD: Duration = Duration::from_secs(2);
-/// The list is the one that was seen last.
+/// HTTP status: the list has not changed since the last read.
 const NOT_MODIFIED: u16 = 304;
-/// Longest wait for the list.
+/// Timeout for reading the list.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Looks at the list from time to time. While it cannot be read, the last one
-/// counts.
+/// Starts the thread that polls the VM list. While the list cannot be read, the
+/// last one stays in use.
 pub(crate) fn watch_vms(handles: &DaemonHandles) -> io::Result<()> {
     let handles = handles.clone();
     thread::Builder::new()
@@ -32,7 +32,7 @@
                     Ok(Some(list)) => handles.send_message(Message::Listed(list)),
                     Ok(None) => true,
                     Err(e) => {
-                        log::warn!(target: "fleet", error:% = e; "The VM list cannot be read.");
+                        log::warn!(target: "fleet", error:% = e; "VM list cannot be read; keeping the last one.");
                         true
                     }
                 };
@@ -45,8 +45,8 @@
     Ok(())
 }
 
-/// Reads the list; none if it is the one that was `seen` last. A list of 1,900
-/// VMs is some 200 KB, too much to be read every other second for nothing.
+/// Reads the list, `None` if its entity tag is still `seen`. A list of 1,900 VMs is
+/// about 200 KB, too much to transfer every other second without need.
 fn read(
     agent: &ureq::Agent,
     url: &str,
