--- a/crates/bluebellreel_entry/src/data/access.rs
+++ b/crates/bluebellreel_entry/src/data/access.rs
@@ -1,4 +1,4 @@
-//! Writing and reading chunks, wherever they lie.
+//! Writes and reads chunks on this daemon's disk and on those of its peers.
 
 use crate::data::volume_map::VolumeMap;
 use crate::data::wire::{COPY_HEADER, EPOCH_HEADER, MAX_CHUNK_BYTES, chunk_path};
@@ -15,21 +15,21 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longest time for one chunk's way to or from a disk.
+/// Timeout for transferring one chunk to or from a peer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Volumes tried for one chunk.
+/// Maximum number of volumes tried for one chunk.
 const MAX_PUT_ATTEMPTS: usize = 4;
 
-/// Why a chunk could not be kept.
+/// Why a chunk could not be stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PutError {
-    /// All disks are full.
+    /// Every volume with two live holders has a full disk.
     Full,
-    /// No volume has both its holders.
+    /// No volume accepted the chunk on both its holders.
     NoHolders,
 }
 
-/// Chunks on disks; off by default.
+/// Access to chunks on disks; disabled by default.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChunkAccess(Option<Arc<Inner>>);
 
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     ///
-    /// Gives that the folder cannot be used.
+    /// Returns an error if the folder cannot be used.
     pub(crate) fn open(settings: Option<&DataSettings>, clock: &Clock) -> eyre::Result<Self> {
         let Some(settings) = settings else {
             return Ok(Self::default());
@@ -72,7 +72,7 @@
         }))))
     }
 
-    pub(crate) fn is_on(&self) -> bool {
+    pub(crate) fn is_enabled(&self) -> bool {
         self.0.is_some()
     }
 
@@ -98,7 +98,7 @@
         clock.unwrap_or(Moment(0))
     }
 
-    /// Takes in a live daemon.
+    /// Records a live daemon and its disk.
     pub(crate) fn note_daemon(&self, record: &EntryRecord) {
         let now = self.now();
         if let Some(mut volume_map) = self.volume_map_mut() {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Takes in that a daemon's lease has ended.
+    /// Records that a daemon's lease has ended.
     pub(crate) fn note_daemon_gone(&self, name: &EntryName) {
         let now = self.now();
         if let Some(mut volume_map) = self.volume_map_mut() {
@@ -114,16 +114,16 @@
         }
     }
 
-    /// Whether a chunk of so many bytes goes to disks. Small ones stay in the
-    /// key-value service: there they cost one write and little room, on disks
-    /// two calls and some syncs.
+    /// Whether a chunk of this size is stored on disks. Small chunks stay in the
+    /// key-value service, where they cost one write and little space; on disks
+    /// they would cost two calls and several syncs.
     pub(crate) fn stores_on_disk(&self, bytes: usize) -> bool {
         let settings = self.settings();
         settings.is_some_and(|settings| bytes >= settings.kv_below)
     }
 
-    /// Keeps a chunk on both holders of a volume; returns only after both have
-    /// it on their disks.
+    /// Stores a chunk on both holders of a volume. Returns only after both have it on
+    /// their disks.
     pub(crate) fn put(&self, job: &str, upload: &str, bytes: &[u8]) -> Result<HeldChunk, PutError> {
         let Some(inner) = &self.0 else {
             return Err(PutError::NoHolders);
@@ -145,7 +145,7 @@
         Err(PutError::NoHolders)
     }
 
-    /// Reads a chunk from whichever holder has it whole.
+    /// Reads a chunk from any holder that has it undamaged, this daemon's disk first.
     pub(crate) fn get(&self, record: &JobRecord, chunk: &HeldChunk) -> Option<Vec<u8>> {
         let inner = self.0.as_ref()?;
         let folder = ChunkFolder::new(chunk.volume, record.id.as_str(), &record.upload);
@@ -161,34 +161,36 @@
                 inner.repair_own(&name, &bytes);
                 return Some(bytes);
             }
-            log::warn!(target: "data", disk:% = disk, volume:% = chunk.volume; "A chunk is not to be had there.");
+            log::warn!(target: "data", disk:% = disk, volume:% = chunk.volume; "Chunk not available from this holder.");
         }
         None
     }
 
-    /// Copies a chunk of this daemon's disk to another; whether it is there.
+    /// Copies a chunk from this daemon's disk to another. Returns whether the copy is
+    /// done; a damaged chunk is skipped and counts as done.
     pub(crate) fn copy_to(&self, address: SocketAddr, chunk: &ChunkName) -> bool {
         let Some(inner) = &self.0 else { return false };
         let Some(bytes) = inner.read_own(chunk) else {
-            // Damaged here, so not to be copied; the partner is gone. Readers
-            // will hear that it is missing rather than get other bytes.
-            log::error!(target: "data", chunk:% = chunk.digest; "A chunk cannot be copied: damaged.");
+            // The chunk is damaged here and the other holder is gone. It is not
+            // copied, so that readers find it missing instead of reading wrong
+            // bytes.
+            log::error!(target: "data", chunk:% = chunk.digest; "Chunk is damaged and cannot be copied.");
             return true;
         };
         let sent = inner.send(address, &chunk.folder, &chunk.digest, None, &bytes);
-        matches!(sent, SendResult::Kept)
+        matches!(sent, SendResult::Stored)
     }
 }
 
-/// What became of a chunk that was sent to a disk.
+/// The result of sending a chunk to a disk.
 enum SendResult {
-    Kept,
+    Stored,
     Full,
     Refused,
 }
 
 impl Inner {
-    /// The next volume to write to; none while no volume has both holders.
+    /// The next volume to write to, `None` if no volume has two live holders.
     fn next_volume(&self) -> Result<Option<VolumeRecord>, PutError> {
         let Ok(volume_map) = self.volume_map.read() else {
             return Ok(None);
@@ -217,10 +219,10 @@
     fn put_on(&self, disk: &DiskId, epoch: u64, folder: &ChunkFolder, bytes: &[u8]) -> bool {
         let sent = match &self.own {
             Some(own) if own.id == *disk => match own.write(folder, epoch, bytes) {
-                Ok(_) => SendResult::Kept,
+                Ok(_) => SendResult::Stored,
                 Err(StoreError::Full) => SendResult::Full,
                 Err(e) => {
-                    log::warn!(target: "data", error:% = e; "A chunk could not be kept here.");
+                    log::warn!(target: "data", error:% = e; "Chunk could not be stored on the local disk.");
                     SendResult::Refused
                 }
             },
@@ -238,7 +240,7 @@
             log::error!(target: "data", disk:% = disk; "A disk is full.");
             volume_map.note_full(disk, self.clock.now());
         }
-        matches!(sent, SendResult::Kept)
+        matches!(sent, SendResult::Stored)
     }
 
     fn address_of(&self, disk: &DiskId) -> Option<SocketAddr> {
@@ -247,7 +249,7 @@
         seat.gone_since.is_none().then_some(seat.address)
     }
 
-    /// The volume's holders that are there, but for this daemon's own disk.
+    /// The volume's live holders other than this daemon's disk.
     fn holders_of(&self, volume: VolumeId) -> Vec<(DiskId, SocketAddr)> {
         let holders = self.volume_map.read().ok().and_then(|volume_map| {
             let known = volume_map.volumes.get(&volume)?;
@@ -265,13 +267,13 @@
         match self.own.as_ref()?.read(&chunk.folder, &chunk.digest) {
             Ok(bytes) => bytes,
             Err(e) => {
-                log::error!(target: "data", error:% = e; "The disk cannot be read.");
+                log::error!(target: "data", error:% = e; "Local disk cannot be read.");
                 None
             }
         }
     }
 
-    /// Puts back a chunk that was damaged on this daemon's disk.
+    /// Restores a chunk that was damaged or missing on this daemon's disk.
     fn repair_own(&self, chunk: &ChunkName, bytes: &[u8]) {
         let Some(own) = &self.own else { return };
         let holds = self.volume_map.read().is_ok_and(|volume_map| {
@@ -279,7 +281,7 @@
             known.is_some_and(|v| v.record.holders.contains(&own.id))
         });
         if holds {
-            log::warn!(target: "data", chunk:% = chunk.digest; "A chunk is put back from its other holder.");
+            log::warn!(target: "data", chunk:% = chunk.digest; "Restoring chunk from its other holder.");
             own.copy_in(&chunk.folder, bytes).ok();
         }
     }
@@ -321,14 +323,14 @@
             None => call.header(COPY_HEADER, "1"),
         };
         match call.send(bytes).map(|answer| answer.status().as_u16()) {
-            Ok(204) => SendResult::Kept,
+            Ok(204) => SendResult::Stored,
             Ok(507) => SendResult::Full,
             Ok(status) => {
-                log::warn!(target: "data", volume:% = folder.volume, status; "A chunk was refused there.");
+                log::warn!(target: "data", volume:% = folder.volume, status; "Peer refused a chunk.");
                 SendResult::Refused
             }
             Err(e) => {
-                log::warn!(target: "data", volume:% = folder.volume, error:% = e; "A chunk could not be kept there.");
+                log::warn!(target: "data", volume:% = folder.volume, error:% = e; "Chunk could not be sent to a peer.");
                 SendResult::Refused
             }
         }
--- a/crates/bluebellreel_entry/src/data/endpoint.rs
+++ b/crates/bluebellreel_entry/src/data/endpoint.rs
@@ -1,4 +1,4 @@
-//! A disk as other daemons reach it.
+//! HTTP endpoint through which peers read and write chunks on this daemon's disk.
 
 use crate::data::access::ChunkAccess;
 use crate::data::wire::{COPY_HEADER, EPOCH_HEADER, MAX_CHUNK_BYTES};
@@ -8,10 +8,10 @@
 use bluebellreel_types::content_digest;
 use std::time::Duration;
 
-/// Longest time to read a chunk.
+/// Timeout for receiving a chunk.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves one request of a peer.
+/// Handles one request of a peer.
 pub(crate) fn handle(data: &ChunkAccess, req: &mut Request, rest: &str) -> Reply {
     serve(data, req, rest).unwrap_or_else(Reply::from)
 }
@@ -36,7 +36,7 @@
             Ok(None) => Err(not_found()),
             Err(e) => Err(error_of(&e)),
         },
-        Method::Put => keep(data, own, req, &folder, digest),
+        Method::Put => store_chunk(data, own, req, &folder, digest),
         _ => Err(ApiError::new(405, "bad_method", "GET or PUT")),
     }
 }
@@ -49,7 +49,7 @@
     segments.next().is_none().then_some((folder, digest))
 }
 
-fn keep(
+fn store_chunk(
     data: &ChunkAccess,
     own: &ChunkStore,
     req: &mut Request,
@@ -70,24 +70,24 @@
             "the bytes do not fit the name",
         ));
     }
-    let kept = match epoch {
+    let result = match epoch {
         Some(epoch) if accepts_epoch(data, folder.volume, epoch) => {
             own.write(folder, epoch, &bytes)
         }
         None if is_copy => own.copy_in(folder, &bytes),
         _ => Err(StoreError::Moved),
     };
-    match kept {
+    match result {
         Ok(_) => Ok(Reply::bytes(204, "text/plain", *b"")),
         Err(e) => Err(error_of(&e)),
     }
 }
 
-/// Whether a writer's view of a volume is no older than this daemon's.
+/// Whether the volume epoch of a write is at least the one known here.
 ///
-/// A writer that was paused while a volume moved could otherwise put a chunk on
-/// a holder that is none any more. A daemon that has just started and does not
-/// know the volume yet takes nothing for it.
+/// Without this check, a writer that was paused while a volume moved could store a
+/// chunk on a former holder. A daemon that has just started and does not know the
+/// volume yet refuses all writes to it.
 fn accepts_epoch(data: &ChunkAccess, volume: VolumeId, epoch: u64) -> bool {
     data.volume_map().is_some_and(|volume_map| {
         let known = volume_map.volumes.get(&volume);
@@ -101,7 +101,7 @@
         StoreError::Moved => ApiError::new(409, "moved", e.to_string()),
         StoreError::BadName => ApiError::new(400, "bad_name", e.to_string()),
         StoreError::Io(_) => {
-            log::error!(target: "data", error:% = e; "The disk failed.");
+            log::error!(target: "data", error:% = e; "Local disk failed.");
             ApiError::new(500, "disk_failed", e.to_string())
         }
     }
--- a/crates/bluebellreel_entry/src/data/keeper.rs
+++ b/crates/bluebellreel_entry/src/data/keeper.rs
@@ -1,5 +1,5 @@
-//! Keeps every volume on two disks: creates volumes, and copies those whose
-//! other holder is gone.
+//! The volume keeper keeps every volume on two disks: it creates volumes and copies
+//! those whose other holder is gone.
 
 use crate::data::access::ChunkAccess;
 use crate::data::volume_map::KnownVolume;
@@ -13,16 +13,17 @@
 use std::thread;
 use std::time::Duration;
 
-/// Between two looks.
+/// Interval between two checks of the volumes.
 const KEEPER_PERIOD: Duration = Duration::from_secs(1);
-/// Volumes for each disk: with more disks, volumes come that use them.
+/// Number of volumes per disk: volumes are added as disks are, so that new disks
+/// are used.
 const VOLUMES_PER_DISK: u32 = 8;
-/// Longest time to write a volume's record.
+/// Timeout for writing a volume's record.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Watches who holds which volume.
+/// Starts the thread that watches the volumes' records.
 pub(crate) fn watch_volumes(handles: &DaemonHandles) -> io::Result<()> {
-    if !handles.data.is_on() {
+    if !handles.data.is_enabled() {
         return Ok(());
     }
     let handles = handles.clone();
@@ -50,13 +51,14 @@
             }
         }
         Err(e) => {
-            log::error!(target: "data", key:% = kv.key, error:% = e; "A volume's record is damaged.");
+            log::error!(target: "data", key:% = kv.key, error:% = e; "Volume record cannot be parsed.");
         }
     }
     true
 }
 
-/// Keeps the volumes of this daemon's disk, if it has one, until it stops.
+/// Starts the volume keeper of this daemon's disk, if it has one; it runs until the
+/// daemon stops.
 pub(crate) fn keep_volumes(handles: &DaemonHandles) -> io::Result<()> {
     if handles.data.own().is_none() {
         return Ok(());
@@ -78,7 +80,7 @@
     Ok(())
 }
 
-/// Creates the volumes in which this disk ranks first.
+/// Creates the missing volumes whose first holder is this disk.
 fn create_missing(kv: &KvClient, data: &ChunkAccess, own: &ChunkStore) {
     let Some(missing) = missing_volumes(data, &own.id) else {
         return;
@@ -109,7 +111,7 @@
     Some(records.collect())
 }
 
-/// A volume to copy, who left it, and where its copy goes.
+/// A volume to copy, its lost holder, and the disk that replaces it.
 struct Move {
     volume: KnownVolume,
     gone: DiskId,
@@ -119,9 +121,9 @@
 fn copy_orphaned(kv: &KvClient, data: &ChunkAccess, own: &ChunkStore) {
     for moving in due_moves(data, &own.id, data.now()) {
         let before = &moving.volume.record;
-        // First no more writes, then the list: a chunk that was acknowledged
-        // before the seal is in the list, one after it is refused here, so its
-        // writer goes elsewhere.
+        // The volume is sealed before its chunks are listed: a chunk that was
+        // acknowledged before the seal is in the list, and a later one is refused
+        // here, so that its writer tries another volume.
         own.seal(before.id, before.epoch);
         if !copy_all(data, own, &moving) || !record_move(kv, &moving) {
             own.unseal(before.id);
@@ -154,7 +156,7 @@
     let chunks = match own.chunks_of(id) {
         Ok(chunks) => chunks,
         Err(e) => {
-            log::error!(target: "data", volume:% = id, error:% = e; "A volume cannot be listed.");
+            log::error!(target: "data", volume:% = id, error:% = e; "Volume cannot be listed.");
             return false;
         }
     };
@@ -162,12 +164,14 @@
         .iter()
         .all(|chunk| data.copy_to(status.address, chunk));
     if !all {
-        log::warn!(target: "data", volume:% = id, to:% = moving.to; "A volume could not be copied yet.");
+        log::warn!(target: "data", volume:% = id, to:% = moving.to; "Volume could not be copied; retrying.");
     }
     all
 }
 
-/// Of several that move a volume one wins; the revision is the guard.
+/// Records the new holder. The write is conditional on the record's revision, so
+/// that only one of several concurrent moves succeeds. Returns whether the volume
+/// stays sealed.
 fn record_move(kv: &KvClient, moving: &Move) -> bool {
     let after = moving.volume.record.moved(&moving.gone, &moving.to);
     let value = serde_json::to_vec(&after).unwrap_or_default();
@@ -177,8 +181,9 @@
             log::info!(target: "data", volume:% = after.id, from:% = moving.gone, to:% = moving.to; "Volume moved.");
             true
         }
-        // Whether the seal must stay is not known; the record will tell, and
-        // until then no write is better than one that is lost.
+        // The move may have been recorded; the watch on the record shows whether
+        // it was. Until then the volume stays sealed, because refusing writes is
+        // better than losing them.
         Commit::Unknown(_) => true,
         Commit::Beaten(_) | Commit::NotDone(_) => false,
     }
--- a/crates/bluebellreel_entry/src/data/mod.rs
+++ b/crates/bluebellreel_entry/src/data/mod.rs
@@ -1,9 +1,9 @@
 //! Chunks of large jobs on the disks of two VMs in two data centres.
 //!
-//! A daemon without a disk sends chunks to those that have one. Who holds which
-//! volume stands in the key-value service; all daemons watch it. Without a
-//! `[data]` table in the settings, all of this is off and everything is kept in
-//! the key-value service.
+//! A daemon without a disk sends chunks to daemons that have one. The key-value
+//! service records the holders of each volume, and all daemons watch these
+//! records. Without a `[data]` table in the settings, chunks are not stored on
+//! disks, and everything is stored in the key-value service.
 
 mod access;
 mod endpoint;
--- a/crates/bluebellreel_entry/src/data/volume_map.rs
+++ b/crates/bluebellreel_entry/src/data/volume_map.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows of volumes and disks.
+//! A daemon's view of volumes and disks.
 
 use crate::platform::EntryRecord;
 use bluebellreel_chunk::{DiskId, DiskSeat, VolumeId, VolumeRecord, is_writable};
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a disk that was full gets no more chunks.
+/// How long no chunks are written to a disk after it was full.
 const FULL_DISK_BACKOFF: Duration = Duration::from_secs(30);
 
 /// A volume and the revision of its record.
@@ -18,18 +18,18 @@
     pub(crate) revision: i64,
 }
 
-/// How the volumes stand, for operators.
+/// State of the volumes, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub(crate) struct VolumesSummary {
-    /// All.
+    /// Number of volumes.
     pub(crate) volumes: usize,
-    /// Those with one holder left: one more loss would lose items.
+    /// Volumes with only one live holder: losing it as well would lose items.
     pub(crate) on_one_disk: usize,
-    /// Those without a holder now.
+    /// Volumes without a live holder.
     pub(crate) unreadable: usize,
 }
 
-/// Volumes, disks, and which daemon stands before which disk.
+/// Volumes, disks, and the daemon that serves each disk.
 #[derive(Debug, Default)]
 pub(crate) struct VolumeMap {
     pub(crate) volumes: BTreeMap<VolumeId, KnownVolume>,
@@ -39,8 +39,8 @@
 }
 
 impl VolumeMap {
-    /// Takes in a volume's record, unless a later one is known: a list that was
-    /// read before a change may be handed in after it.
+    /// Stores a volume's record, unless the same or a later revision is known: a list
+    /// that was read before a change may be processed after it.
     pub(crate) fn note_volume(&mut self, record: VolumeRecord, revision: i64) {
         let known = self.volumes.get(&record.id);
         if known.is_none_or(|known| known.revision < revision) {
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Takes in a live daemon.
+    /// Records a live daemon and its disk. If it had another disk before, that
+    /// one counts as gone.
     pub(crate) fn note_daemon(&mut self, record: &EntryRecord, now: Moment) {
         let before = self.daemons.remove(&record.name);
         if let Some(before) = before.filter(|disk| Some(disk) != record.disk.as_ref()) {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Takes in that a daemon's lease has ended.
+    /// Records that a daemon's lease has ended: its disk counts as gone.
     pub(crate) fn note_daemon_gone(&mut self, name: &EntryName, now: Moment) {
         if let Some(disk) = self.daemons.remove(name) {
             self.note_disk_gone(&disk, now);
@@ -79,8 +80,8 @@
         }
     }
 
-    /// A holder that no daemon has ever shown here counts as gone from now on:
-    /// it left before this daemon started.
+    /// Marks holders that no known daemon has served as gone from now on: they left
+    /// before this daemon started.
     pub(crate) fn mark_unseen_holders_gone(&mut self, now: Moment) {
         let holders = self.volumes.values().flat_map(|v| v.record.holders.iter());
         let unseen: Vec<DiskId> = holders
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Takes in that a disk is full.
+    /// Records that a disk is full.
     pub(crate) fn note_full(&mut self, disk: &DiskId, now: Moment) {
         self.full_until
             .insert(disk.clone(), now + FULL_DISK_BACKOFF);
@@ -108,7 +109,7 @@
         until.is_some_and(|until| !until.is_past(now))
     }
 
-    /// Volumes whose two holders are there and not full.
+    /// Volumes whose two holders are live and not full.
     pub(crate) fn writable(&self, now: Moment) -> Vec<VolumeRecord> {
         let volumes = self.volumes.values().map(|known| &known.record);
         volumes
@@ -118,7 +119,7 @@
             .collect()
     }
 
-    /// How the volumes stand.
+    /// Counts the volumes by number of live holders.
     pub(crate) fn summary(&self) -> VolumesSummary {
         let mut summary = VolumesSummary::default();
         for known in self.volumes.values() {
@@ -142,7 +143,8 @@
         summary
     }
 
-    /// Whether some volume would be writable if its disks were not full.
+    /// Whether some volume has two live holders. If none is writable nevertheless, full
+    /// disks are the reason.
     pub(crate) fn is_blocked_by_full_disks(&self) -> bool {
         let mut volumes = self.volumes.values();
         volumes.any(|known| is_writable(&known.record, &self.disks))
--- a/crates/bluebellreel_entry/src/data/wire.rs
+++ b/crates/bluebellreel_entry/src/data/wire.rs
@@ -1,17 +1,17 @@
-//! How daemons name chunks to each other.
+//! Paths and headers of the chunk protocol between daemons.
 
 use bluebellreel_chunk::ChunkFolder;
 
-/// Below it lie the chunks.
+/// Path prefix of chunks.
 pub(crate) const PATH_PREFIX: &str = "/internal/v1/chunks/";
-/// Names the epoch of the volume as the writer knows it.
+/// Header with the volume's epoch as known to the writer.
 pub(crate) const EPOCH_HEADER: &str = "Bluebellreel-Epoch";
-/// Marks a copy by another holder.
+/// Header that marks a copy made by another holder of the volume.
 pub(crate) const COPY_HEADER: &str = "Bluebellreel-Copy";
-/// Bytes of a chunk at the most.
+/// Maximum size of a chunk in bytes.
 pub(crate) const MAX_CHUNK_BYTES: usize = 8 << 20;
 
-/// Where a chunk is reached.
+/// The URL path of a chunk.
 pub(crate) fn chunk_path(folder: &ChunkFolder, digest: &str) -> String {
     let ChunkFolder {
         volume,
--- a/crates/bluebellreel_entry/src/fleet/matching.rs
+++ b/crates/bluebellreel_entry/src/fleet/matching.rs
@@ -1,7 +1,7 @@
 //! Election of each data centre's matcher, the daemon that matches the fleet to
 //! the manifest.
 //!
-//! The matcher creates the data centre's key under its own lease. The revision
+//! The matcher creates the data centre's key under its daemon's lease. The revision
 //! that creates the key is the fencing token of all the matcher's orders: it grows
 //! with every change of matcher, so that no counter is needed.
 
--- a/crates/bluebellreel_entry/src/http/batches.rs
+++ b/crates/bluebellreel_entry/src/http/batches.rs
@@ -1,4 +1,4 @@
-//! Batch jobs.
+//! The batch job API.
 
 use crate::http::context::{CallerRequest, HttpContext, answer, query_actor};
 use crate::jobs::{
@@ -13,9 +13,9 @@
 use std::io::Read;
 use std::time::{Duration, Instant};
 
-/// When a caller may come back whose job was one too many.
+/// `Retry-After` of a job that was refused because too many are running.
 const TOO_MANY_JOBS_RETRY_AFTER: Duration = Duration::from_secs(30);
-/// Bytes of a job's body read at one time.
+/// Bytes of a job's body that one read may return.
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
 /// `POST /v1/batches`
@@ -67,9 +67,9 @@
     }
 }
 
-/// Refuses a new job while too many run: each is kept in the memory of every
-/// daemon, and one team's must not keep others' out. The bound is soft: jobs
-/// that are accepted at the same moment may go over it by some.
+/// Refuses a new job while too many are running: every daemon holds all running
+/// jobs in memory, and one team's jobs must not crowd out those of others. The limit
+/// is soft: jobs that are accepted concurrently may exceed it slightly.
 fn admit_job(cx: &HttpContext, team: &TeamName) -> Result<(), ApiError> {
     let asked = team.clone();
     let count: JobsCount = query_actor(cx, |answer| {
@@ -95,7 +95,7 @@
     )
 }
 
-/// Reads a body piece by piece within its bounds.
+/// Reads a body piece by piece within its size limit.
 fn body_pieces(
     reader: &mut dyn Read,
     announced: Option<usize>,
@@ -112,7 +112,7 @@
             return Err(too_large(max_bytes));
         }
         if read == 0 {
-            // Half a job must never be accepted as a whole one.
+            // A truncated job must never be accepted as complete.
             return match announced {
                 Some(length) if length != total => Err(cut_short()),
                 _ => Ok(None),
@@ -122,7 +122,7 @@
     }
 }
 
-/// `/v1/batches/{id}` and what lies below.
+/// `/v1/batches/{id}` and its subpaths
 pub(crate) fn handle(cx: &HttpContext, call: CallerRequest, rest: &str, query: &str) {
     let (id, action) = rest.split_once('/').unwrap_or((rest, ""));
     let id = JobId::from(id);
@@ -142,7 +142,8 @@
     }
 }
 
-/// A job of this team; another team's job does not show that it exists.
+/// Finds a job of this team. Another team's job gives the same error as one that
+/// does not exist.
 fn find_team_job(cx: &HttpContext, id: &JobId, team: &TeamName) -> Result<JobRecord, ApiError> {
     let found = find_job(&cx.handles.kv, id).map_err(|e| unreadable(&e.to_string()))?;
     match found {
@@ -157,7 +158,7 @@
     error.retry_after(Duration::from_secs(2))
 }
 
-/// Cancels a job for whoever may.
+/// Cancels a job. The caller has checked that the request is allowed.
 pub(crate) fn cancel(cx: &HttpContext, id: &JobId) -> Result<Reply, ApiError> {
     match cancel_job(cx.handles.storage(), id, cx.now()) {
         CancelAnswer::Over(record) => Ok(Reply::json(200, &job_body(&record))),
@@ -193,9 +194,9 @@
     Ok(Reply::json(200, &body))
 }
 
-/// Streams all results as JSONL, a page in memory at one time. A stream that
-/// cannot be finished is cut without its last chunk, so that the caller does
-/// not take a part for the whole.
+/// Streams all results as JSONL, holding one page in memory at a time. A stream
+/// that cannot be completed is closed without its final chunk, so that the caller
+/// does not take partial results for complete ones.
 fn stream_results(cx: &HttpContext, call: CallerRequest, record: &JobRecord) {
     let first = match read_results(cx.handles.storage(), record, None) {
         Ok(page) => page,
@@ -237,7 +238,7 @@
     }
 }
 
-/// A job as callers and operators see it.
+/// The JSON form of a job for callers and operators.
 pub(crate) fn job_body(record: &JobRecord) -> Value {
     let status = match record.state {
         JobState::Running => "in_progress",
--- a/crates/bluebellreel_entry/src/http/changes.rs
+++ b/crates/bluebellreel_entry/src/http/changes.rs
@@ -1,4 +1,4 @@
-//! What operators change: the manifest, and workers that leave.
+//! Operators' changes: the manifest, and draining of workers.
 
 use crate::fleet::{DrainOrder, FleetMessage, PutAnswer, get_manifest, order_drain, put_manifest};
 use crate::http::context::{HttpContext, query_actor, unavailable};
@@ -8,7 +8,7 @@
 use bluebellreel_types::{Ran, WorkerName};
 use serde_json::json;
 
-/// Lets a worker leave: nothing new within seconds, what runs finishes.
+/// Drains a worker: within seconds it gets no new work, and running work finishes.
 pub(crate) fn drain(cx: &HttpContext, worker: &WorkerName) -> Result<Reply, ApiError> {
     let asked = worker.clone();
     let incarnation = query_actor(cx, |answer| {
@@ -33,9 +33,9 @@
     ))
 }
 
-/// Accepts the manifest that stands once more, as the next generation, so that
-/// every process brings it into force anew. A second tap on what the first one
-/// has done finds it done.
+/// Accepts the current manifest again as the next generation, so that every process
+/// applies it again. A repeated request with the same `seen` generation succeeds
+/// without another change.
 pub(crate) fn roll_forward(cx: &HttpContext, seen: Option<u64>) -> Result<Reply, ApiError> {
     let found = get_manifest(&cx.handles.kv).map_err(|e| unavailable(&e.to_string()))?;
     let Some(found) = found else {
@@ -104,7 +104,7 @@
     }
 }
 
-/// The generation that the operator saw; zero before the first manifest.
+/// The generation that the operator saw, zero before the first manifest.
 pub(crate) fn seen_generation(req: &Request) -> Result<u64, ApiError> {
     let Some(tag) = header(req, "If-Match") else {
         let message = "If-Match: the generation seen last is needed, \"0\" for none";
--- a/crates/bluebellreel_entry/src/http/chat.rs
+++ b/crates/bluebellreel_entry/src/http/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions.
+//! The chat completions API.
 
 use crate::http::context::{CallerRequest, HttpContext, answer};
 use crate::http::online::{Pending, begin, error_of};
@@ -53,8 +53,8 @@
     }
 }
 
-/// Streams an answer. Nothing is sent before the first text, so that an error
-/// before it still has its own status.
+/// Streams an answer. Nothing is sent before the first text, so that an earlier
+/// error is answered with its own HTTP status.
 fn send_stream(cx: &HttpContext, call: CallerRequest, pending: &Pending, model: &ModelName) {
     let keyed = call.key.is_some();
     let first = match pending.next(cx) {
--- a/crates/bluebellreel_entry/src/http/context.rs
+++ b/crates/bluebellreel_entry/src/http/context.rs
@@ -1,5 +1,5 @@
-//! What all handlers work with: the daemon's parts, a caller's request, and
-//! ways to answer it and to ask an actor.
+//! Shared context of the HTTP handlers, and helpers to answer requests and to query
+//! the actor.
 
 use crate::fleet::SharedManifest;
 use crate::handles::DaemonHandles;
@@ -11,17 +11,17 @@
 use crossbeam_channel::{Sender, bounded};
 use std::time::Duration;
 
-/// Longest wait for an actor.
+/// Timeout for the actor's reply.
 const ACTOR_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What HTTP handlers work with.
+/// Context of the HTTP handlers.
 #[derive(Clone)]
 pub(crate) struct HttpContext {
     pub(crate) handles: DaemonHandles,
     pub(crate) manifest: SharedManifest,
 }
 
-/// A caller's request, its caller known.
+/// An authenticated caller's request.
 pub(crate) struct CallerRequest {
     pub(crate) req: Request,
     pub(crate) team: TeamName,
@@ -47,7 +47,8 @@
     }
 }
 
-/// Runs a handler whose answer is known as a whole, and closes its span.
+/// Runs a handler that returns a complete reply, sends the reply, and ends the
+/// request's span.
 pub(crate) fn answer(
     cx: &HttpContext,
     mut call: CallerRequest,
@@ -59,7 +60,7 @@
     respond(call.req, &reply);
 }
 
-/// Who sends a request.
+/// Authenticates a request by its bearer token.
 pub(crate) fn principal<'a>(cx: &'a HttpContext, req: &Request) -> Result<&'a Principal, ApiError> {
     let refused = || ApiError::new(401, "unauthorized", "a known bearer token is needed");
     let token = header(req, "Authorization")
@@ -68,7 +69,7 @@
     cx.handles.settings.tokens.find(token).ok_or_else(refused)
 }
 
-/// Asks an actor.
+/// Sends a query to the actor and waits for its reply.
 pub(crate) fn query_actor<T>(
     cx: &HttpContext,
     message: impl FnOnce(Sender<T>) -> Message,
@@ -80,7 +81,7 @@
         .map_err(|_| unavailable("the daemon does not answer"))
 }
 
-/// The error of what cannot be read or done now.
+/// The error of a request that cannot be served now.
 pub(crate) fn unavailable(reason: &str) -> ApiError {
     let error = ApiError::new(503, "unavailable", reason);
     error.retry_after(Duration::from_secs(2))
--- a/crates/bluebellreel_entry/src/http/mod.rs
+++ b/crates/bluebellreel_entry/src/http/mod.rs
@@ -1,7 +1,7 @@
-//! Callers' and operators' HTTP.
+//! The HTTP API for callers and operators.
 //!
-//! Each file takes only from those before it: `cx`; `requests`, `online`,
-//! `sse`, `chat`, `services`; `batches`; `outcomes`, `changes`, `page`,
+//! Modules depend only on earlier ones in this order: `context`; `requests`,
+//! `online`, `sse`, `chat`, `services`; `batches`; `outcomes`, `changes`, `page`,
 //! `operator`; `route`.
 
 mod batches;
--- a/crates/bluebellreel_entry/src/http/online.rs
+++ b/crates/bluebellreel_entry/src/http/online.rs
@@ -1,4 +1,4 @@
-//! What chat completions and service calls share: the way through the actor.
+//! Sends requests to the online component, for chat completions and service calls.
 
 use crate::http::context::{CallerRequest, HttpContext};
 use crate::http::requests::claimed_reply;
@@ -12,10 +12,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time past the deadline after which a handler gives up on its actor.
+/// How long past the deadline a handler waits for the actor before it gives up.
 const ACTOR_GRACE: Duration = Duration::from_secs(3);
 
-/// A request handed to the actor.
+/// A request in progress at the online component.
 pub(crate) struct Pending {
     pub(crate) id: RequestId,
     pub(crate) rx: Receiver<CallerEvent>,
@@ -23,7 +23,7 @@
     digest: String,
 }
 
-/// Hands work to the online actor.
+/// Sends a new request to the online component.
 pub(crate) fn begin(cx: &HttpContext, call: &CallerRequest, work: Work, digest: String) -> Pending {
     let id = RequestId::random();
     let latest = cx.now() + cx.handles.settings.online_deadline;
@@ -33,7 +33,7 @@
     } else {
         deadline.min(cx.now() + LONGEST_UNREPEATABLE)
     };
-    // Bounded by the tokens of one answer.
+    // The channel needs no bound: one answer's tokens limit its length.
     let (caller, rx) = unbounded();
     let new = NewCall {
         request: NewRequest {
@@ -56,19 +56,20 @@
 }
 
 impl Pending {
-    /// Waits for what comes next.
+    /// Waits for the next event of the request.
     pub(crate) fn next(&self, cx: &HttpContext) -> CallerEvent {
         let left = self.deadline.since(cx.now()) + ACTOR_GRACE;
         match self.rx.recv_timeout(left) {
             Ok(event) => event,
-            // The actor is gone or stuck: nobody can tell what ran.
+            // The actor has ended or is blocked, so whether the request ran is
+            // unknown.
             Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => {
                 CallerEvent::Finished(Outcome::Unknown)
             }
         }
     }
 
-    /// What a caller is told whose key was used before.
+    /// The reply to a caller whose idempotency key was used before.
     pub(crate) fn claimed(&self, cx: &HttpContext, record: ClaimRecord) -> Result<Reply, ApiError> {
         if record.digest != self.digest {
             let message = "the key was used before, for another request";
@@ -77,14 +78,14 @@
         claimed_reply(cx, record)
     }
 
-    /// Tells the actor that the caller has gone away.
+    /// Notifies the online component that the caller has disconnected.
     pub(crate) fn caller_gone(&self, cx: &HttpContext) {
         let message = OnlineMessage::CallerGone(self.id);
         cx.handles.send_message(Message::Online(message));
     }
 }
 
-/// The error for an outcome that is no answer.
+/// The error for an outcome other than a completed answer.
 pub(crate) fn error_of(outcome: &Outcome, keyed: bool, now: Moment) -> ApiError {
     match outcome {
         Outcome::Completed { .. } => ApiError::new(500, "internal", "not an error"),
--- a/crates/bluebellreel_entry/src/http/operator.rs
+++ b/crates/bluebellreel_entry/src/http/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' calls.
+//! The operator API.
 
 use crate::http::changes::{change_manifest, drain, roll_forward, seen_generation, show_manifest};
 use crate::http::context::{HttpContext, principal};
@@ -10,8 +10,8 @@
 
 /// `/operator/…`
 pub(crate) fn handle(cx: &HttpContext, mut req: Request, path: &str, query: &str) {
-    // The page's own form: a browser cannot set headers, so the token comes in
-    // the form's body and answers are pages.
+    // The operators' page: browser forms cannot set headers, so the token is in
+    // the form's body, and replies are pages.
     if path == "/operator" {
         return page::handle(cx, req, query);
     }
--- a/crates/bluebellreel_entry/src/http/outcomes.rs
+++ b/crates/bluebellreel_entry/src/http/outcomes.rs
@@ -1,4 +1,4 @@
-//! Whether what callers and operators rely on holds.
+//! State of the service's guarantees to callers and operators.
 
 use crate::data::VolumesSummary;
 use crate::fleet::{FleetMessage, FleetSummary};
@@ -8,7 +8,7 @@
 use bluebellreel_http::ApiError;
 use serde_json::{Value, json};
 
-/// Whether the outcomes hold.
+/// Reports the state of each guarantee and the figures behind it.
 pub(crate) fn outcomes(cx: &HttpContext) -> Result<Value, ApiError> {
     let jobs: JobsSummary = query_actor(cx, |answer| {
         Message::Jobs(JobsMessage::QuerySummary(answer))
@@ -57,7 +57,8 @@
     }))
 }
 
-/// Nineteen answers in twenty are to come in time.
+/// The guarantee is broken if more than one answer in twenty is late, and at risk
+/// if more than one in a hundred is.
 fn answers_state(in_time: u64, late: u64) -> &'static str {
     let total = in_time + late;
     if late * 20 > total {
--- a/crates/bluebellreel_entry/src/http/page.rs
+++ b/crates/bluebellreel_entry/src/http/page.rs
@@ -1,10 +1,9 @@
-//! The operators' page: one small page for a phone.
+//! The operators' page, small enough for a phone.
 //!
-//! It needs no script and no other file. Without a token it shows the form to
-//! give one; the token travels in forms' bodies only, never in an address. Each
-//! change has a page of its own to confirm it, and taps twice do no harm: a
-//! drain or a cancel that is done already is done, and roll forward names the
-//! generation that was seen.
+//! The page needs no script and no other file. Without a token it shows a form to
+//! enter one; the token is sent in form bodies only, never in a URL. Each change is
+//! confirmed on a page of its own. Submitting a change twice does no harm: drain and
+//! cancel are idempotent, and roll forward names the generation that was seen.
 
 use crate::http::batches;
 use crate::http::changes::{drain, roll_forward};
@@ -24,7 +23,7 @@
 overflow-wrap:anywhere}button,input{font:inherit;padding:10px 14px;margin:4px 4px 4px 0;\
 max-width:100%;box-sizing:border-box}button{min-height:44px}.no{color:#555;font-size:.9em}";
 
-/// What a form asks.
+/// The fields of a submitted form.
 #[derive(Debug, Default)]
 struct Form {
     token: String,
@@ -54,7 +53,7 @@
     }
 }
 
-/// Undoes the encoding of a form's value.
+/// Decodes a URL-encoded form value.
 fn decoded(text: &str) -> String {
     let mut bytes = Vec::new();
     let mut rest = text.bytes();
@@ -233,7 +232,7 @@
     html(200, &body)
 }
 
-/// A value as text that is safe in a page.
+/// A JSON value as HTML-escaped text.
 fn text(value: &Value) -> String {
     match value {
         Value::String(text) => escaped(text),
@@ -306,8 +305,8 @@
     number
 }
 
-/// Jobs and workers that one page lists at the most, to stay small on a slow
-/// line.
+/// Maximum number of jobs and of workers that a page lists, so that it stays small
+/// for slow connections.
 const MAX_ROWS: usize = 20;
 
 fn push_jobs(body: &mut String, form: &Form, view: &Value, seen: u64) {
--- a/crates/bluebellreel_entry/src/http/requests.rs
+++ b/crates/bluebellreel_entry/src/http/requests.rs
@@ -11,9 +11,9 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Longest wait for a side process that is asked.
+/// Timeout for the verdict of a side process.
 const VERDICT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest time to record what it said.
+/// Timeout for recording the verdict.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// `GET /v1/requests/{key}`
@@ -41,7 +41,7 @@
     Ok(Reply::json(200, &body))
 }
 
-/// What the caller of a key that was used before is told.
+/// The reply to a call whose idempotency key was used before.
 pub(crate) fn claimed_reply(cx: &HttpContext, record: ClaimRecord) -> Result<Reply, ApiError> {
     let current = find_claim(&cx.handles.kv, &record.team, &record.key);
     let record = match current {
@@ -77,9 +77,9 @@
     error.retry_after(Duration::from_secs(2))
 }
 
-/// Finds out what became of a claim that is still open, from the side process
-/// that it names, and records it. An entry that died between claim and record
-/// leaves such claims behind.
+/// Resolves a pending claim: queries the side process that it names and records
+/// the result. An entry daemon that dies between writing the claim and recording
+/// the outcome leaves such a claim behind.
 fn resolve(cx: &HttpContext, record: ClaimRecord, revision: i64) -> ClaimRecord {
     if record.state != ClaimState::Pending {
         return record;
@@ -95,7 +95,7 @@
     record_query_result(&cx.handles.kv, record, revision, &result)
 }
 
-/// Records what a side process told of an open claim.
+/// Records the result of querying a pending claim. Returns the claim as recorded.
 pub(crate) fn record_query_result(
     kv: &KvClient,
     record: ClaimRecord,
@@ -107,8 +107,8 @@
             state_after_verdict(verdict, record.deadline, kv.now())
         }
         ClaimQueryResult::Gone => Some(ClaimState::Unknown),
-        // A worker that is away may come back and tell; past the deadline
-        // the caller deserves an answer, and "unknown" is the true one.
+        // An unreachable worker may return and report the outcome. Past the
+        // deadline the caller needs an answer, and "unknown" is the correct one.
         ClaimQueryResult::Unreachable if record.deadline.is_past(kv.now()) => {
             Some(ClaimState::Unknown)
         }
@@ -121,7 +121,8 @@
     if !record_state(kv, &resolved, revision, kv.now() + RECORD_TIMEOUT) {
         return record;
     }
-    // Another may have resolved it first: what is recorded counts.
+    // Another daemon may have resolved the claim first: the recorded state is
+    // authoritative.
     match find_claim(kv, &record.team, &record.key) {
         Ok(Some((current, _))) => current,
         Ok(None) | Err(_) => record,
--- a/crates/bluebellreel_entry/src/http/route.rs
+++ b/crates/bluebellreel_entry/src/http/route.rs
@@ -1,4 +1,4 @@
-//! From a request to its handler.
+//! Dispatches requests to their handlers.
 
 use crate::data;
 use crate::http::context::{CallerRequest, HttpContext, answer, principal};
@@ -8,10 +8,10 @@
 use bluebellreel_telemetry::Span;
 use bluebellreel_types::{Moment, TeamName, TraceContext};
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
-/// Serves one request.
+/// Handles one request.
 pub(crate) fn handle(cx: &HttpContext, req: Request) {
     let url = req.url().to_owned();
     let (path, query) = url.split_once('?').unwrap_or((&url, ""));
--- a/crates/bluebellreel_entry/src/http/services.rs
+++ b/crates/bluebellreel_entry/src/http/services.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! The API for calls to plain services.
 
 use crate::http::context::{CallerRequest, HttpContext, answer};
 use crate::http::online::{begin, error_of};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When a caller may come back who came before the manifest was read.
+/// `Retry-After` of a call that arrived before the manifest was read.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// `/services/{name}/…`
--- a/crates/bluebellreel_entry/src/http/sse.rs
+++ b/crates/bluebellreel_entry/src/http/sse.rs
@@ -1,4 +1,5 @@
-//! Chat answers in the usual form of completions APIs, whole and streamed.
+//! Chat answers in the usual format of completions APIs, complete and as
+//! server-sent events.
 
 use bluebellreel_types::{ModelName, RequestId};
 use serde_json::{Value, json};
@@ -7,19 +8,19 @@
     format!("chatcmpl-{id}")
 }
 
-/// One event of a streamed answer.
+/// An event with a piece of a streamed answer's text.
 pub(crate) fn text_event(id: RequestId, model: &ModelName, text: &str) -> String {
     let delta = json!({ "role": "assistant", "content": text });
     event(&chunk(id, model, &delta, &Value::Null))
 }
 
-/// The last events of a whole streamed answer.
+/// The final events of a completed streamed answer.
 pub(crate) fn end_events(id: RequestId, model: &ModelName) -> String {
     let last = chunk(id, model, &json!({}), &json!("stop"));
     format!("{}data: [DONE]\n\n", event(&last))
 }
 
-/// The event of an answer that broke off for good.
+/// The event of a streamed answer that failed.
 pub(crate) fn error_event(body: &[u8]) -> String {
     format!("data: {}\n\n", String::from_utf8_lossy(body))
 }
@@ -37,7 +38,7 @@
     })
 }
 
-/// A whole answer.
+/// A complete answer that is not streamed.
 pub(crate) fn completion(id: RequestId, model: &ModelName, text: &str, tokens: u32) -> Value {
     json!({
         "id": id_of(id),
