--- a/crates/bluebellreel_entry/src/actor.rs
+++ b/crates/bluebellreel_entry/src/actor.rs
@@ -1,14 +1,14 @@
-//! The actor that runs the daemon's parts.
+//! The actor that runs the daemon's components.
 
 use crate::core::EntryCore;
 use crate::message::Message;
 use stakker::{CX, after};
 use std::time::Duration;
 
-/// Between two looks at deadlines.
+/// Interval between two ticks of the components.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Runs the parts: messages come in, timers go off.
+/// Delivers messages and timer ticks to the components.
 pub(crate) struct EntryActor {
     core: EntryCore,
 }
@@ -16,7 +16,7 @@
 impl EntryActor {
     #[expect(
         clippy::unnecessary_wraps,
-        reason = "stakker wants an option from init"
+        reason = "stakker requires init to return an Option"
     )]
     pub(crate) fn init(cx: CX![], core: EntryCore) -> Option<Self> {
         after!(TICK, [cx], tick());
--- a/crates/bluebellreel_entry/src/bench.rs
+++ b/crates/bluebellreel_entry/src/bench.rs
@@ -1,5 +1,6 @@
-//! Drives the daemon's real code by hand: no thread, no socket, a clock that
-//! is set. For the fault matrix and other tests of failures.
+//! A test harness that drives the daemon's production code step by step, without
+//! threads or sockets and with a manually set clock. Used by the fault matrix and
+//! other failure tests.
 
 use crate::core::EntryCore;
 use crate::data::ChunkAccess;
@@ -35,17 +36,17 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Messages that wait.
+/// Capacity of the actor's message queue.
 const MESSAGE_QUEUE_CAPACITY: usize = 65_536;
 
-/// A caller that waits for an online answer.
+/// An online call and the caller's view of it.
 pub struct HarnessCall {
-    /// Its request.
+    /// Id of the request.
     pub id: RequestId,
     rx: Receiver<CallerEvent>,
     /// Text received so far.
     pub text: String,
-    /// How it ended, once it has.
+    /// How the call ended, once it has.
     pub end: Option<CallEnd>,
     stranded: bool,
 }
@@ -53,14 +54,14 @@
 /// How an online call ended for its caller.
 #[derive(Clone, Debug)]
 pub enum CallEnd {
-    /// By this outcome.
+    /// The request ended with this outcome.
     Outcome(Outcome),
-    /// The key had been claimed before.
+    /// The idempotency key already had this claim.
     Claimed(Box<ClaimRecord>),
 }
 
 impl HarnessCall {
-    /// Takes in what has come.
+    /// Processes the events received since the last poll.
     pub fn poll(&mut self) {
         loop {
             match self.rx.try_recv() {
@@ -78,36 +79,36 @@
         }
     }
 
-    /// Whether the daemon that was to answer has died.
+    /// Whether the daemon died before it answered.
     #[must_use]
     pub fn is_stranded(&self) -> bool {
         self.stranded
     }
 }
 
-/// One line of results.
+/// One line of a job's results.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HarnessResult {
-    /// The item.
+    /// The item's custom id.
     pub custom_id: String,
-    /// How it ended.
+    /// The item's final status.
     pub status: &'static str,
-    /// Its answer.
+    /// The body of the item's response.
     pub body: Option<String>,
 }
 
-/// A question to the side process that a claim names.
+/// A query to the side process that a claim names.
 pub struct ClaimQuery {
     record: ClaimRecord,
     revision: i64,
     rx: Receiver<ClaimQueryResult>,
 }
 
-/// An entry daemon without threads, sockets or platform.
+/// An entry daemon without threads or sockets.
 pub struct EntryHarness {
-    /// Its name.
+    /// Name of the daemon.
     pub name: EntryName,
-    /// Its run.
+    /// Incarnation of the daemon.
     pub run: Incarnation,
     core: EntryCore,
     handles: DaemonHandles,
@@ -118,7 +119,7 @@
 }
 
 impl EntryHarness {
-    /// A daemon that has just started.
+    /// Creates a newly started daemon.
     #[must_use]
     pub fn new(settings: EntrySettings, send: KvTransport, clock: Clock) -> Self {
         let run = Incarnation::random();
@@ -156,19 +157,19 @@
         }
     }
 
-    /// Handles the messages that wait.
+    /// Handles all queued messages.
     pub fn handle_messages(&mut self) {
         while let Ok(message) = self.rx.try_recv() {
             self.core.deliver(message);
         }
     }
 
-    /// Lets the daemon look at its deadlines.
+    /// Runs one tick of the daemon's components.
     pub fn tick(&mut self) {
         self.core.tick();
     }
 
-    /// Runs one call to the key-value service that waits; whether there was one.
+    /// Runs one queued call to the key-value service. Returns whether there was one.
     pub fn run_kv_task(&mut self) -> bool {
         let Some(task) = self.handles.pool.pop_manual() else {
             return false;
@@ -177,17 +178,17 @@
         true
     }
 
-    /// The next command to the connections.
+    /// Takes the next command to the connections.
     pub fn command(&mut self) -> Option<EntryCommand> {
         self.commands.try_recv().ok()
     }
 
-    /// Hands a message of a side process in.
+    /// Delivers a notice from a side process.
     pub fn notice(&mut self, notice: EntryNotice) {
         self.core.deliver(Message::Rpc(notice));
     }
 
-    /// Tells the daemon of a worker, as the VM list does.
+    /// Delivers a VM list with these workers.
     pub fn list(&mut self, workers: &[(WorkerName, SocketAddr, DataCentre)]) {
         let listed = workers
             .iter()
@@ -200,7 +201,7 @@
         self.core.deliver(Message::Listed(listed.collect()));
     }
 
-    /// Renews the daemon's lease, or takes a new one.
+    /// Renews the daemon's lease, or acquires a new one.
     pub fn renew_lease(&mut self) {
         let kv = &self.handles.kv;
         if let Some(lease) = self.lease
@@ -231,8 +232,8 @@
         }
     }
 
-    /// Reads the leases, the jobs and the manifest anew, as the watches do
-    /// when they start over.
+    /// Reads all leases, jobs and the manifest, as the watches do when they start
+    /// over.
     pub fn read_all(&mut self) {
         let kv = self.handles.kv.clone();
         if let Ok((all, _)) = kv.list(&entry_prefix()) {
@@ -269,7 +270,7 @@
     ///
     /// # Errors
     ///
-    /// Gives the error that the caller sees.
+    /// Returns the error that the caller receives.
     pub fn submit(
         &mut self,
         team: &TeamName,
@@ -303,11 +304,11 @@
         Ok(submission.id)
     }
 
-    /// Cancels a job; the state that it ended in.
+    /// Cancels a job and returns its final state.
     ///
     /// # Errors
     ///
-    /// Gives the reason when it could not be recorded.
+    /// Returns the reason if the cancellation was not recorded.
     pub fn cancel(&mut self, id: &JobId) -> Result<JobState, String> {
         match cancel_job(self.handles.storage(), id, self.handles.clock.now()) {
             CancelAnswer::Over(record) => Ok(record.state),
@@ -316,14 +317,14 @@
         }
     }
 
-    /// A job's state, none when it cannot be read.
+    /// A job's state, `None` if it cannot be read.
     #[must_use]
     pub fn job_state(&self, id: &JobId) -> Option<JobState> {
         let found = find_job(&self.handles.kv, id).ok()??;
         Some(found.record.state)
     }
 
-    /// All results of a job; none when they cannot be read.
+    /// All results of a job, `None` if they cannot be read.
     #[must_use]
     pub fn results(&self, id: &JobId) -> Option<Vec<HarnessResult>> {
         let record = find_job(&self.handles.kv, id).ok()??.record;
@@ -374,7 +375,7 @@
         Some(find_claim(&self.handles.kv, team, key).ok()??.0)
     }
 
-    /// Asks what became of an open claim.
+    /// Queries the outcome of a key's claim.
     pub fn ask_claim(&mut self, team: &TeamName, key: &str) -> Option<ClaimQuery> {
         let (record, revision) = find_claim(&self.handles.kv, team, key).ok()??;
         let (answer, rx) = bounded(1);
@@ -390,21 +391,21 @@
         })
     }
 
-    /// Records the answer to a question, if there is one; whether there was.
-    pub fn settle(&mut self, question: &ClaimQuery) -> bool {
-        let Ok(result) = question.rx.try_recv() else {
+    /// Records the result of a query if it has arrived. Returns whether it has.
+    pub fn settle(&mut self, query: &ClaimQuery) -> bool {
+        let Ok(result) = query.rx.try_recv() else {
             return false;
         };
-        let record = question.record.clone();
-        record_query_result(&self.handles.kv, record, question.revision, &result);
+        let record = query.record.clone();
+        record_query_result(&self.handles.kv, record, query.revision, &result);
         true
     }
 
-    /// Puts a manifest in place of the generation that was seen.
+    /// Replaces the manifest if its generation is the one that was seen.
     ///
     /// # Errors
     ///
-    /// Gives the generation that won, or none when it is not known.
+    /// Returns the generation that won instead, or `None` if it is unknown.
     pub fn put_manifest(&mut self, seen: u64, text: &str) -> Result<u64, Option<u64>> {
         match put_manifest(&self.handles.kv, seen, text) {
             PutAnswer::Accepted(stored) => Ok(stored.generation),
@@ -413,7 +414,7 @@
         }
     }
 
-    /// The generation in force here.
+    /// Generation of the manifest in force on this daemon.
     pub fn generation(&mut self) -> u64 {
         let (answer, rx) = bounded(1);
         let message = FleetMessage::QuerySummary(answer);
--- a/crates/bluebellreel_entry/src/core.rs
+++ b/crates/bluebellreel_entry/src/core.rs
@@ -1,4 +1,4 @@
-//! The daemon's state as a whole: its parts, and which message goes to which.
+//! The daemon's components and the routing of messages between them.
 
 use crate::fleet::{FleetComponent, SharedManifest};
 use crate::handles::DaemonHandles;
@@ -8,7 +8,7 @@
 use bluebellreel_routing::ReachNeeds;
 use bluebellreel_rpc::EntryNotice;
 
-/// The parts. All of them run on one thread and never block.
+/// The daemon's components. All of them run on one thread and never block.
 pub(crate) struct EntryCore {
     pub(crate) online: OnlineComponent,
     pub(crate) jobs: JobsComponent,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Looks at what time has brought.
+    /// Processes deadlines and periodic work of all components.
     pub(crate) fn tick(&mut self) {
         self.online.tick();
         self.jobs.tick();
@@ -36,7 +36,7 @@
         self.update_connections();
     }
 
-    /// Connects to the workers that are needed now and lets go of the others.
+    /// Connects to the workers that are needed now and closes other connections.
     fn update_connections(&mut self) {
         let now = self.handles.clock.now();
         if !self.connections.is_due(now) {
@@ -55,18 +55,19 @@
             .online
             .set_connections(reached.workers, reached.is_short)
         {
-            // Their connections are closed from here, so that nobody else tells.
+            // This daemon closes these connections itself, so no `Lost` notice
+            // arrives for them.
             self.jobs.on_notice(EntryNotice::Lost(gone.clone()));
             self.fleet.on_notice(EntryNotice::Lost(gone));
         }
     }
 
-    /// Whether a graceful stop would cut nothing now.
+    /// Whether a graceful stop would interrupt no work now.
     fn is_idle(&self) -> bool {
         self.online.is_idle() && self.jobs.is_idle()
     }
 
-    /// Hands a message to the part that it is for.
+    /// Delivers a message to the component that handles it.
     pub(crate) fn deliver(&mut self, message: Message) {
         match message {
             Message::Online(message) => self.online.on_message(message),
@@ -92,7 +93,7 @@
             Message::QueryIdle(answer) => {
                 answer.send(self.is_idle()).ok();
             }
-            // The loop that runs the actors sees to it.
+            // Handled by the loop that runs the actor.
             Message::Quit => {}
             Message::Stop => {
                 log::info!(target: "entry", "Stopping: nothing new is taken.");
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Connections and verdicts concern several parts; the rest concerns one.
+    /// Delivers a notice to every component that handles it: connections, loads and
+    /// verdicts go to several, all others to one.
     fn deliver_notice(&mut self, notice: EntryNotice) {
         self.connections
             .on_notice(&notice, self.handles.clock.now());
--- a/crates/bluebellreel_entry/src/handles.rs
+++ b/crates/bluebellreel_entry/src/handles.rs
@@ -1,4 +1,4 @@
-//! What the actors and the HTTP threads work with.
+//! Handles shared by the actor and the other threads.
 
 use crate::data::ChunkAccess;
 use crate::jobs::JobStorage;
@@ -21,7 +21,8 @@
     pub(crate) settings: Arc<EntrySettings>,
     pub(crate) run: Incarnation,
     pub(crate) clock: Clock,
-    /// The daemon's lease, zero while it has none.
+    /// Id of the daemon's lease, zero while it has none, or
+    /// [`STOPPED`](crate::platform::STOPPED).
     pub(crate) lease: Arc<AtomicI64>,
     pub(crate) kv: Arc<KvClient>,
     pub(crate) pool: KvPool,
@@ -34,7 +35,7 @@
 }
 
 impl DaemonHandles {
-    /// Where jobs are kept.
+    /// Storage of jobs.
     pub(crate) fn storage(&self) -> JobStorage<'_> {
         JobStorage {
             kv: &self.kv,
@@ -42,12 +43,12 @@
         }
     }
 
-    /// Sends to the connections; their thread ends only with the process.
+    /// Sends a command to the connections' thread, which ends only with the process.
     pub(crate) fn send_command(&self, command: EntryCommand) {
         self.rpc.send(command).ok();
     }
 
-    /// Sends to the actors; false once their thread has ended.
+    /// Sends a message to the actor. Returns false once its thread has ended.
     pub(crate) fn send_message(&self, message: Message) -> bool {
         self.tx.send(message).is_ok()
     }
--- a/crates/bluebellreel_entry/src/lib.rs
+++ b/crates/bluebellreel_entry/src/lib.rs
@@ -1,16 +1,16 @@
-//! The entry daemon: callers' and operators' HTTP, routing of online requests,
-//! ownership of batch jobs, and the manifest.
+//! The entry daemon: the HTTP API for callers and operators, routing of online
+//! requests, ownership of batch jobs, and distribution of the manifest.
 //!
-//! One thread runs an actor that holds the parts (online requests, jobs, the
-//! manifest), which drive the pure decision code of the other packages. HTTP
-//! requests, connections to side processes and calls to the platform live on
-//! threads at the rim and talk to the actor by channels. [`start_entry`] wires
-//! all of it; [`bench`] drives the same code by hand.
+//! One thread runs an actor that contains the components (online requests, jobs,
+//! fleet, connections), which drive the pure decision code of the other crates. HTTP
+//! requests, connections to side processes, and calls to the platform run on their
+//! own threads and communicate with the actor through channels. [`start_entry`]
+//! starts all of them; [`bench`] drives the same code step by step in tests.
 //!
-//! Files take only from those below them, from top to bottom: `run`, `bench`;
-//! `actor`, `core`; `http`; the actor's parts and the threads that watch the
-//! platform; `handles`; `message`; chunks, and jobs in the store; messages and
-//! records; names of keys.
+//! Modules depend only on those in later groups of this list: `run`, `bench`;
+//! `actor`, `core`; `http`; the actor's components and the threads that watch the
+//! platform; `handles`; `message`; chunk access and storage of jobs; messages and
+//! records; key names.
 //!
 //! ```no_run
 //! let settings = bluebellreel_settings::load_entry("entry.toml").unwrap();
--- a/crates/bluebellreel_entry/src/message.rs
+++ b/crates/bluebellreel_entry/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages to the entry daemon's actors.
+//! Messages to the entry daemon's actor.
 
 use crate::fleet::FleetMessage;
 use crate::jobs::JobsMessage;
@@ -7,29 +7,29 @@
 use bluebellreel_types::EntryName;
 use crossbeam_channel::Sender;
 
-/// What reaches the actors' thread.
+/// A message to the actor's thread.
 #[derive(Debug)]
 pub(crate) enum Message {
-    /// From a side process.
+    /// A notice from the connections to side processes.
     Rpc(EntryNotice),
-    /// For the online part.
+    /// A message to the online component.
     Online(OnlineMessage),
-    /// For the batch part.
+    /// A message to the jobs component.
     Jobs(JobsMessage),
-    /// For the manifest and the fleet.
+    /// A message to the fleet component.
     Fleet(FleetMessage),
-    /// The manifest has been read, if there is one.
+    /// The manifest was read, or there is none yet.
     ManifestRead,
-    /// The platform lists these workers.
+    /// The platform's VM list was read.
     Listed(Vec<crate::platform::ListedWorker>),
-    /// Another daemon's lease is there.
+    /// A daemon's lease was found or created.
     EntryJoined(crate::platform::EntryRecord),
-    /// Another daemon's lease has ended.
+    /// A daemon's lease has ended.
     EntryLeft(EntryName),
-    /// The process is asked to stop gracefully.
+    /// Starts a graceful stop: no new work is accepted.
     Stop,
-    /// Whether a stop would cut nothing now is asked for.
+    /// Requests whether a stop would interrupt no work now.
     QueryIdle(Sender<bool>),
-    /// The actors' thread is to end.
+    /// Ends the actor's thread.
     Quit,
 }
--- a/crates/bluebellreel_entry/src/readiness.rs
+++ b/crates/bluebellreel_entry/src/readiness.rs
@@ -1,17 +1,18 @@
-//! Whether the platform's balancer may send people here.
+//! Whether the platform's load balancer may send callers to this daemon.
 
 use bluebellreel_types::Moment;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Longest time that a daemon stays away from the balancer while it looks for
-/// its workers and its manifest: with the VM list down it can still take jobs.
+/// How long after its start a daemon may stay unready while it connects to its
+/// workers and reads the manifest. It then becomes ready anyway: with the VM list
+/// unavailable it can still accept jobs.
 const MAX_DISCOVERY_TIME: Duration = Duration::from_secs(10);
 
-/// Whether this daemon serves, as told at `/readyz`.
+/// The readiness that `/readyz` reports.
 ///
-/// Shared by the actors, which know the workers, and the HTTP threads.
+/// Shared by the actor, which knows the workers, and the HTTP threads.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Readiness {
     started: Arc<AtomicBool>,
@@ -20,36 +21,38 @@
 }
 
 impl Readiness {
-    /// Whether people may be sent here.
+    /// Whether the load balancer may send callers here.
     pub(crate) fn is_ready(&self) -> bool {
         self.started.load(Ordering::SeqCst) && !self.stopping.load(Ordering::SeqCst)
     }
 
-    /// The manifest has been read for the first time, or there is none yet.
+    /// Records that the manifest was read for the first time or does not exist yet.
     pub(crate) fn note_manifest(&self) {
         self.manifest_read.store(true, Ordering::SeqCst);
     }
 
-    /// Whether it is known which models and services there are.
+    /// Whether the models and services of the fleet are known.
     pub(crate) fn knows_manifest(&self) -> bool {
         self.manifest_read.load(Ordering::SeqCst)
     }
 
-    /// Takes in whether every listed worker has been tried once.
+    /// Updates readiness. `all_tried` tells whether a connection to every worker that
+    /// the daemon needs has been attempted once.
     ///
-    /// A daemon that said "ready" before that, or before it has read the
-    /// manifest, would refuse people with "no worker serves this model" or "no
-    /// such service" right after a restart, though the fleet is whole.
+    /// A daemon that became ready earlier, or before it has read the manifest, would
+    /// refuse callers with "no worker serves this model" or "no such service" right
+    /// after a restart, although the fleet is complete.
     pub(crate) fn update(&self, all_tried: bool, started_at: Moment, now: Moment) {
         let waited = (started_at + MAX_DISCOVERY_TIME).is_past(now);
         let manifest = self.knows_manifest();
         let found = all_tried && manifest;
         if (found || waited) && !self.started.swap(true, Ordering::SeqCst) {
-            log::info!(target: "entry", all_tried, manifest; "Ready: workers and manifest have been looked for.");
+            log::info!(target: "entry", all_tried, manifest; "Ready: worker connections and manifest checked.");
         }
     }
 
-    /// Takes nothing new from the balancer from now on.
+    /// Makes the daemon unready from now on, so that the load balancer stops sending
+    /// callers.
     pub(crate) fn stop(&self) {
         self.stopping.store(true, Ordering::SeqCst);
     }
--- a/crates/bluebellreel_entry/src/run.rs
+++ b/crates/bluebellreel_entry/src/run.rs
@@ -1,4 +1,4 @@
-//! Wiring of the entry daemon.
+//! Start and stop of the entry daemon.
 
 use crate::actor::EntryActor;
 use crate::core::EntryCore;
@@ -29,23 +29,23 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Messages that wait for the actors; past it, senders wait.
+/// Capacity of the actor's message queue; senders block when it is full.
 const MESSAGE_QUEUE_CAPACITY: usize = 65_536;
-/// Messages handled before timers are looked at again.
+/// Maximum number of messages handled before timers are checked again.
 const MAX_MESSAGES_PER_TURN: usize = 1_024;
-/// Longest sleep of the actors' loop.
+/// Maximum sleep of the actor's loop.
 const MAX_SLEEP: Duration = Duration::from_millis(100);
-/// Between two looks at whether a stop is done.
+/// Interval at which a stop checks whether all work has finished.
 const IDLE_POLL: Duration = Duration::from_millis(10);
-/// Time for connections to be closed, also past the deadline: longer than the
-/// HTTP server waits for a caller that says nothing more.
+/// Minimum time for closing connections, also past the stop's deadline. It is longer
+/// than the HTTP server waits for an idle caller.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Longest wait for one call to the key-value service.
+/// Timeout of one call to the key-value service.
 const KV_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A running entry daemon.
 pub struct Entry {
-    /// Where callers and operators reach it.
+    /// Address of the HTTP server for callers and operators.
     pub address: SocketAddr,
     tx: Sender<Message>,
     http: HttpServer,
@@ -54,26 +54,26 @@
 }
 
 impl Entry {
-    /// Stops gracefully: nothing new, what is in progress finishes. Whether
-    /// nothing was cut.
+    /// Stops gracefully: accepts no new work and lets work in progress finish.
+    /// Returns whether no work was interrupted.
     ///
-    /// Guards against requests that come between the last look and the end: the
-    /// lease is given back, a call that may take seconds, while late callers
-    /// are still told "not run", and nothing slow comes after the last look.
-    /// Nobody can connect any more by then, and connections are closed.
-    #[must_use = "a stop that cut something must be reported"]
+    /// No request may arrive between the last check and the end. The lease is
+    /// therefore revoked, a call that may take seconds, while late callers are still
+    /// answered "not run", and no slow operation follows the last check. By then
+    /// the server accepts no connections, and existing ones are closed.
+    #[must_use = "a stop that interrupted work must be reported"]
     pub fn stop(self) -> bool {
         self.leave_rotation();
         let until = Instant::now() + self.handles.settings.stop;
         self.tx.send(Message::Stop).ok();
-        // Late callers may come one after another for as long as anybody can
-        // connect; the actors' work only becomes less.
+        // Late callers may keep arriving while the server accepts connections, so
+        // this waits only for the actor, whose work can only decrease.
         wait_until(until, || self.is_idle());
         revoke_lease(&self.handles);
         self.http.stop();
         let until = until.max(Instant::now() + CLOSE_TIMEOUT);
-        // Whether connections are gone is looked at first: once they are, the
-        // actors get nothing new.
+        // Connections are checked first: once they are closed, the actor receives
+        // no new work.
         wait_until(until, || self.http.is_gone() && self.is_idle());
         let cut = self.http.in_progress();
         let clean = self.is_idle() && cut == 0;
@@ -87,7 +87,8 @@
         clean
     }
 
-    /// The balancer goes on sending for a while; those callers are served.
+    /// Reports the daemon as unready, then waits for the notice period: the load
+    /// balancer keeps sending callers for a while, and they are served.
     fn leave_rotation(&self) {
         self.handles.readiness.stop();
         self.http.leave();
@@ -95,7 +96,7 @@
         thread::sleep(self.handles.settings.notice);
     }
 
-    /// Whether the actors have nothing to do any more.
+    /// Whether the actor has no work in progress.
     fn is_idle(&self) -> bool {
         let (answer, idle) = bounded(1);
         self.tx.send(Message::QueryIdle(answer)).ok();
@@ -103,21 +104,21 @@
     }
 }
 
-/// Looks until it holds or the time is up.
+/// Polls until the condition holds or the deadline has passed.
 fn wait_until(until: Instant, condition: impl Fn() -> bool) {
     while !condition() && Instant::now() < until {
         thread::sleep(IDLE_POLL);
     }
 }
 
-/// Gives the lease back, so that other daemons need not wait for its end to
-/// take over what is left.
+/// Revokes the lease, so that other daemons can take over remaining jobs without
+/// waiting for its expiry.
 fn revoke_lease(handles: &DaemonHandles) {
     let lease = handles.lease.swap(STOPPED, Ordering::SeqCst);
     if lease > 0
         && let Err(e) = handles.kv.revoke(lease)
     {
-        log::warn!(target: "entry", error:% = e; "The lease could not be given back.");
+        log::warn!(target: "entry", error:% = e; "Lease could not be revoked.");
     }
 }
 
@@ -125,8 +126,8 @@
 ///
 /// # Errors
 ///
-/// Gives the system's error when an address cannot be bound or a thread cannot
-/// be started.
+/// Returns the system's error if an address cannot be bound, a thread cannot be
+/// started, or the folder for chunks cannot be used.
 pub fn start_entry(settings: EntrySettings) -> eyre::Result<Entry> {
     let settings = Arc::new(settings);
     let run = Incarnation::random();
@@ -218,7 +219,7 @@
     Ok(commands)
 }
 
-/// Follows the jobs that are not over.
+/// Starts the thread that watches the running jobs.
 fn watch_jobs(handles: &DaemonHandles) -> io::Result<()> {
     let handles = handles.clone();
     thread::Builder::new()
@@ -242,7 +243,7 @@
     Some((record, kv.revision))
 }
 
-/// Runs the actor until it is told to quit.
+/// Runs the actor until it receives [`Message::Quit`] or all senders are gone.
 fn run_actor(handles: &DaemonHandles, shared: SharedManifest, rx: &Receiver<Message>) {
     let mut stakker = Stakker::new(Instant::now());
     let s = &mut stakker;
