--- a/crates/bluebellreel_entry/src/core.rs
+++ b/crates/bluebellreel_entry/src/core.rs
@@ -96,7 +96,7 @@
             // Handled by the loop that runs the actor.
             Message::Quit => {}
             Message::Stop => {
-                log::info!(target: "entry", "Stopping: nothing new is taken.");
+                log::info!(target: "entry", "Stopping: accepting no new work.");
                 self.online.stop();
                 self.jobs.stop();
             }
--- a/crates/bluebellreel_entry/src/lib.rs
+++ b/crates/bluebellreel_entry/src/lib.rs
@@ -5,7 +5,7 @@
 //! fleet, connections), which drive the pure decision code of the other crates. HTTP
 //! requests, connections to side processes, and calls to the platform run on their
 //! own threads and communicate with the actor through channels. [`start_entry`]
-//! starts all of them; [`bench`] drives the same code step by step in tests.
+//! starts all of them; [`mod@bench`] drives the same code step by step in tests.
 //!
 //! Modules depend only on those in later groups of this list: `run`, `bench`;
 //! `actor`, `core`; `http`; the actor's components and the threads that watch the
--- a/crates/bluebellreel_entry/src/run.rs
+++ b/crates/bluebellreel_entry/src/run.rs
@@ -80,7 +80,7 @@
         if clean {
             self.tx.send(Message::Quit).ok();
             self.actors.join().ok();
-            log::info!(target: "entry", "Stopped; nothing was cut.");
+            log::info!(target: "entry", "Stopped; no work was interrupted.");
         } else {
             log::error!(target: "entry", cut; "Stopped at the deadline with work in progress.");
         }
@@ -92,7 +92,7 @@
     fn leave_rotation(&self) {
         self.handles.readiness.stop();
         self.http.leave();
-        log::info!(target: "entry", "Stopping: not ready any more.");
+        log::info!(target: "entry", "Stopping: no longer ready.");
         thread::sleep(self.handles.settings.notice);
     }
 
--- a/tests/stops/entry.rs
+++ b/tests/stops/entry.rs
@@ -138,7 +138,7 @@
     let mut within_body = Wire::connect(daemon.address).expect("connected");
     within_body.send(&head[..head.len() - 1]).expect("sent");
     daemon.signal(Signal::SIGTERM);
-    daemon.wait_for_line("Stopping: nothing new is taken.");
+    daemon.wait_for_line("Stopping: accepting no new work.");
     // A daemon that does not count the halves is gone by then.
     thread::sleep(Duration::from_millis(500));
     within_head.send(&body[20..]).ok();
@@ -161,7 +161,7 @@
     let mut wire = Wire::connect(daemon.address).expect("connected");
     assert!(!wire.ask(&models()).expect("an answer").closes());
     daemon.signal(Signal::SIGTERM);
-    daemon.wait_for_line("Stopping: not ready any more.");
+    daemon.wait_for_line("Stopping: no longer ready.");
     let answer = wire.ask(&models()).expect("an answer");
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(answer.closes(), "{answer:?}");
@@ -200,7 +200,7 @@
     let mut upload = Wire::connect(daemon.address).expect("connected");
     upload.send(&head).expect("sent");
     daemon.signal(Signal::SIGTERM);
-    daemon.wait_for_line("Stopping: nothing new is taken.");
+    daemon.wait_for_line("Stopping: accepting no new work.");
     upload.send(&line).expect("sent");
     let answer = upload.answer().expect("an answer");
     assert_eq!(answer.status, 201, "{answer:?}");
