--- a/crates/bluebellreel_entry/src/bench.rs
+++ b/crates/bluebellreel_entry/src/bench.rs
@@ -376,7 +376,7 @@
     }
 
     /// Queries the outcome of a key's claim.
-    pub fn ask_claim(&mut self, team: &TeamName, key: &str) -> Option<ClaimQuery> {
+    pub fn query_claim(&mut self, team: &TeamName, key: &str) -> Option<ClaimQuery> {
         let (record, revision) = find_claim(&self.handles.kv, team, key).ok()??;
         let (answer, rx) = bounded(1);
         let message = OnlineMessage::QueryClaim {
--- a/crates/bluebellreel_faults/src/scenario.rs
+++ b/crates/bluebellreel_faults/src/scenario.rs
@@ -219,7 +219,7 @@
                 return;
             };
             let entry = self.world.entry(index);
-            if let Some(question) = entry.and_then(|entry| entry.ask_claim(&team, &key)) {
+            if let Some(question) = entry.and_then(|entry| entry.query_claim(&team, &key)) {
                 self.questions.push((index, question));
             }
         }
@@ -353,7 +353,7 @@
             let question: Option<ClaimQuery> = self
                 .world
                 .entry(index)
-                .and_then(|entry| entry.ask_claim(&team, key));
+                .and_then(|entry| entry.query_claim(&team, key));
             self.world.run_for(Duration::from_millis(500));
             let (Some(question), Some(entry)) = (question, self.world.entry(index)) else {
                 continue;
--- a/crates/bluebellreel_faults/tests/claims.rs
+++ b/crates/bluebellreel_faults/tests/claims.rs
@@ -58,7 +58,7 @@
     /// Whether a resend through the other daemon puts an end to the booking, if
     /// its side process has not seen it yet.
     fn resend_ends_it(&mut self) -> bool {
-        let question = self.other.ask_claim(&team(), "slot").expect("a claim");
+        let question = self.other.query_claim(&team(), "slot").expect("a claim");
         self.other.settle(&question);
         let claim = self.other.claim(&team(), "slot").expect("a claim");
         assert_eq!(claim.state, ClaimState::Pending);
