--- a/crates/bluebellreel_entry/src/core.rs
+++ b/crates/bluebellreel_entry/src/core.rs
@@ -50,10 +50,10 @@
             all_local: self.fleet.is_matcher(),
             busy,
         };
-        let reached = self.connections.plan(&needs, now);
+        let targets = self.connections.plan(&needs, now);
         for gone in self
             .online
-            .set_connections(reached.workers, reached.is_short)
+            .set_connections(targets.workers, targets.is_short)
         {
             // This daemon closes these connections itself, so no `Lost` notice
             // arrives for them.
--- a/crates/bluebellreel_entry/src/http/batches.rs
+++ b/crates/bluebellreel_entry/src/http/batches.rs
@@ -51,10 +51,10 @@
         owner_run: cx.handles.run,
         max_items: settings.limits.job_items,
     };
-    let announced = call.req.body_length();
+    let content_length = call.req.body_length();
     let until = Instant::now() + settings.limits.job_time;
     call.req.set_read_deadline(Some(until));
-    let next = body_pieces(call.req.as_reader(), announced, max_bytes);
+    let next = body_pieces(call.req.as_reader(), content_length, max_bytes);
     let admit = || admit_job(cx, &submission.team);
     let answer = accept_job(cx.handles.storage(), &submission, admit, next)?;
     match answer {
@@ -98,7 +98,7 @@
 /// Reads a body piece by piece within its size limit.
 fn body_pieces(
     reader: &mut dyn Read,
-    announced: Option<usize>,
+    content_length: Option<usize>,
     max_bytes: usize,
 ) -> impl FnMut() -> Result<Option<Vec<u8>>, ApiError> {
     let mut total = 0;
@@ -113,7 +113,7 @@
         }
         if read == 0 {
             // A truncated job must never be accepted as complete.
-            return match announced {
+            return match content_length {
                 Some(length) if length != total => Err(cut_short()),
                 _ => Ok(None),
             };
--- a/crates/bluebellreel_entry/src/http/online.rs
+++ b/crates/bluebellreel_entry/src/http/online.rs
@@ -58,8 +58,8 @@
 impl Pending {
     /// Waits for the next event of the request.
     pub(crate) fn next(&self, cx: &HttpContext) -> CallerEvent {
-        let left = self.deadline.since(cx.now()) + ACTOR_GRACE;
-        match self.rx.recv_timeout(left) {
+        let timeout = self.deadline.since(cx.now()) + ACTOR_GRACE;
+        match self.rx.recv_timeout(timeout) {
             Ok(event) => event,
             // The actor has ended or is blocked, so whether the request ran is
             // unknown.
--- a/crates/bluebellreel_entry/src/http/page.rs
+++ b/crates/bluebellreel_entry/src/http/page.rs
@@ -328,7 +328,7 @@
         .ok();
     }
     body.push_str("</ul>");
-    push_rest(body, owned.map_or(0, Vec::len));
+    push_remaining_count(body, owned.map_or(0, Vec::len));
 }
 
 fn push_workers(body: &mut String, form: &Form, view: &Value, seen: u64) {
@@ -347,10 +347,10 @@
         write!(body, "<li>{}{act}</li>", escaped(name)).ok();
     }
     body.push_str("</ul>");
-    push_rest(body, names.map_or(0, Vec::len));
+    push_remaining_count(body, names.map_or(0, Vec::len));
 }
 
-fn push_rest(body: &mut String, all: usize) {
+fn push_remaining_count(body: &mut String, all: usize) {
     if all > MAX_ROWS {
         write!(body, "<p class=\"no\">and {} more</p>", all - MAX_ROWS).ok();
     }
--- a/crates/bluebellreel_entry/src/http/requests.rs
+++ b/crates/bluebellreel_entry/src/http/requests.rs
@@ -55,7 +55,7 @@
         ClaimState::Rejected { status, message } => {
             Err(ApiError::new(status, "rejected", message.to_string()))
         }
-        // It has just been resolved as not run: the key is free again.
+        // The claim has just been resolved as not run, so the key is free again.
         ClaimState::NotRun => {
             let error = ApiError::new(503, "not_run", "not run: send it again");
             Err(error.retry_after(Duration::from_secs(1)))
--- a/crates/bluebellreel_entry/src/http/services.rs
+++ b/crates/bluebellreel_entry/src/http/services.rs
@@ -48,7 +48,7 @@
         return Err(ApiError::new(400, "key_needed", message));
     }
     let body = read_body(&mut call.req, cx.body_limits())?;
-    let asked = [path.as_bytes(), b"\n", &body].concat();
+    let digest_input = [path.as_bytes(), b"\n", &body].concat();
     let work = Work {
         kind,
         model: service,
@@ -59,7 +59,7 @@
         key: Arc::from(call.key.as_deref().unwrap_or("")),
         team: call.team.clone(),
     };
-    let pending = begin(cx, call, work, content_digest(&asked));
+    let pending = begin(cx, call, work, content_digest(&digest_input));
     loop {
         match pending.next(cx) {
             CallerEvent::Text(_) => {}
--- a/crates/bluebellreel_entry/src/jobs/component.rs
+++ b/crates/bluebellreel_entry/src/jobs/component.rs
@@ -282,7 +282,7 @@
     }
 
     fn execute(&mut self, id: &JobId, record: &JobRecord, revision: i64, effect: JobEffect) {
-        let (storage_parts, handles) = (self.handles.clone(), self.handles.clone());
+        let (storage_handles, handles) = (self.handles.clone(), self.handles.clone());
         let (id, record, epoch) = (id.clone(), record.clone(), record.epoch);
         let send = move |message| {
             handles.send_message(Message::Jobs(message));
@@ -290,7 +290,7 @@
         match effect {
             JobEffect::LoadChunk(chunk) => {
                 self.run_kv(&id.clone(), epoch, move |_| {
-                    let bytes = store::load_chunk(storage_parts.storage(), &record, chunk);
+                    let bytes = store::load_chunk(storage_handles.storage(), &record, chunk);
                     send(JobsMessage::Chunk {
                         id,
                         epoch,
@@ -307,7 +307,7 @@
                 let failed = u32::try_from(failed.count()).unwrap_or(u32::MAX);
                 self.run_kv(&id.clone(), epoch, move |_| {
                     let write = store::record_results(
-                        storage_parts.storage(),
+                        storage_handles.storage(),
                         &record,
                         revision,
                         seq,
--- a/crates/bluebellreel_entry/src/jobs/component/handout.rs
+++ b/crates/bluebellreel_entry/src/jobs/component/handout.rs
@@ -50,13 +50,13 @@
     /// over cannot send any of them.
     pub(super) fn write_claims(&mut self, pull: PendingPull) {
         let mut writes = Vec::new();
-        for part in &pull.claimed {
-            let Some(job) = self.scheduler.jobs.get(&part.job) else {
+        for claimed in &pull.claimed {
+            let Some(job) = self.scheduler.jobs.get(&claimed.job) else {
                 continue;
             };
-            let seq = self.claim_seqs.entry(part.job.clone()).or_default();
+            let seq = self.claim_seqs.entry(claimed.job.clone()).or_default();
             *seq += 1;
-            let attempts = part.dispatches.iter().map(|d| d.attempt);
+            let attempts = claimed.dispatches.iter().map(|d| d.attempt);
             let claims = job.claims_of(attempts);
             writes.push((job.record.clone(), job.revision, *seq, claims));
         }
@@ -77,11 +77,11 @@
 
     pub(super) fn note_claimed(&mut self, mut pull: PendingPull, written: &[JobWrite]) {
         let claimed = std::mem::take(&mut pull.claimed);
-        for (part, write) in claimed.into_iter().zip(written) {
+        for (group, write) in claimed.into_iter().zip(written) {
             match write {
-                JobWrite::Done => pull.ready.extend(part.dispatches),
-                JobWrite::Failed => self.release(&part),
-                JobWrite::Fenced => self.drop_job(&part.job),
+                JobWrite::Done => pull.ready.extend(group.dispatches),
+                JobWrite::Failed => self.release(&group),
+                JobWrite::Fenced => self.drop_job(&group.job),
             }
         }
         // The job may have been cancelled or taken over while the claims were written.
@@ -94,9 +94,9 @@
     /// Releases items whose claims may or may not have been written. None of
     /// them was sent: they stay claimed by attempts that never run, and are
     /// claimed again for later attempts.
-    pub(super) fn release(&mut self, part: &ClaimedDispatches) {
-        if let Some(job) = self.scheduler.jobs.get_mut(&part.job) {
-            for dispatch in &part.dispatches {
+    pub(super) fn release(&mut self, claimed: &ClaimedDispatches) {
+        if let Some(job) = self.scheduler.jobs.get_mut(&claimed.job) {
+            for dispatch in &claimed.dispatches {
                 job.release(dispatch.attempt);
             }
         }
@@ -109,8 +109,8 @@
         }
         for (worker, puller) in &mut self.pullers {
             let waiting = self.scheduler.waiting(&puller.models);
-            let rises = puller.offered == 0 && waiting > 0;
-            if !(rises || waiting > 0 && puller.offer_at.is_past(now)) {
+            let became_nonzero = puller.offered == 0 && waiting > 0;
+            if !(became_nonzero || waiting > 0 && puller.offer_at.is_past(now)) {
                 continue;
             }
             puller.offered = waiting;
--- a/crates/bluebellreel_entry/src/jobs/component/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/component/tests.rs
@@ -25,7 +25,7 @@
 
 /// The component and its call queue, which has a capacity of one.
 struct Fixture {
-    part: JobsComponent,
+    component: JobsComponent,
     queue: Receiver<Task>,
     clock: Clock,
 }
@@ -37,10 +37,17 @@
         let (tx, queue) = bounded::<Task>(1);
         let handles = handles(KvPool::Threads(tx), &clock);
         assert!(handles.pool.run(|_| ()), "the queue takes one call");
-        let mut part = JobsComponent::new(handles);
-        let (name, run) = (part.handles.settings.name.clone(), part.handles.run);
-        part.index.note_entry(name, run);
-        Self { part, queue, clock }
+        let mut component = JobsComponent::new(handles);
+        let (name, run) = (
+            component.handles.settings.name.clone(),
+            component.handles.run,
+        );
+        component.index.note_entry(name, run);
+        Self {
+            component,
+            queue,
+            clock,
+        }
     }
 
     /// A component whose call queue is empty.
@@ -62,7 +69,7 @@
         assert!(self.run_queued(), "the queue held one call");
         for _ in 0..2 {
             self.clock.advance(LONGER_THAN_ANY_DELAY);
-            self.part.tick();
+            self.component.tick();
         }
         self.run_queued()
     }
@@ -130,10 +137,10 @@
 fn a_take_over_that_could_not_be_queued_is_retried() {
     let mut fixture = Fixture::full();
     let jobs = vec![(record("dead"), 1)];
-    fixture.part.on_message(JobsMessage::AllJobs(jobs));
-    fixture.part.tick();
+    fixture.component.on_message(JobsMessage::AllJobs(jobs));
+    fixture.component.tick();
     fixture.clock.advance(LONGER_THAN_ANY_DELAY);
-    fixture.part.tick();
+    fixture.component.tick();
     assert!(fixture.retries_with_a_free_queue());
 }
 
@@ -144,7 +151,7 @@
     let mut fixture = Fixture::full();
     let (id, result) = (JobId::from("job"), Some((Box::new(record("e")), 1)));
     let taken = JobsMessage::TakenOver { id, result };
-    fixture.part.on_message(taken);
+    fixture.component.on_message(taken);
     assert!(fixture.retries_with_a_free_queue());
 }
 
@@ -158,19 +165,21 @@
     let record = record("e");
     let value = store::job_value(&record);
     let accepted = JobsMessage::Accepted(Box::new(record.clone()), 5);
-    fixture.part.on_message(accepted);
-    fixture.part.on_message(JobsMessage::AllJobs(Vec::new()));
+    fixture.component.on_message(accepted);
+    fixture
+        .component
+        .on_message(JobsMessage::AllJobs(Vec::new()));
     let changed = WatchEvent::Put(KeyValue {
         key: job_key(&record.id),
         revision: 5,
         writer: String::new(),
         value,
     });
-    fixture.part.on_message(JobsMessage::Changed(changed));
+    fixture.component.on_message(JobsMessage::Changed(changed));
     fixture.run_queued();
-    fixture.part.tick();
+    fixture.component.tick();
     fixture.clock.advance(LONGER_THAN_ANY_DELAY);
-    fixture.part.tick();
+    fixture.component.tick();
     assert!(fixture.run_queued(), "no take-over was queued");
 }
 
@@ -180,11 +189,11 @@
 fn a_job_that_its_owner_holds_is_not_taken_over() {
     let mut fixture = Fixture::idle();
     let accepted = JobsMessage::Accepted(Box::new(record("e")), 5);
-    fixture.part.on_message(accepted);
+    fixture.component.on_message(accepted);
     assert!(fixture.run_queued(), "a read of the input chunk was queued");
     for _ in 0..3 {
         fixture.clock.advance(LONGER_THAN_ANY_DELAY);
-        fixture.part.tick();
+        fixture.component.tick();
         assert!(!fixture.run_queued(), "no other call must be queued");
     }
 }
@@ -220,16 +229,16 @@
 fn items_of_a_dropped_job_are_not_handed_out() {
     let mut fixture = Fixture::idle();
     let (tx, mut rx) = oneshot::channel();
-    let part = ClaimedDispatches {
+    let dispatches = ClaimedDispatches {
         job: JobId::from("cancelled"),
         dispatches: vec![dispatch()],
     };
     let pull = PendingPull {
         answer: PullAnswer(tx),
         ready: vec![dispatch()],
-        claimed: vec![part],
+        claimed: vec![dispatches],
     };
-    fixture.part.on_message(JobsMessage::Claimed {
+    fixture.component.on_message(JobsMessage::Claimed {
         pull: Box::new(pull),
         written: vec![JobWrite::Done],
     });
--- a/crates/bluebellreel_entry/src/jobs/index.rs
+++ b/crates/bluebellreel_entry/src/jobs/index.rs
@@ -115,12 +115,12 @@
         let entries = &self.entries;
         for job in self.jobs.values_mut() {
             let is_mine = job.record.owner == *me && job.record.owner_run == run;
-            let is_there = if is_mine {
+            let is_live = if is_mine {
                 holds(&job.record.id)
             } else {
                 entries.get(&job.record.owner) == Some(&job.record.owner_run)
             };
-            if is_there {
+            if is_live {
                 job.owner_missing_since = None;
                 continue;
             }
--- a/crates/bluebellreel_entry/src/jobs/sweep.rs
+++ b/crates/bluebellreel_entry/src/jobs/sweep.rs
@@ -50,7 +50,7 @@
                 thread::sleep(STOP_POLL_PERIOD);
                 if due.is_past(handles.clock.now()) {
                     due = handles.clock.now() + SWEEP_PERIOD;
-                    if let Err(e) = sweeper.pass(&handles) {
+                    if let Err(e) = sweeper.run_pass(&handles) {
                         log::warn!(target: "jobs", error:% = e; "Sweep interrupted; the next pass continues.");
                     }
                 }
@@ -60,7 +60,7 @@
 }
 
 impl Sweeper {
-    fn pass(&mut self, handles: &DaemonHandles) -> Result<(), KvError> {
+    fn run_pass(&mut self, handles: &DaemonHandles) -> Result<(), KvError> {
         let now = handles.clock.now();
         // Only the first daemon by name sweeps the key-value service. It does no
         // harm if two daemons each find themselves first.
@@ -114,11 +114,11 @@
         if self.next_folder >= folders.len() {
             self.next_folder = 0;
         }
-        let some = folders
+        let batch = folders
             .into_iter()
             .skip(self.next_folder)
             .take(MAX_FOLDERS_PER_PASS);
-        for (folder, written_at) in some {
+        for (folder, written_at) in batch {
             self.next_folder += 1;
             if is_old(written_at) && !is_referenced(kv, &folder)? {
                 log::info!(target: "data", job:% = folder.job; "Removing chunks that no job refers to.");
@@ -324,10 +324,10 @@
         fixture
             .clock
             .advance(ABANDONED_UPLOAD_AGE + Duration::from_secs(1));
-        let young = fixture.interrupted_upload("young");
+        let recent = fixture.interrupted_upload("recent");
         fixture.sweep();
         assert_eq!(fixture.inputs(&dead), 0);
-        assert_eq!(fixture.inputs(&young), 1);
+        assert_eq!(fixture.inputs(&recent), 1);
         assert_eq!(fixture.inputs(&accepted), 1);
     }
 
--- a/crates/bluebellreel_entry/src/platform/membership.rs
+++ b/crates/bluebellreel_entry/src/platform/membership.rs
@@ -38,7 +38,7 @@
             let mut lease = None;
             while handles.lease.load(Ordering::SeqCst) != STOPPED {
                 lease = renew(&handles.kv, lease, ttl, &record);
-                handles.note_lease(lease.unwrap_or(0));
+                handles.publish_lease(lease.unwrap_or(0));
                 thread::sleep(ttl / 3);
             }
         })?;
@@ -48,13 +48,13 @@
 impl DaemonHandles {
     /// Publishes the lease to the other threads. If the daemon has stopped meanwhile,
     /// the lease is revoked at once instead.
-    fn note_lease(&self, lease: i64) {
-        let noted = self
+    fn publish_lease(&self, lease: i64) {
+        let published = self
             .lease
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |known| {
                 (known != STOPPED).then_some(lease)
             });
-        if noted.is_err() && lease > 0 {
+        if published.is_err() && lease > 0 {
             self.kv.revoke(lease).ok();
         }
     }
