--- a/crates/bluebellreel_entry/src/data/access.rs
+++ b/crates/bluebellreel_entry/src/data/access.rs
@@ -245,8 +245,11 @@
 
     fn address_of(&self, disk: &DiskId) -> Option<SocketAddr> {
         let volume_map = self.volume_map.read().ok()?;
-        let seat = volume_map.disks.get(disk)?;
-        seat.gone_since.is_none().then_some(seat.address)
+        let disk_status = volume_map.disks.get(disk)?;
+        disk_status
+            .gone_since
+            .is_none()
+            .then_some(disk_status.address)
     }
 
     /// The volume's live holders other than this daemon's disk.
--- a/crates/bluebellreel_entry/src/jobs/sweep.rs
+++ b/crates/bluebellreel_entry/src/jobs/sweep.rs
@@ -352,8 +352,8 @@
     fn ended_jobs_are_removed_after_retention_and_running_ones_never() {
         let fixture = Fixture::new();
         let (ended, running) = (fixture.submit("ended"), fixture.submit("running"));
-        let over = cancel_job(fixture.storage(), &ended, fixture.clock.now());
-        assert!(matches!(over, CancelAnswer::Over(_)));
+        let answer = cancel_job(fixture.storage(), &ended, fixture.clock.now());
+        assert!(matches!(answer, CancelAnswer::Over(_)));
         fixture.clock.advance(KEEP);
         fixture.sweep();
         assert!(find_job(&fixture.kv, &ended).expect("read").is_some());
@@ -372,8 +372,8 @@
     fn reused_key_loses_nothing_to_an_interrupted_sweep() {
         let fixture = Fixture::new();
         let job = fixture.submit("again");
-        let over = cancel_job(fixture.storage(), &job, fixture.clock.now());
-        assert!(matches!(over, CancelAnswer::Over(_)));
+        let answer = cancel_job(fixture.storage(), &job, fixture.clock.now());
+        assert!(matches!(answer, CancelAnswer::Over(_)));
         fixture.clock.advance(KEEP + Duration::from_hours(24));
         for gone in [job_inputs(&job), done_key(&job)] {
             let until = fixture.clock.now() + REMOVE_TIMEOUT;
