--- a/crates/bluebellreel_entry/src/bench.rs
+++ b/crates/bluebellreel_entry/src/bench.rs
@@ -130,7 +130,7 @@
             call_timeout: Duration::from_secs(2),
             calls_per_second: settings.kv_calls_per_second,
         };
-        let kv = KvClient::over(send, kv_settings, run, clock.clone());
+        let kv = KvClient::with_transport(send, kv_settings, run, clock.clone());
         let handles = DaemonHandles {
             run,
             clock,
--- a/crates/bluebellreel_entry/src/core.rs
+++ b/crates/bluebellreel_entry/src/core.rs
@@ -5,7 +5,7 @@
 use crate::jobs::JobsComponent;
 use crate::message::Message;
 use crate::online::{ConnectionsComponent, OnlineComponent};
-use bluebellreel_routing::ReachNeeds;
+use bluebellreel_routing::ConnectionNeeds;
 use bluebellreel_rpc::EntryNotice;
 
 /// The daemon's components. All of them run on one thread and never block.
@@ -44,7 +44,7 @@
         }
         let mut busy = self.online.busy_workers();
         busy.extend(self.jobs.busy_workers());
-        let needs = ReachNeeds {
+        let needs = ConnectionNeeds {
             models: self.fleet.served_names(),
             batch: self.jobs.waiting_models(),
             all_local: self.fleet.is_matcher(),
--- a/crates/bluebellreel_entry/src/data/access.rs
+++ b/crates/bluebellreel_entry/src/data/access.rs
@@ -119,7 +119,7 @@
     /// they would cost two calls and several syncs.
     pub(crate) fn stores_on_disk(&self, bytes: usize) -> bool {
         let settings = self.settings();
-        settings.is_some_and(|settings| bytes >= settings.kv_below)
+        settings.is_some_and(|settings| bytes >= settings.kv_threshold)
     }
 
     /// Stores a chunk on both holders of a volume. Returns only after both have it on
--- a/crates/bluebellreel_entry/src/data/endpoint.rs
+++ b/crates/bluebellreel_entry/src/data/endpoint.rs
@@ -99,7 +99,7 @@
     match e {
         StoreError::Full => ApiError::new(507, "disk_full", e.to_string()),
         StoreError::Moved => ApiError::new(409, "moved", e.to_string()),
-        StoreError::BadName => ApiError::new(400, "bad_name", e.to_string()),
+        StoreError::InvalidName => ApiError::new(400, "bad_name", e.to_string()),
         StoreError::Io(_) => {
             log::error!(target: "data", error:% = e; "Local disk failed.");
             ApiError::new(500, "disk_failed", e.to_string())
--- a/crates/bluebellreel_entry/src/data/keeper.rs
+++ b/crates/bluebellreel_entry/src/data/keeper.rs
@@ -132,7 +132,7 @@
 }
 
 fn due_moves(data: &ChunkAccess, me: &DiskId, now: Moment) -> Vec<Move> {
-    let Some(patience) = data.settings().map(|settings| settings.patience) else {
+    let Some(patience) = data.settings().map(|settings| settings.recopy_delay) else {
         return Vec::new();
     };
     let Some(mut volume_map) = data.volume_map_mut() else {
--- a/crates/bluebellreel_entry/src/data/volume_map.rs
+++ b/crates/bluebellreel_entry/src/data/volume_map.rs
@@ -1,7 +1,7 @@
 //! A daemon's view of volumes and disks.
 
 use crate::platform::EntryRecord;
-use bluebellreel_chunk::{DiskId, DiskSeat, VolumeId, VolumeRecord, is_writable};
+use bluebellreel_chunk::{DiskId, DiskStatus, VolumeId, VolumeRecord, is_writable};
 use bluebellreel_types::{EntryName, Moment};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct VolumeMap {
     pub(crate) volumes: BTreeMap<VolumeId, KnownVolume>,
-    pub(crate) disks: BTreeMap<DiskId, DiskSeat>,
+    pub(crate) disks: BTreeMap<DiskId, DiskStatus>,
     daemons: BTreeMap<EntryName, DiskId>,
     full_until: BTreeMap<DiskId, Moment>,
 }
@@ -58,7 +58,7 @@
         }
         if let Some(disk) = &record.disk {
             self.daemons.insert(record.name.clone(), disk.clone());
-            let status = DiskSeat {
+            let status = DiskStatus {
                 address: record.address,
                 data_centre: record.data_centre.clone(),
                 gone_since: None,
@@ -89,7 +89,7 @@
             .cloned()
             .collect();
         for disk in unseen {
-            let status = DiskSeat {
+            let status = DiskStatus {
                 address: SocketAddr::from(([0, 0, 0, 0], 0)),
                 data_centre: "".into(),
                 gone_since: Some(now),
@@ -125,7 +125,7 @@
         for known in self.volumes.values() {
             let live = |disk| {
                 let status = self.disks.get(disk);
-                status.is_some_and(|status: &DiskSeat| status.gone_since.is_none())
+                status.is_some_and(|status: &DiskStatus| status.gone_since.is_none())
             };
             summary.volumes += 1;
             match known
--- a/crates/bluebellreel_entry/src/fleet/component.rs
+++ b/crates/bluebellreel_entry/src/fleet/component.rs
@@ -3,7 +3,7 @@
 use crate::fleet::messages::{DrainOrder, FleetMessage, FleetSummary};
 use crate::handles::DaemonHandles;
 use bluebellreel_fleet::{
-    AcceptedManifest, Applied, LoadOrder, LoadedModel, Manifest, Matcher, WorkerView,
+    AcceptedManifest, AppliedManifest, LoadOrder, LoadedModel, Manifest, Matcher, WorkerView,
 };
 use bluebellreel_rpc::{EntryCommand, EntryNotice};
 use bluebellreel_types::{
@@ -38,7 +38,7 @@
 /// model loads while this daemon is its data centre's matcher.
 pub(crate) struct FleetComponent {
     handles: DaemonHandles,
-    applied: Applied,
+    applied: AppliedManifest,
     shared: SharedManifest,
     workers: BTreeMap<WorkerName, KnownWorker>,
     drains: BTreeMap<WorkerName, DrainOrder>,
@@ -64,7 +64,7 @@
     pub(crate) fn new(handles: DaemonHandles, shared: SharedManifest) -> Self {
         Self {
             handles,
-            applied: Applied::default(),
+            applied: AppliedManifest::default(),
             shared,
             workers: BTreeMap::new(),
             drains: BTreeMap::new(),
--- a/crates/bluebellreel_entry/src/http/online.rs
+++ b/crates/bluebellreel_entry/src/http/online.rs
@@ -7,7 +7,7 @@
 use bluebellreel_claim::ClaimRecord;
 use bluebellreel_http::{ApiError, Reply};
 use bluebellreel_routing::{NewRequest, Outcome};
-use bluebellreel_types::{LONGEST_UNREPEATABLE, Moment, NotRunReason, Ran, RequestId, Work};
+use bluebellreel_types::{MAX_UNREPEATABLE_CALL, Moment, NotRunReason, Ran, RequestId, Work};
 use crossbeam_channel::{Receiver, RecvTimeoutError, unbounded};
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     let deadline = if work.repeatable {
         deadline
     } else {
-        deadline.min(cx.now() + LONGEST_UNREPEATABLE)
+        deadline.min(cx.now() + MAX_UNREPEATABLE_CALL)
     };
     // The channel needs no bound: one answer's tokens limit its length.
     let (caller, rx) = unbounded();
@@ -40,7 +40,7 @@
             id,
             work: Arc::new(work),
             deadline,
-            trace: call.span.below(),
+            trace: call.span.child_context(),
         },
         digest: digest.clone(),
         caller,
--- a/crates/bluebellreel_entry/src/http/requests.rs
+++ b/crates/bluebellreel_entry/src/http/requests.rs
@@ -117,7 +117,7 @@
     let Some(state) = state else {
         return record;
     };
-    let resolved = record.in_state(state);
+    let resolved = record.with_state(state);
     if !record_state(kv, &resolved, revision, kv.now() + RECORD_TIMEOUT) {
         return record;
     }
--- a/crates/bluebellreel_entry/src/jobs/component.rs
+++ b/crates/bluebellreel_entry/src/jobs/component.rs
@@ -9,7 +9,7 @@
 use crate::jobs::store;
 use crate::message::Message;
 use crate::platform::EntryRecord;
-use bluebellreel_job::{Board, BoardLimits, ItemEnd, ItemLease, JobEffect, JobRecord, OwnedJob};
+use bluebellreel_job::{JobScheduler, SchedulerLimits, ItemEnd, ItemLease, JobEffect, JobRecord, OwnedJob};
 use bluebellreel_rpc::{EntryCommand, EntryNotice};
 use bluebellreel_types::{
     Class, Dispatch, EntryName, Incarnation, JobId, ModelName, Moment, TraceContext, WorkerName,
@@ -38,7 +38,7 @@
 /// of daemons that are gone.
 pub(crate) struct JobsComponent {
     handles: DaemonHandles,
-    scheduler: Board,
+    scheduler: JobScheduler,
     index: JobIndex,
     pullers: BTreeMap<WorkerName, Puller>,
     claim_seqs: HashMap<JobId, u64>,
@@ -53,7 +53,7 @@
     pub(crate) fn new(handles: DaemonHandles) -> Self {
         Self {
             handles,
-            scheduler: Board::new(BoardLimits::default()),
+            scheduler: JobScheduler::new(SchedulerLimits::default()),
             index: JobIndex::default(),
             pullers: BTreeMap::new(),
             claim_seqs: HashMap::new(),
@@ -78,7 +78,7 @@
         self.offer_all(now);
         if self.cleanup_at.is_past(now) {
             self.cleanup_at = now + CLEANUP_PERIOD;
-            self.scheduler.tidy(now);
+            self.scheduler.remove_stale_entries(now);
         }
         let metrics = &self.handles.metrics;
         let owned = i64::try_from(self.scheduler.jobs.len()).unwrap_or(i64::MAX);
@@ -334,7 +334,7 @@
                 self.handles
                     .send_command(EntryCommand::Withdraw { worker, attempts });
             }
-            JobEffect::Ask {
+            JobEffect::QueryAttempt {
                 worker,
                 incarnation,
                 attempt,
@@ -373,7 +373,7 @@
             }
             Some(_) => {
                 if let Some(job) = self.scheduler.jobs.get_mut(id) {
-                    job.note_untellable(attempt, now);
+                    job.note_outcome_lost(attempt, now);
                 }
             }
             None => {}
--- a/crates/bluebellreel_entry/src/jobs/component/handout.rs
+++ b/crates/bluebellreel_entry/src/jobs/component/handout.rs
@@ -4,13 +4,13 @@
 use crate::jobs::messages::{ClaimedDispatches, JobWrite, JobsMessage, PendingPull};
 use crate::jobs::store;
 use crate::message::Message;
-use bluebellreel_job::Handout;
+use bluebellreel_job::JobLeases;
 use bluebellreel_rpc::{EntryCommand, PullAnswer};
 use bluebellreel_types::{Dispatch, Moment, WorkerName};
 
 impl JobsComponent {
     pub(super) fn pull(&mut self, worker: &WorkerName, room: u32, answer: PullAnswer, now: Moment) {
-        let handouts = match self.pullers.get_mut(worker) {
+        let leased_jobs = match self.pullers.get_mut(worker) {
             Some(puller) if !self.stopping => {
                 puller.offered = 0;
                 puller.offer_at = now;
@@ -30,7 +30,7 @@
             ready: Vec::new(),
             claimed: Vec::new(),
         };
-        for Handout { job, leases } in handouts {
+        for JobLeases { job, leases } in leased_jobs {
             let dispatches = leases.iter().map(|lease| dispatch_of(lease, run)).collect();
             if self.scheduler.jobs[&job].repeatable {
                 pull.ready.extend(dispatches);
--- a/crates/bluebellreel_entry/src/jobs/component/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/component/tests.rs
@@ -33,7 +33,7 @@
 impl Fixture {
     /// A component whose call queue is full.
     fn full() -> Self {
-        let clock = Clock::standing_at(Moment(1_000_000));
+        let clock = Clock::manual_at(Moment(1_000_000));
         let (tx, queue) = bounded::<Task>(1);
         let handles = handles(KvPool::Threads(tx), &clock);
         assert!(handles.pool.run(|_| ()), "the queue takes one call");
@@ -217,7 +217,7 @@
         side: Incarnation(2),
         class: Class::Batch,
         work: Arc::new(work),
-        deadline: Moment::FAR,
+        deadline: Moment::DISTANT_FUTURE,
         resume: Arc::default(),
         trace: TraceContext::fresh(),
     }
--- a/crates/bluebellreel_entry/src/jobs/store/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/store/tests.rs
@@ -21,7 +21,7 @@
 
 impl Fixture {
     fn new() -> Self {
-        let clock = Clock::standing_at(Moment(1_000_000));
+        let clock = Clock::manual_at(Moment(1_000_000));
         let calls = Mutex::new(KvCalls::new(VALUE_BYTES));
         let drops_answers = Arc::new(AtomicBool::new(false));
         let (time, is_lost) = (clock.clone(), drops_answers.clone());
@@ -38,7 +38,7 @@
             call_timeout: Duration::from_secs(1),
             calls_per_second: 1_000_000,
         };
-        let kv = KvClient::over(Box::new(send), settings, Incarnation(1), clock.clone());
+        let kv = KvClient::with_transport(Box::new(send), settings, Incarnation(1), clock.clone());
         Self {
             kv,
             data: ChunkAccess::default(),
--- a/crates/bluebellreel_entry/src/jobs/sweep.rs
+++ b/crates/bluebellreel_entry/src/jobs/sweep.rs
@@ -66,7 +66,7 @@
         // harm if two daemons each find themselves first.
         if is_first(handles)? {
             self.sweep_uploads(handles.storage(), now)?;
-            sweep_ended(&handles.kv, handles.settings.limits.keep, now)?;
+            sweep_ended(&handles.kv, handles.settings.limits.job_retention, now)?;
         }
         if let Some(own) = handles.data.own() {
             self.sweep_disk(&handles.kv, own)?;
@@ -245,7 +245,7 @@
 
     impl Fixture {
         fn new() -> Self {
-            let clock = Clock::standing_at(Moment(20_000 * DAY_MICROS));
+            let clock = Clock::manual_at(Moment(20_000 * DAY_MICROS));
             let calls = Mutex::new(KvCalls::new(1 << 20));
             let time = clock.clone();
             let send = move |path: &str, body: &serde_json::Value| {
@@ -257,7 +257,7 @@
                 call_timeout: Duration::from_secs(1),
                 calls_per_second: 1_000_000,
             };
-            let kv = KvClient::over(Box::new(send), settings, Incarnation(1), clock.clone());
+            let kv = KvClient::with_transport(Box::new(send), settings, Incarnation(1), clock.clone());
             let data = ChunkAccess::default();
             Self { kv, data, clock }
         }
--- a/crates/bluebellreel_entry/src/online/claims.rs
+++ b/crates/bluebellreel_entry/src/online/claims.rs
@@ -4,7 +4,7 @@
 //! once.
 
 use crate::platform::claim_key;
-use bluebellreel_claim::{ClaimRecord, ClaimState, Resend, decide};
+use bluebellreel_claim::{ClaimRecord, ClaimState, ResendAction, resend_action};
 use bluebellreel_kv::{Commit, KeyValue, KvClient, KvError, Txn};
 use bluebellreel_routing::{ClaimIntent, Outcome};
 use bluebellreel_types::{EntryName, Incarnation, Moment, TeamName};
@@ -72,7 +72,7 @@
     until: Moment,
 ) -> ClaimAnswer {
     let same = before.digest == record.digest;
-    if !same || decide(&before.state) != Resend::MayRun {
+    if !same || resend_action(&before.state) != ResendAction::MayRun {
         return ClaimAnswer::Taken(Box::new(before));
     }
     match write(kv, record, revision, until) {
--- a/crates/bluebellreel_entry/src/online/connections.rs
+++ b/crates/bluebellreel_entry/src/online/connections.rs
@@ -2,7 +2,7 @@
 
 use crate::handles::DaemonHandles;
 use crate::platform::ListedWorker;
-use bluebellreel_routing::{Listing, Reach, ReachLimits, ReachNeeds, rendezvous_score};
+use bluebellreel_routing::{Listing, ConnectionPlanner, ConnectionLimits, ConnectionNeeds, rendezvous_score};
 use bluebellreel_rpc::EntryNotice;
 use bluebellreel_types::{Moment, WorkerName};
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 
 /// Plans the daemon's connections.
 pub(crate) struct ConnectionsComponent {
-    planner: Reach,
+    planner: ConnectionPlanner,
     listed: BTreeMap<WorkerName, ListedWorker>,
     next_plan_at: Moment,
 }
@@ -27,16 +27,16 @@
 
 impl ConnectionsComponent {
     pub(crate) fn new(handles: &DaemonHandles) -> Self {
-        let limits = ReachLimits {
-            whole: handles.settings.limits.workers_whole,
+        let limits = ConnectionLimits {
+            whole: handles.settings.limits.max_workers_connect_all,
             per_model: handles.settings.limits.workers_per_model,
-            ..ReachLimits::default()
+            ..ConnectionLimits::default()
         };
         let entry_key = rendezvous_score(0, handles.settings.name.as_str());
         Self {
-            planner: Reach::new(limits, entry_key, handles.settings.data_centre.clone()),
+            planner: ConnectionPlanner::new(limits, entry_key, handles.settings.data_centre.clone()),
             listed: BTreeMap::new(),
-            next_plan_at: Moment::FAR,
+            next_plan_at: Moment::DISTANT_FUTURE,
         }
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Chooses the workers to connect to and schedules the next plan.
-    pub(crate) fn plan(&mut self, needs: &ReachNeeds, now: Moment) -> ConnectionTargets {
+    pub(crate) fn plan(&mut self, needs: &ConnectionNeeds, now: Moment) -> ConnectionTargets {
         self.next_plan_at = now + PLAN_PERIOD;
         let plan = self.planner.plan(needs, now);
         let listed = plan.workers.iter().filter_map(|w| self.listed.get(w));
--- a/crates/bluebellreel_entry/src/run.rs
+++ b/crates/bluebellreel_entry/src/run.rs
@@ -93,7 +93,7 @@
         self.handles.readiness.stop();
         self.http.leave();
         log::info!(target: "entry", "Stopping: no longer ready.");
-        thread::sleep(self.handles.settings.notice);
+        thread::sleep(self.handles.settings.drain_delay);
     }
 
     /// Whether the actor has no work in progress.
