--- a/crates/bluebellreel_entry/src/bench.rs
+++ b/crates/bluebellreel_entry/src/bench.rs
@@ -1,17 +1,18 @@
-//! Drives the daemon's real code by hand: no thread, no socket, a clock that
-//! is set. For the fault matrix and other tests of failures.
+//! A test harness that drives the daemon's production code step by step, without
+//! threads or sockets and with a manually set clock. Used by the fault matrix and
+//! other failure tests.
 
 use crate::core::EntryCore;
 use crate::data::ChunkAccess;
 use crate::fleet::{FleetMessage, PutAnswer, SharedManifest, accepted, get_manifest, put_manifest};
-use crate::http::settle_as;
+use crate::handles::DaemonHandles;
+use crate::http::record_query_result;
 use crate::jobs::{
     AcceptAnswer, CancelAnswer, JobsMessage, Submission, accept_job, cancel_job, find_job,
     read_results,
 };
 use crate::message::Message;
-use crate::online::{AskAnswer, CallerEvent, NewCall, OnlineMessage, find_claim};
-use crate::parts::Parts;
+use crate::online::{CallerEvent, ClaimQueryResult, NewCall, OnlineMessage, find_claim};
 use crate::platform::{
     EntryRecord, KvPool, ListedState, ListedWorker, entry_key, entry_prefix, job_prefix,
 };
@@ -35,17 +36,17 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Messages that wait.
-const MESSAGES: usize = 65_536;
+/// Capacity of the actor's message queue.
+const MESSAGE_QUEUE_CAPACITY: usize = 65_536;
 
-/// A caller that waits for an online answer.
-pub struct BenchCall {
-    /// Its request.
+/// An online call and the caller's view of it.
+pub struct HarnessCall {
+    /// Id of the request.
     pub id: RequestId,
     rx: Receiver<CallerEvent>,
     /// Text received so far.
     pub text: String,
-    /// How it ended, once it has.
+    /// How the call ended, once it has.
     pub end: Option<CallEnd>,
     stranded: bool,
 }
@@ -53,14 +54,14 @@
 /// How an online call ended for its caller.
 #[derive(Clone, Debug)]
 pub enum CallEnd {
-    /// By this outcome.
+    /// The request ended with this outcome.
     Outcome(Outcome),
-    /// The key had been claimed before.
+    /// The idempotency key already had this claim.
     Claimed(Box<ClaimRecord>),
 }
 
-impl BenchCall {
-    /// Takes in what has come.
+impl HarnessCall {
+    /// Processes the events received since the last poll.
     pub fn poll(&mut self) {
         loop {
             match self.rx.try_recv() {
@@ -78,51 +79,51 @@
         }
     }
 
-    /// Whether the daemon that was to answer has died.
+    /// Whether the daemon died before it answered.
     #[must_use]
     pub fn is_stranded(&self) -> bool {
         self.stranded
     }
 }
 
-/// One line of results.
+/// One line of a job's results.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BenchLine {
-    /// The item.
+pub struct HarnessResult {
+    /// The item's custom id.
     pub custom_id: String,
-    /// How it ended.
+    /// The item's final status.
     pub status: &'static str,
-    /// Its answer.
+    /// The body of the item's response.
     pub body: Option<String>,
 }
 
-/// A question to the side process that a claim names.
-pub struct BenchQuestion {
+/// A query to the side process that a claim names.
+pub struct ClaimQuery {
     record: ClaimRecord,
     revision: i64,
-    rx: Receiver<AskAnswer>,
+    rx: Receiver<ClaimQueryResult>,
 }
 
-/// An entry daemon without threads, sockets or platform.
-pub struct EntryBench {
-    /// Its name.
+/// An entry daemon without threads or sockets.
+pub struct EntryHarness {
+    /// Name of the daemon.
     pub name: EntryName,
-    /// Its run.
+    /// Incarnation of the daemon.
     pub run: Incarnation,
     core: EntryCore,
-    parts: Parts,
+    handles: DaemonHandles,
     rx: Receiver<Message>,
     commands: mpsc::UnboundedReceiver<EntryCommand>,
     lease: Option<i64>,
     seen: BTreeSet<EntryName>,
 }
 
-impl EntryBench {
-    /// A daemon that has just started.
+impl EntryHarness {
+    /// Creates a newly started daemon.
     #[must_use]
     pub fn new(settings: EntrySettings, send: KvTransport, clock: Clock) -> Self {
         let run = Incarnation::random();
-        let (tx, rx) = bounded(MESSAGES);
+        let (tx, rx) = bounded(MESSAGE_QUEUE_CAPACITY);
         let (rpc, commands) = mpsc::unbounded_channel();
         let kv_settings = KvSettings {
             url: settings.kv.clone(),
@@ -130,12 +131,12 @@
             calls_per_second: settings.kv_calls_per_second,
         };
         let kv = KvClient::with_transport(send, kv_settings, run, clock.clone());
-        let parts = Parts {
+        let handles = DaemonHandles {
             run,
             clock,
             lease: Arc::default(),
             kv: Arc::new(kv),
-            pool: KvPool::held(),
+            pool: KvPool::manual(),
             rpc,
             tx,
             tracer: Tracer::disabled(),
@@ -145,10 +146,10 @@
             settings: Arc::new(settings),
         };
         Self {
-            name: parts.settings.name.clone(),
+            name: handles.settings.name.clone(),
             run,
-            core: EntryCore::new(&parts, SharedManifest::default()),
-            parts,
+            core: EntryCore::new(&handles, SharedManifest::default()),
+            handles,
             rx,
             commands,
             lease: None,
@@ -156,38 +157,38 @@
         }
     }
 
-    /// Handles the messages that wait.
+    /// Handles all queued messages.
     pub fn handle_messages(&mut self) {
         while let Ok(message) = self.rx.try_recv() {
             self.core.deliver(message);
         }
     }
 
-    /// Lets the daemon look at its deadlines.
+    /// Runs one tick of the daemon's components.
     pub fn tick(&mut self) {
         self.core.tick();
     }
 
-    /// Runs one call to the key-value service that waits; whether there was one.
+    /// Runs one queued call to the key-value service. Returns whether there was one.
     pub fn run_kv_task(&mut self) -> bool {
-        let Some(task) = self.parts.pool.take() else {
+        let Some(task) = self.handles.pool.pop_manual() else {
             return false;
         };
-        task(&self.parts.kv);
+        task(&self.handles.kv);
         true
     }
 
-    /// The next command to the connections.
+    /// Takes the next command to the connections.
     pub fn command(&mut self) -> Option<EntryCommand> {
         self.commands.try_recv().ok()
     }
 
-    /// Hands a message of a side process in.
+    /// Delivers a notice from a side process.
     pub fn notice(&mut self, notice: EntryNotice) {
         self.core.deliver(Message::Rpc(notice));
     }
 
-    /// Tells the daemon of a worker, as the VM list does.
+    /// Delivers a VM list with these workers.
     pub fn list(&mut self, workers: &[(WorkerName, SocketAddr, DataCentre)]) {
         let listed = workers
             .iter()
@@ -200,22 +201,22 @@
         self.core.deliver(Message::Listed(listed.collect()));
     }
 
-    /// Renews the daemon's lease, or takes a new one.
+    /// Renews the daemon's lease, or acquires a new one.
     pub fn renew_lease(&mut self) {
-        let kv = &self.parts.kv;
+        let kv = &self.handles.kv;
         if let Some(lease) = self.lease
             && kv.keep_alive(lease).unwrap_or(true)
         {
             return;
         }
-        let Ok(lease) = kv.grant(self.parts.settings.lease) else {
+        let Ok(lease) = kv.grant(self.handles.settings.lease) else {
             return;
         };
         let record = EntryRecord {
             name: self.name.clone(),
             run: self.run,
-            address: self.parts.settings.listen,
-            data_centre: self.parts.settings.data_centre.clone(),
+            address: self.handles.settings.listen,
+            data_centre: self.handles.settings.data_centre.clone(),
             disk: None,
         };
         let txn = Txn {
@@ -231,10 +232,10 @@
         }
     }
 
-    /// Reads the leases, the jobs and the manifest anew, as the watches do
-    /// when they start over.
+    /// Reads all leases, jobs and the manifest, as the watches do when they start
+    /// over.
     pub fn read_all(&mut self) {
-        let kv = self.parts.kv.clone();
+        let kv = self.handles.kv.clone();
         if let Ok((all, _)) = kv.list(&entry_prefix()) {
             let records: Vec<EntryRecord> = all
                 .iter()
@@ -242,11 +243,11 @@
                 .collect();
             let present: BTreeSet<_> = records.iter().map(|r| r.name.clone()).collect();
             for name in self.seen.difference(&present) {
-                self.core.deliver(Message::EntryGone(name.clone()));
+                self.core.deliver(Message::EntryLeft(name.clone()));
             }
             self.seen = present;
             for record in records {
-                self.core.deliver(Message::EntrySeen(record));
+                self.core.deliver(Message::EntryJoined(record));
             }
         }
         if let Ok((all, _)) = kv.list(&job_prefix()) {
@@ -260,7 +261,7 @@
         if let Ok(Some(stored)) = get_manifest(&kv)
             && let Some(accepted) = accepted(&stored)
         {
-            let message = FleetMessage::Offered(accepted);
+            let message = FleetMessage::ManifestAccepted(accepted);
             self.core.deliver(Message::Fleet(message));
         }
     }
@@ -269,7 +270,7 @@
     ///
     /// # Errors
     ///
-    /// Gives the error that the caller sees.
+    /// Returns the error that the caller receives.
     pub fn submit(
         &mut self,
         team: &TeamName,
@@ -281,14 +282,14 @@
             id: JobId::derived(team, key),
             team: team.clone(),
             deadline,
-            accepted_at: self.parts.clock.now(),
+            accepted_at: self.handles.clock.now(),
             owner: self.name.clone(),
             owner_run: self.run,
-            most_items: self.parts.settings.limits.job_items,
+            max_items: self.handles.settings.limits.job_items,
         };
         let mut pieces = vec![body.to_vec()];
         let answer = accept_job(
-            self.parts.storage(),
+            self.handles.storage(),
             &submission,
             || Ok(()),
             || Ok(pieces.pop()),
@@ -303,35 +304,35 @@
         Ok(submission.id)
     }
 
-    /// Cancels a job; the state that it ended in.
+    /// Cancels a job and returns its final state.
     ///
     /// # Errors
     ///
-    /// Gives the reason when it could not be recorded.
+    /// Returns the reason if the cancellation was not recorded.
     pub fn cancel(&mut self, id: &JobId) -> Result<JobState, String> {
-        match cancel_job(self.parts.storage(), id, self.parts.clock.now()) {
+        match cancel_job(self.handles.storage(), id, self.handles.clock.now()) {
             CancelAnswer::Over(record) => Ok(record.state),
             CancelAnswer::NoSuchJob => Err("no such job".into()),
             CancelAnswer::Failed { reason, .. } => Err(reason),
         }
     }
 
-    /// A job's state, none when it cannot be read.
+    /// A job's state, `None` if it cannot be read.
     #[must_use]
     pub fn job_state(&self, id: &JobId) -> Option<JobState> {
-        let found = find_job(&self.parts.kv, id).ok()??;
+        let found = find_job(&self.handles.kv, id).ok()??;
         Some(found.record.state)
     }
 
-    /// All results of a job; none when they cannot be read.
+    /// All results of a job, `None` if they cannot be read.
     #[must_use]
-    pub fn results(&self, id: &JobId) -> Option<Vec<BenchLine>> {
-        let record = find_job(&self.parts.kv, id).ok()??.record;
+    pub fn results(&self, id: &JobId) -> Option<Vec<HarnessResult>> {
+        let record = find_job(&self.handles.kv, id).ok()??.record;
         let mut lines = Vec::new();
         let mut after: Option<String> = None;
         loop {
-            let page = read_results(self.parts.storage(), &record, after.as_deref()).ok()?;
-            lines.extend(page.lines.into_iter().map(|line| BenchLine {
+            let page = read_results(self.handles.storage(), &record, after.as_deref()).ok()?;
+            lines.extend(page.lines.into_iter().map(|line| HarnessResult {
                 custom_id: line.custom_id.to_string(),
                 status: line.status,
                 body: line.response.map(|r| r.body.to_string()),
@@ -344,7 +345,7 @@
     }
 
     /// Sends an online request as a caller does.
-    pub fn call(&mut self, work: Work, deadline: Moment) -> BenchCall {
+    pub fn call(&mut self, work: Work, deadline: Moment) -> HarnessCall {
         let id = RequestId::random();
         let (caller, rx) = unbounded();
         let call = NewCall {
@@ -359,7 +360,7 @@
         };
         let message = OnlineMessage::Call(Box::new(call));
         self.core.deliver(Message::Online(message));
-        BenchCall {
+        HarnessCall {
             id,
             rx,
             text: String::new(),
@@ -371,52 +372,52 @@
     /// Reads the claim of a key.
     #[must_use]
     pub fn claim(&self, team: &TeamName, key: &str) -> Option<ClaimRecord> {
-        Some(find_claim(&self.parts.kv, team, key).ok()??.0)
+        Some(find_claim(&self.handles.kv, team, key).ok()??.0)
     }
 
-    /// Asks what became of an open claim.
-    pub fn ask_claim(&mut self, team: &TeamName, key: &str) -> Option<BenchQuestion> {
-        let (record, revision) = find_claim(&self.parts.kv, team, key).ok()??;
+    /// Queries the outcome of a key's claim.
+    pub fn query_claim(&mut self, team: &TeamName, key: &str) -> Option<ClaimQuery> {
+        let (record, revision) = find_claim(&self.handles.kv, team, key).ok()??;
         let (answer, rx) = bounded(1);
-        let message = OnlineMessage::AskClaim {
+        let message = OnlineMessage::QueryClaim {
             record: Box::new(record.clone()),
             answer,
         };
         self.core.deliver(Message::Online(message));
-        Some(BenchQuestion {
+        Some(ClaimQuery {
             record,
             revision,
             rx,
         })
     }
 
-    /// Records the answer to a question, if there is one; whether there was.
-    pub fn settle(&mut self, question: &BenchQuestion) -> bool {
-        let Ok(told) = question.rx.try_recv() else {
+    /// Records the result of a query if it has arrived. Returns whether it has.
+    pub fn settle(&mut self, query: &ClaimQuery) -> bool {
+        let Ok(result) = query.rx.try_recv() else {
             return false;
         };
-        let record = question.record.clone();
-        settle_as(&self.parts.kv, record, question.revision, &told);
+        let record = query.record.clone();
+        record_query_result(&self.handles.kv, record, query.revision, &result);
         true
     }
 
-    /// Puts a manifest in place of the generation that was seen.
+    /// Replaces the manifest if its generation is the one that was seen.
     ///
     /// # Errors
     ///
-    /// Gives the generation that won, or none when it is not known.
+    /// Returns the generation that won instead, or `None` if it is unknown.
     pub fn put_manifest(&mut self, seen: u64, text: &str) -> Result<u64, Option<u64>> {
-        match put_manifest(&self.parts.kv, seen, text) {
+        match put_manifest(&self.handles.kv, seen, text) {
             PutAnswer::Accepted(stored) => Ok(stored.generation),
             PutAnswer::Beaten(winner) => Err(winner.map(|w| w.generation)),
             PutAnswer::NotDone(_) | PutAnswer::Unknown(_) => Err(None),
         }
     }
 
-    /// The generation in force here.
+    /// Generation of the manifest in force on this daemon.
     pub fn generation(&mut self) -> u64 {
         let (answer, rx) = bounded(1);
-        let message = FleetMessage::SummaryAsked(answer);
+        let message = FleetMessage::QuerySummary(answer);
         self.core.deliver(Message::Fleet(message));
         rx.try_recv().map_or(0, |summary| summary.generation)
     }
--- a/crates/bluebellreel_entry/src/data/endpoint.rs
+++ b/crates/bluebellreel_entry/src/data/endpoint.rs
@@ -1,17 +1,17 @@
-//! A disk as other daemons reach it.
+//! HTTP endpoint through which peers read and write chunks on this daemon's disk.
 
 use crate::data::access::ChunkAccess;
-use crate::data::wire::{COPY_HEADER, EPOCH_HEADER, MOST_BYTES};
+use crate::data::wire::{COPY_HEADER, EPOCH_HEADER, MAX_CHUNK_BYTES};
 use bluebellreel_chunk::{ChunkFolder, ChunkStore, StoreError, VolumeId};
 use bluebellreel_http::{ApiError, BodyLimits, Method, Reply, Request, header, read_body};
 use bluebellreel_settings::is_same_token;
 use bluebellreel_types::content_digest;
 use std::time::Duration;
 
-/// Longest time to read a chunk.
-const BODY_TIME: Duration = Duration::from_secs(5);
+/// Timeout for receiving a chunk.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves one request of a peer.
+/// Handles one request of a peer.
 pub(crate) fn handle(data: &ChunkAccess, req: &mut Request, rest: &str) -> Reply {
     serve(data, req, rest).unwrap_or_else(Reply::from)
 }
@@ -36,20 +36,20 @@
             Ok(None) => Err(not_found()),
             Err(e) => Err(error_of(&e)),
         },
-        Method::Put => keep(data, own, req, &folder, digest),
+        Method::Put => store_chunk(data, own, req, &folder, digest),
         _ => Err(ApiError::new(405, "bad_method", "GET or PUT")),
     }
 }
 
 fn parse(rest: &str) -> Option<(ChunkFolder, &str)> {
-    let mut parts = rest.split('/');
-    let volume = VolumeId(parts.next()?.parse().ok()?);
-    let folder = ChunkFolder::new(volume, parts.next()?, parts.next()?);
-    let digest = parts.next()?;
-    parts.next().is_none().then_some((folder, digest))
+    let mut segments = rest.split('/');
+    let volume = VolumeId(segments.next()?.parse().ok()?);
+    let folder = ChunkFolder::new(volume, segments.next()?, segments.next()?);
+    let digest = segments.next()?;
+    segments.next().is_none().then_some((folder, digest))
 }
 
-fn keep(
+fn store_chunk(
     data: &ChunkAccess,
     own: &ChunkStore,
     req: &mut Request,
@@ -59,8 +59,8 @@
     let epoch = header(req, EPOCH_HEADER).and_then(|text| text.parse::<u64>().ok());
     let is_copy = header(req, COPY_HEADER).is_some();
     let limits = BodyLimits {
-        bytes: MOST_BYTES,
-        time: BODY_TIME,
+        bytes: MAX_CHUNK_BYTES,
+        time: BODY_TIMEOUT,
     };
     let bytes = read_body(req, limits)?;
     if content_digest(&bytes) != digest {
@@ -70,27 +70,27 @@
             "the bytes do not fit the name",
         ));
     }
-    let kept = match epoch {
-        Some(epoch) if knows_no_later(data, folder.volume, epoch) => {
+    let result = match epoch {
+        Some(epoch) if accepts_epoch(data, folder.volume, epoch) => {
             own.write(folder, epoch, &bytes)
         }
         None if is_copy => own.copy_in(folder, &bytes),
         _ => Err(StoreError::Moved),
     };
-    match kept {
+    match result {
         Ok(_) => Ok(Reply::bytes(204, "text/plain", *b"")),
         Err(e) => Err(error_of(&e)),
     }
 }
 
-/// Whether a writer's view of a volume is no older than this daemon's.
+/// Whether the volume epoch of a write is at least the one known here.
 ///
-/// A writer that was paused while a volume moved could otherwise put a chunk on
-/// a holder that is none any more. A daemon that has just started and does not
-/// know the volume yet takes nothing for it.
-fn knows_no_later(data: &ChunkAccess, volume: VolumeId, epoch: u64) -> bool {
-    data.places().is_some_and(|places| {
-        let known = places.volumes.get(&volume);
+/// Without this check, a writer that was paused while a volume moved could store a
+/// chunk on a former holder. A daemon that has just started and does not know the
+/// volume yet refuses all writes to it.
+fn accepts_epoch(data: &ChunkAccess, volume: VolumeId, epoch: u64) -> bool {
+    data.volume_map().is_some_and(|volume_map| {
+        let known = volume_map.volumes.get(&volume);
         known.is_some_and(|known| known.record.epoch <= epoch)
     })
 }
@@ -101,7 +101,7 @@
         StoreError::Moved => ApiError::new(409, "moved", e.to_string()),
         StoreError::InvalidName => ApiError::new(400, "bad_name", e.to_string()),
         StoreError::Io(_) => {
-            log::error!(target: "data", error:% = e; "The disk failed.");
+            log::error!(target: "data", error:% = e; "Local disk failed.");
             ApiError::new(500, "disk_failed", e.to_string())
         }
     }
--- a/crates/bluebellreel_entry/src/data/places.rs
+++ b/crates/bluebellreel_entry/src/data/volume_map.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows of volumes and disks.
+//! A daemon's view of volumes and disks.
 
 use crate::platform::EntryRecord;
 use bluebellreel_chunk::{DiskId, DiskStatus, VolumeId, VolumeRecord, is_writable};
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a disk that was full gets no more chunks.
-const FULL_PAUSE: Duration = Duration::from_secs(30);
+/// How long no chunks are written to a disk after it was full.
+const FULL_DISK_BACKOFF: Duration = Duration::from_secs(30);
 
 /// A volume and the revision of its record.
 #[derive(Clone, Debug)]
@@ -18,29 +18,29 @@
     pub(crate) revision: i64,
 }
 
-/// How the volumes stand, for operators.
+/// State of the volumes, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub(crate) struct VolumesSummary {
-    /// All.
+    /// Number of volumes.
     pub(crate) volumes: usize,
-    /// Those with one holder left: one more loss would lose items.
+    /// Volumes with only one live holder: losing it as well would lose items.
     pub(crate) on_one_disk: usize,
-    /// Those without a holder now.
+    /// Volumes without a live holder.
     pub(crate) unreadable: usize,
 }
 
-/// Volumes, disks, and which daemon stands before which disk.
+/// Volumes, disks, and the daemon that serves each disk.
 #[derive(Debug, Default)]
-pub(crate) struct Places {
+pub(crate) struct VolumeMap {
     pub(crate) volumes: BTreeMap<VolumeId, KnownVolume>,
     pub(crate) disks: BTreeMap<DiskId, DiskStatus>,
     daemons: BTreeMap<EntryName, DiskId>,
     full_until: BTreeMap<DiskId, Moment>,
 }
 
-impl Places {
-    /// Takes in a volume's record, unless a later one is known: a list that was
-    /// read before a change may be handed in after it.
+impl VolumeMap {
+    /// Stores a volume's record, unless the same or a later revision is known: a list
+    /// that was read before a change may be processed after it.
     pub(crate) fn note_volume(&mut self, record: VolumeRecord, revision: i64) {
         let known = self.volumes.get(&record.id);
         if known.is_none_or(|known| known.revision < revision) {
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Takes in a live daemon.
+    /// Records a live daemon and its disk. If it had another disk before, that
+    /// one counts as gone.
     pub(crate) fn note_daemon(&mut self, record: &EntryRecord, now: Moment) {
         let before = self.daemons.remove(&record.name);
         if let Some(before) = before.filter(|disk| Some(disk) != record.disk.as_ref()) {
@@ -57,16 +58,16 @@
         }
         if let Some(disk) = &record.disk {
             self.daemons.insert(record.name.clone(), disk.clone());
-            let disk_status = DiskStatus {
+            let status = DiskStatus {
                 address: record.address,
                 data_centre: record.data_centre.clone(),
                 gone_since: None,
             };
-            self.disks.insert(disk.clone(), disk_status);
+            self.disks.insert(disk.clone(), status);
         }
     }
 
-    /// Takes in that a daemon's lease has ended.
+    /// Records that a daemon's lease has ended: its disk counts as gone.
     pub(crate) fn note_daemon_gone(&mut self, name: &EntryName, now: Moment) {
         if let Some(disk) = self.daemons.remove(name) {
             self.note_disk_gone(&disk, now);
@@ -74,32 +75,33 @@
     }
 
     fn note_disk_gone(&mut self, disk: &DiskId, now: Moment) {
-        if let Some(disk_status) = self.disks.get_mut(disk) {
-            disk_status.gone_since.get_or_insert(now);
+        if let Some(status) = self.disks.get_mut(disk) {
+            status.gone_since.get_or_insert(now);
         }
     }
 
-    /// A holder that no daemon has ever shown here counts as gone from now on:
-    /// it left before this daemon started.
-    pub(crate) fn note_unseen_holders(&mut self, now: Moment) {
+    /// Marks holders that no known daemon has served as gone from now on: they left
+    /// before this daemon started.
+    pub(crate) fn mark_unseen_holders_gone(&mut self, now: Moment) {
         let holders = self.volumes.values().flat_map(|v| v.record.holders.iter());
         let unseen: Vec<DiskId> = holders
             .filter(|disk| !self.disks.contains_key(disk))
             .cloned()
             .collect();
         for disk in unseen {
-            let disk_status = DiskStatus {
+            let status = DiskStatus {
                 address: SocketAddr::from(([0, 0, 0, 0], 0)),
                 data_centre: "".into(),
                 gone_since: Some(now),
             };
-            self.disks.insert(disk, disk_status);
+            self.disks.insert(disk, status);
         }
     }
 
-    /// Takes in that a disk is full.
+    /// Records that a disk is full.
     pub(crate) fn note_full(&mut self, disk: &DiskId, now: Moment) {
-        self.full_until.insert(disk.clone(), now + FULL_PAUSE);
+        self.full_until
+            .insert(disk.clone(), now + FULL_DISK_BACKOFF);
     }
 
     fn is_full(&self, disk: &DiskId, now: Moment) -> bool {
@@ -107,7 +109,7 @@
         until.is_some_and(|until| !until.is_past(now))
     }
 
-    /// Volumes whose two holders are there and not full.
+    /// Volumes whose two holders are live and not full.
     pub(crate) fn writable(&self, now: Moment) -> Vec<VolumeRecord> {
         let volumes = self.volumes.values().map(|known| &known.record);
         volumes
@@ -117,13 +119,13 @@
             .collect()
     }
 
-    /// How the volumes stand.
+    /// Counts the volumes by number of live holders.
     pub(crate) fn summary(&self) -> VolumesSummary {
         let mut summary = VolumesSummary::default();
         for known in self.volumes.values() {
             let live = |disk| {
-                let disk_status = self.disks.get(disk);
-                disk_status.is_some_and(|disk_status: &DiskStatus| disk_status.gone_since.is_none())
+                let status = self.disks.get(disk);
+                status.is_some_and(|status: &DiskStatus| status.gone_since.is_none())
             };
             summary.volumes += 1;
             match known
@@ -141,8 +143,9 @@
         summary
     }
 
-    /// Whether some volume would be writable if its disks were not full.
-    pub(crate) fn only_full(&self) -> bool {
+    /// Whether some volume has two live holders. If none is writable nevertheless, full
+    /// disks are the reason.
+    pub(crate) fn is_blocked_by_full_disks(&self) -> bool {
         let mut volumes = self.volumes.values();
         volumes.any(|known| is_writable(&known.record, &self.disks))
     }
--- a/crates/bluebellreel_entry/src/fleet/part.rs
+++ b/crates/bluebellreel_entry/src/fleet/component.rs
@@ -1,7 +1,7 @@
-//! The part that brings manifests into force.
+//! The component that brings manifests into force and matches the fleet to them.
 
 use crate::fleet::messages::{DrainOrder, FleetMessage, FleetSummary};
-use crate::parts::Parts;
+use crate::handles::DaemonHandles;
 use bluebellreel_fleet::{
     AcceptedManifest, AppliedManifest, LoadOrder, LoadedModel, Manifest, Matcher, WorkerView,
 };
@@ -13,15 +13,16 @@
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
 
-/// Between two repairs of side processes that are behind.
-const REPAIR_PERIOD: Duration = Duration::from_millis(500);
+/// Interval at which side processes with an older manifest are sent the current
+/// one again.
+const CATCH_UP_PERIOD: Duration = Duration::from_millis(500);
 
-/// The manifest in force, for threads that serve callers.
+/// The manifest in force, shared with the HTTP threads.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedManifest(Arc<RwLock<Arc<Manifest>>>);
 
 impl SharedManifest {
-    /// The manifest in force; an empty one before the first.
+    /// The manifest in force, or an empty one before the first.
     pub(crate) fn get(&self) -> Arc<Manifest> {
         self.0.read().map(|m| m.clone()).unwrap_or_default()
     }
@@ -33,47 +34,48 @@
     }
 }
 
-/// Brings manifests into force.
-pub(crate) struct FleetPart {
-    parts: Parts,
+/// Brings manifests into force on this daemon and on connected workers, and orders
+/// model loads while this daemon is its data centre's matcher.
+pub(crate) struct FleetComponent {
+    handles: DaemonHandles,
     applied: AppliedManifest,
     shared: SharedManifest,
     workers: BTreeMap<WorkerName, KnownWorker>,
     drains: BTreeMap<WorkerName, DrainOrder>,
     matcher: Matcher,
-    /// Whether this daemon matches the fleet in its data centre.
-    matches_here: bool,
-    /// The highest fencing number known.
+    /// Whether this daemon is its data centre's matcher.
+    is_matching: bool,
+    /// The highest known fencing token.
     fence: u64,
-    repair_at: Moment,
+    catch_up_at: Moment,
 }
 
-/// A connected worker as this part sees it.
+/// What is known of a connected worker.
 struct KnownWorker {
     incarnation: Incarnation,
-    /// The generation that it has in force.
+    /// The manifest generation that the worker has applied.
     applied: u64,
-    /// As the matcher sees it; none until its first load report.
+    /// The matcher's view of the worker, `None` until its first load report.
     view: Option<WorkerView>,
     data_centre: DataCentre,
 }
 
-impl FleetPart {
-    pub(crate) fn new(parts: Parts, shared: SharedManifest) -> Self {
+impl FleetComponent {
+    pub(crate) fn new(handles: DaemonHandles, shared: SharedManifest) -> Self {
         Self {
-            parts,
+            handles,
             applied: AppliedManifest::default(),
             shared,
             workers: BTreeMap::new(),
             drains: BTreeMap::new(),
             matcher: Matcher::default(),
-            matches_here: false,
+            is_matching: false,
             fence: 0,
-            repair_at: Moment(0),
+            catch_up_at: Moment(0),
         }
     }
 
-    /// Models and services that the manifest in force names.
+    /// Names of the models and services in the manifest in force.
     pub(crate) fn served_names(&self) -> BTreeSet<ModelName> {
         let manifest = self.shared.get();
         let models = manifest.models.iter().map(|model| model.name.clone());
@@ -81,18 +83,19 @@
         models.chain(services).collect()
     }
 
-    /// Whether this daemon matches the fleet in its data centre.
+    /// Whether this daemon is its data centre's matcher.
     pub(crate) fn is_matcher(&self) -> bool {
-        self.matches_here
+        self.is_matching
     }
 
-    /// Tells side processes that are behind again: a message may be lost.
+    /// Matches the fleet, and sends the manifest again to side processes that have
+    /// not applied it: the earlier message may have been lost.
     pub(crate) fn tick(&mut self) {
-        let now = self.parts.clock.now();
-        if !self.repair_at.is_past(now) {
+        let now = self.handles.clock.now();
+        if !self.catch_up_at.is_past(now) {
             return;
         }
-        self.repair_at = now + REPAIR_PERIOD;
+        self.catch_up_at = now + CATCH_UP_PERIOD;
         self.match_fleet(now);
         let generation = self.applied.generation();
         for (worker, known) in &self.workers {
@@ -104,8 +107,8 @@
 
     fn note_matcher(&mut self, fence: u64, mine: bool) {
         self.fence = self.fence.max(fence);
-        self.matches_here = mine && fence == self.fence;
-        if self.matches_here {
+        self.is_matching = mine && fence == self.fence;
+        if self.is_matching {
             log::info!(target: "fleet", fence; "Matching the fleet here.");
             self.matcher = Matcher::default();
         }
@@ -114,14 +117,15 @@
         }
     }
 
-    /// A side process takes no order before it has heard the number that
-    /// stands. Without a matcher there is none to tell. Numbers of other data
-    /// centres' matchers would only make this one's orders look outdated.
+    /// Sends the current fencing token to a side process, which accepts no order
+    /// before it has received one. Nothing is sent before the first matcher is
+    /// known, or to workers of other data centres: a token of another data
+    /// centre's matcher would make orders of their own matcher look outdated.
     fn send_fence(&self, worker: &WorkerName) {
-        let here = &self.parts.settings.data_centre;
+        let here = &self.handles.settings.data_centre;
         let known = self.workers.get(worker);
         if self.fence > 0 && known.is_some_and(|k| k.data_centre == *here) {
-            self.parts.send(EntryCommand::Fence {
+            self.handles.send_command(EntryCommand::Fence {
                 worker: worker.clone(),
                 fence: self.fence,
             });
@@ -151,21 +155,21 @@
             },
         };
         log::info!(target: "fleet", worker:% = order.worker, model:% = model.name, loaded; "Load ended.");
-        let now = self.parts.clock.now();
+        let now = self.handles.clock.now();
         self.matcher.note_end(&order, loaded, now);
     }
 
     fn match_fleet(&mut self, now: Moment) {
-        if !self.matches_here {
+        if !self.is_matching {
             return;
         }
         let views = self.workers.iter();
         let views = views.filter_map(|(name, known)| Some((name.clone(), known.view.clone()?)));
         let views: BTreeMap<WorkerName, WorkerView> = views.collect();
-        let here = self.parts.settings.data_centre.clone();
+        let here = self.handles.settings.data_centre.clone();
         let manifest = self.shared.get();
         for order in self.matcher.next_orders(&manifest, &here, &views, now) {
-            self.parts.send(EntryCommand::Order {
+            self.handles.send_command(EntryCommand::Order {
                 worker: order.worker,
                 fence: self.fence,
                 model: ModelVersion {
@@ -176,17 +180,18 @@
         }
     }
 
-    /// Lets a worker leave if that was ordered for this run of it. The side
-    /// process then tells all daemons with its load.
+    /// Tells a worker to drain if that was ordered for its current incarnation. The
+    /// side process then announces it to all daemons in its load reports.
     fn drain_if_ordered(&self, worker: &WorkerName) {
         let order = self.drains.get(worker);
         let known = self.workers.get(worker);
         if order.is_some_and(|o| known.is_some_and(|k| k.incarnation == o.incarnation)) {
-            self.parts.send(EntryCommand::Drain(worker.clone()));
+            self.handles
+                .send_command(EntryCommand::Drain(worker.clone()));
         }
     }
 
-    /// The run of a connected worker's side process.
+    /// The incarnation of a connected worker's side process.
     fn incarnation_of(&self, worker: &WorkerName) -> Option<Incarnation> {
         self.workers.get(worker).map(|known| known.incarnation)
     }
@@ -195,29 +200,29 @@
         let Some(current) = self.applied.current() else {
             return;
         };
-        self.parts.send(EntryCommand::Configure {
+        self.handles.send_command(EntryCommand::Configure {
             worker: worker.clone(),
             generation: current.generation,
             manifest: current.text.clone(),
         });
     }
 
-    /// Takes a manifest in, or tells what is in force.
+    /// Handles a message from another thread.
     pub(crate) fn on_message(&mut self, message: FleetMessage) {
         match message {
-            FleetMessage::Offered(accepted) => self.offer(accepted),
-            FleetMessage::MatcherSeen { fence, mine } => self.note_matcher(fence, mine),
-            FleetMessage::MatcherGone => self.matches_here = false,
+            FleetMessage::ManifestAccepted(accepted) => self.offer(accepted),
+            FleetMessage::MatcherElected { fence, mine } => self.note_matcher(fence, mine),
+            FleetMessage::MatcherLost => self.is_matching = false,
             FleetMessage::DrainOrdered(order) => {
                 log::info!(target: "fleet", worker:% = order.worker; "Drain ordered.");
                 let worker = order.worker.clone();
                 self.drains.insert(worker.clone(), order);
                 self.drain_if_ordered(&worker);
             }
-            FleetMessage::SummaryAsked(answer) => {
+            FleetMessage::QuerySummary(answer) => {
                 answer.send(self.summary()).ok();
             }
-            FleetMessage::IncarnationAsked(worker, answer) => {
+            FleetMessage::QueryIncarnation(worker, answer) => {
                 answer.send(self.incarnation_of(&worker)).ok();
             }
         }
@@ -237,7 +242,7 @@
         log::info!(target: "fleet", generation; "Manifest in force.");
         self.shared.set(manifest);
         let shown = i64::try_from(generation).unwrap_or(i64::MAX);
-        self.parts.metrics.generation.set(shown);
+        self.handles.metrics.generation.set(shown);
         for worker in self.workers.keys() {
             self.configure(worker);
         }
@@ -274,7 +279,7 @@
             _ => {}
         }
         let connected = i64::try_from(self.workers.len()).unwrap_or(i64::MAX);
-        self.parts.metrics.workers.set(connected);
+        self.handles.metrics.workers.set(connected);
     }
 
     fn failed_loads(&self) -> Vec<String> {
--- a/crates/bluebellreel_entry/src/fleet/store.rs
+++ b/crates/bluebellreel_entry/src/fleet/store.rs
@@ -1,8 +1,8 @@
 //! The manifest in the key-value service.
 
 use crate::fleet::FleetMessage;
+use crate::handles::DaemonHandles;
 use crate::message::Message;
-use crate::parts::Parts;
 use crate::platform::{follow_prefix, manifest_key};
 use bluebellreel_fleet::{AcceptedManifest, Manifest};
 use bluebellreel_kv::{Commit, KeyValue, KvClient, KvError, Txn, WatchEvent};
@@ -12,28 +12,28 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longest time to put a manifest.
-const PUT_TIME: Duration = Duration::from_secs(5);
+/// Timeout for writing a manifest.
+const PUT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A manifest as it is stored.
+/// The stored form of a manifest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StoredManifest {
-    /// Grows with every acceptance.
+    /// Incremented with every accepted manifest.
     pub(crate) generation: u64,
-    /// As it was put.
+    /// The manifest's text as the operator sent it.
     pub(crate) text: Arc<str>,
 }
 
-/// How a put came out.
+/// The result of putting a manifest.
 #[derive(Clone, Debug)]
 pub(crate) enum PutAnswer {
-    /// Accepted.
+    /// The manifest was accepted.
     Accepted(StoredManifest),
-    /// Another was accepted first; this is the one that stands.
+    /// Another manifest was accepted first; contains the current one.
     Beaten(Option<StoredManifest>),
-    /// It was not accepted.
+    /// The manifest was not accepted, for this reason.
     NotDone(String),
-    /// It may have been accepted.
+    /// The manifest may have been accepted; contains the reason for the doubt.
     Unknown(String),
 }
 
@@ -41,22 +41,22 @@
     serde_json::from_slice(&kv.value).ok()
 }
 
-/// Reads the manifest that stands.
+/// Reads the current manifest.
 pub(crate) fn get_manifest(kv: &KvClient) -> Result<Option<StoredManifest>, KvError> {
     Ok(kv.get(&manifest_key())?.as_ref().and_then(parse))
 }
 
-/// Accepts a checked manifest if the one that stands has the generation that
-/// the operator saw.
+/// Accepts a validated manifest if the current one has the generation that the
+/// operator saw.
 pub(crate) fn put_manifest(kv: &KvClient, seen: u64, text: &str) -> PutAnswer {
     let found = match kv.get(&manifest_key()) {
         Ok(found) => found,
         Err(e) => return PutAnswer::NotDone(e.to_string()),
     };
-    let standing = found.as_ref().and_then(parse);
-    let generation = standing.as_ref().map_or(0, |m| m.generation);
+    let current = found.as_ref().and_then(parse);
+    let generation = current.as_ref().map_or(0, |m| m.generation);
     if generation != seen {
-        return PutAnswer::Beaten(standing);
+        return PutAnswer::Beaten(current);
     }
     let next = StoredManifest {
         generation: generation + 1,
@@ -67,7 +67,7 @@
         Some(found) => Txn::replace(manifest_key(), found.revision, value),
         None => Txn::create(manifest_key(), value),
     };
-    match kv.commit(&txn, kv.now() + PUT_TIME) {
+    match kv.commit(&txn, kv.now() + PUT_TIMEOUT) {
         Commit::Applied { .. } => PutAnswer::Accepted(next),
         Commit::Beaten(found) => PutAnswer::Beaten(found.first().and_then(parse)),
         Commit::NotDone(reason) => PutAnswer::NotDone(reason),
@@ -75,7 +75,7 @@
     }
 }
 
-/// Checks a stored manifest again, as every process does for itself.
+/// Validates a stored manifest, as every process does for itself.
 pub(crate) fn accepted(stored: &StoredManifest) -> Option<AcceptedManifest> {
     match Manifest::try_from(&*stored.text) {
         Ok(manifest) => Some(AcceptedManifest {
@@ -85,15 +85,16 @@
         }),
         Err(errors) => {
             let error = errors.first().map(ToString::to_string).unwrap_or_default();
-            log::error!(target: "fleet", generation = stored.generation, error; "The stored manifest cannot be read.");
+            log::error!(target: "fleet", generation = stored.generation, error; "Stored manifest is invalid.");
             None
         }
     }
 }
 
-/// Follows the manifest and offers each one to the fleet part.
-pub(crate) fn watch_manifest(parts: &Parts) -> io::Result<()> {
-    let parts = parts.clone();
+/// Starts the thread that watches the manifest and sends each new one to the fleet
+/// component.
+pub(crate) fn watch_manifest(handles: &DaemonHandles) -> io::Result<()> {
+    let handles = handles.clone();
     thread::Builder::new()
         .name("manifest-watch".into())
         .spawn(move || {
@@ -101,12 +102,12 @@
                 let Some(accepted) = parse(kv).as_ref().and_then(accepted) else {
                     return true;
                 };
-                parts.tell(Message::Fleet(FleetMessage::Offered(accepted)))
+                handles.send_message(Message::Fleet(FleetMessage::ManifestAccepted(accepted)))
             };
             follow_prefix(
-                &parts.kv,
+                &handles.kv,
                 &manifest_key(),
-                |all| all.iter().all(offer) && parts.tell(Message::ManifestRead),
+                |all| all.iter().all(offer) && handles.send_message(Message::ManifestRead),
                 |event| match event {
                     WatchEvent::Put(kv) => offer(&kv),
                     WatchEvent::Deleted { .. } => true,
--- a/crates/bluebellreel_entry/src/http/changes.rs
+++ b/crates/bluebellreel_entry/src/http/changes.rs
@@ -1,18 +1,18 @@
-//! What operators change: the manifest, and workers that leave.
+//! Operators' changes: the manifest, and draining of workers.
 
 use crate::fleet::{DrainOrder, FleetMessage, PutAnswer, get_manifest, order_drain, put_manifest};
-use crate::http::rim::{Rim, ask, unavailable};
+use crate::http::context::{HttpContext, query_actor, unavailable};
 use crate::message::Message;
 use bluebellreel_fleet::Manifest;
 use bluebellreel_http::{ApiError, Reply, Request, header, read_body};
 use bluebellreel_types::{Ran, WorkerName};
 use serde_json::json;
 
-/// Lets a worker leave: nothing new within seconds, what runs finishes.
-pub(crate) fn drain(rim: &Rim, worker: &WorkerName) -> Result<Reply, ApiError> {
+/// Drains a worker: within seconds it gets no new work, and running work finishes.
+pub(crate) fn drain(cx: &HttpContext, worker: &WorkerName) -> Result<Reply, ApiError> {
     let asked = worker.clone();
-    let incarnation = ask(rim, |answer| {
-        Message::Fleet(FleetMessage::IncarnationAsked(asked, answer))
+    let incarnation = query_actor(cx, |answer| {
+        Message::Fleet(FleetMessage::QueryIncarnation(asked, answer))
     })?;
     let Some(incarnation) = incarnation else {
         return Err(ApiError::new(
@@ -24,20 +24,20 @@
     let order = DrainOrder {
         worker: worker.clone(),
         incarnation,
-        at: rim.now(),
+        at: cx.now(),
     };
-    order_drain(&rim.parts.kv, &order).map_err(|reason| unavailable(&reason))?;
+    order_drain(&cx.handles.kv, &order).map_err(|reason| unavailable(&reason))?;
     Ok(Reply::json(
         200,
         &json!({ "worker": worker, "draining": true }),
     ))
 }
 
-/// Accepts the manifest that stands once more, as the next generation, so that
-/// every process brings it into force anew. A second tap on what the first one
-/// has done finds it done.
-pub(crate) fn roll_forward(rim: &Rim, seen: Option<u64>) -> Result<Reply, ApiError> {
-    let found = get_manifest(&rim.parts.kv).map_err(|e| unavailable(&e.to_string()))?;
+/// Accepts the current manifest again as the next generation, so that every process
+/// applies it again. A repeated request with the same `seen` generation succeeds
+/// without another change.
+pub(crate) fn roll_forward(cx: &HttpContext, seen: Option<u64>) -> Result<Reply, ApiError> {
+    let found = get_manifest(&cx.handles.kv).map_err(|e| unavailable(&e.to_string()))?;
     let Some(found) = found else {
         return Err(ApiError::new(404, "no_manifest", "no manifest yet"));
     };
@@ -45,7 +45,7 @@
         return Ok(Reply::json(200, &json!({ "generation": found.generation })));
     }
     let seen = seen.unwrap_or(found.generation);
-    match put_manifest(&rim.parts.kv, seen, &found.text) {
+    match put_manifest(&cx.handles.kv, seen, &found.text) {
         PutAnswer::Accepted(stored) => Ok(Reply::json(
             200,
             &json!({ "generation": stored.generation }),
@@ -60,8 +60,8 @@
     }
 }
 
-pub(crate) fn show_manifest(rim: &Rim) -> Result<Reply, ApiError> {
-    let found = get_manifest(&rim.parts.kv).map_err(|e| unavailable(&e.to_string()))?;
+pub(crate) fn show_manifest(cx: &HttpContext) -> Result<Reply, ApiError> {
+    let found = get_manifest(&cx.handles.kv).map_err(|e| unavailable(&e.to_string()))?;
     let Some(found) = found else {
         return Err(ApiError::new(404, "no_manifest", "no manifest yet"));
     };
@@ -69,16 +69,16 @@
     Ok(reply.tagged(found.generation.to_string()))
 }
 
-pub(crate) fn change_manifest(rim: &Rim, req: &mut Request) -> Result<Reply, ApiError> {
+pub(crate) fn change_manifest(cx: &HttpContext, req: &mut Request) -> Result<Reply, ApiError> {
     let seen = seen_generation(req)?;
-    let body = read_body(req, rim.body_limits())?;
+    let body = read_body(req, cx.body_limits())?;
     let text = String::from_utf8(body)
         .map_err(|_| ApiError::new(400, "bad_manifest", "not UTF-8 text"))?;
     if let Err(errors) = Manifest::try_from(text.as_str()) {
         let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
         return Err(ApiError::new(422, "bad_manifest", lines.join("; ")));
     }
-    match put_manifest(&rim.parts.kv, seen, &text) {
+    match put_manifest(&cx.handles.kv, seen, &text) {
         PutAnswer::Accepted(stored) => {
             let body = json!({ "generation": stored.generation });
             Ok(Reply::json(200, &body).tagged(stored.generation.to_string()))
@@ -104,7 +104,7 @@
     }
 }
 
-/// The generation that the operator saw; zero before the first manifest.
+/// The generation that the operator saw, zero before the first manifest.
 pub(crate) fn seen_generation(req: &Request) -> Result<u64, ApiError> {
     let Some(tag) = header(req, "If-Match") else {
         let message = "If-Match: the generation seen last is needed, \"0\" for none";
--- a/crates/bluebellreel_entry/src/http/page.rs
+++ b/crates/bluebellreel_entry/src/http/page.rs
@@ -1,15 +1,14 @@
-//! The operators' page: one small page for a phone.
+//! The operators' page, small enough for a phone.
 //!
-//! It needs no script and no other file. Without a token it shows the form to
-//! give one; the token travels in forms' bodies only, never in an address. Each
-//! change has a page of its own to confirm it, and taps twice do no harm: a
-//! drain or a cancel that is done already is done, and roll forward names the
-//! generation that was seen.
+//! The page needs no script and no other file. Without a token it shows a form to
+//! enter one; the token is sent in form bodies only, never in a URL. Each change is
+//! confirmed on a page of its own. Submitting a change twice does no harm: drain and
+//! cancel are idempotent, and roll forward names the generation that was seen.
 
 use crate::http::batches;
 use crate::http::changes::{drain, roll_forward};
+use crate::http::context::HttpContext;
 use crate::http::outcomes::outcomes;
-use crate::http::rim::Rim;
 use bluebellreel_http::{ApiError, Method, Reply, Request, read_body, respond};
 use bluebellreel_settings::Principal;
 use bluebellreel_types::{JobId, WorkerName};
@@ -24,7 +23,7 @@
 overflow-wrap:anywhere}button,input{font:inherit;padding:10px 14px;margin:4px 4px 4px 0;\
 max-width:100%;box-sizing:border-box}button{min-height:44px}.no{color:#555;font-size:.9em}";
 
-/// What a form asks.
+/// The fields of a submitted form.
 #[derive(Debug, Default)]
 struct Form {
     token: String,
@@ -54,7 +53,7 @@
     }
 }
 
-/// Undoes the encoding of a form's value.
+/// Decodes a URL-encoded form value.
 fn decoded(text: &str) -> String {
     let mut bytes = Vec::new();
     let mut rest = text.bytes();
@@ -80,11 +79,11 @@
 }
 
 /// `/operator`
-pub(crate) fn handle(rim: &Rim, mut req: Request, _query: &str) {
+pub(crate) fn handle(cx: &HttpContext, mut req: Request, _query: &str) {
     let reply = match req.method() {
         Method::Get => html(200, &token_form("")),
-        Method::Post => match read_body(&mut req, rim.body_limits()) {
-            Ok(body) => answer(rim, &Form::read(&body)),
+        Method::Post => match read_body(&mut req, cx.body_limits()) {
+            Ok(body) => answer(cx, &Form::read(&body)),
             Err(e) => e.into(),
         },
         _ => ApiError::new(405, "bad_method", "GET or POST").into(),
@@ -92,39 +91,39 @@
     respond(req, &reply);
 }
 
-fn answer(rim: &Rim, form: &Form) -> Reply {
-    let found = rim.parts.settings.tokens.find(&form.token);
+fn answer(cx: &HttpContext, form: &Form) -> Reply {
+    let found = cx.handles.settings.tokens.find(&form.token);
     if !matches!(found, Some(Principal::Operator(_))) {
         return html(401, &token_form("That is no operator's token."));
     }
     if form.action.is_empty() {
-        return overview(rim, form, "");
+        return overview(cx, form, "");
     }
     if !form.confirmed {
         return html(200, &confirmation(form));
     }
-    match carry_out(rim, form) {
-        Ok(done) => overview(rim, form, done),
+    match execute(cx, form) {
+        Ok(done) => overview(cx, form, done),
         Err(e) => overview(
-            rim,
+            cx,
             form,
             &format!("Not done: {} (ran: {:?})", e.message, e.ran),
         ),
     }
 }
 
-fn carry_out(rim: &Rim, form: &Form) -> Result<&'static str, ApiError> {
+fn execute(cx: &HttpContext, form: &Form) -> Result<&'static str, ApiError> {
     match form.action.as_str() {
         "cancel" => {
-            batches::cancel(rim, &JobId::from(form.target.as_str()))?;
+            batches::cancel(cx, &JobId::from(form.target.as_str()))?;
             Ok("The job is over; what had finished stays readable.")
         }
         "drain" => {
-            drain(rim, &WorkerName::from(form.target.as_str()))?;
+            drain(cx, &WorkerName::from(form.target.as_str()))?;
             Ok("The worker gets nothing new; what runs there finishes.")
         }
         "roll-forward" => {
-            roll_forward(rim, form.seen)?;
+            roll_forward(cx, form.seen)?;
             Ok("The manifest is accepted anew and goes everywhere.")
         }
         _ => Err(ApiError::new(400, "bad_action", "unknown action")),
@@ -197,8 +196,8 @@
     )
 }
 
-fn overview(rim: &Rim, form: &Form, message: &str) -> Reply {
-    let view = match outcomes(rim) {
+fn overview(cx: &HttpContext, form: &Form, message: &str) -> Reply {
+    let view = match outcomes(cx) {
         Ok(view) => view,
         Err(e) => return html(503, &format!("<p>{}</p>", escaped(&e.message))),
     };
@@ -233,7 +232,7 @@
     html(200, &body)
 }
 
-/// A value as text that is safe in a page.
+/// A JSON value as HTML-escaped text.
 fn text(value: &Value) -> String {
     match value {
         Value::String(text) => escaped(text),
@@ -306,14 +305,14 @@
     number
 }
 
-/// Jobs and workers that one page lists at the most, to stay small on a slow
-/// line.
-const MOST_ROWS: usize = 20;
+/// Maximum number of jobs and of workers that a page lists, so that it stays small
+/// for slow connections.
+const MAX_ROWS: usize = 20;
 
 fn push_jobs(body: &mut String, form: &Form, view: &Value, seen: u64) {
     body.push_str("<h2>Jobs owned here</h2><ul>");
     let owned = view["items_finish_once"]["owned"].as_array();
-    for job in owned.into_iter().flatten().take(MOST_ROWS) {
+    for job in owned.into_iter().flatten().take(MAX_ROWS) {
         let id = job["id"].as_str().unwrap_or("");
         write!(
             body,
@@ -329,7 +328,7 @@
         .ok();
     }
     body.push_str("</ul>");
-    push_rest(body, owned.map_or(0, Vec::len));
+    push_remaining_count(body, owned.map_or(0, Vec::len));
 }
 
 fn push_workers(body: &mut String, form: &Form, view: &Value, seen: u64) {
@@ -337,7 +336,7 @@
     let changes = &view["changes_hold"];
     let draining = changes["draining"].as_array().cloned().unwrap_or_default();
     let names = changes["worker_names"].as_array();
-    for name in names.into_iter().flatten().take(MOST_ROWS) {
+    for name in names.into_iter().flatten().take(MAX_ROWS) {
         let is_draining = draining.contains(name);
         let name = name.as_str().unwrap_or("");
         let act = if is_draining {
@@ -348,12 +347,12 @@
         write!(body, "<li>{}{act}</li>", escaped(name)).ok();
     }
     body.push_str("</ul>");
-    push_rest(body, names.map_or(0, Vec::len));
+    push_remaining_count(body, names.map_or(0, Vec::len));
 }
 
-fn push_rest(body: &mut String, all: usize) {
-    if all > MOST_ROWS {
-        write!(body, "<p class=\"no\">and {} more</p>", all - MOST_ROWS).ok();
+fn push_remaining_count(body: &mut String, all: usize) {
+    if all > MAX_ROWS {
+        write!(body, "<p class=\"no\">and {} more</p>", all - MAX_ROWS).ok();
     }
 }
 
--- a/crates/bluebellreel_entry/src/jobs/part.rs
+++ b/crates/bluebellreel_entry/src/jobs/component.rs
@@ -1,13 +1,13 @@
-//! The part that owns jobs.
+//! The component that owns batch jobs.
 
 mod handout;
 mod ownership;
 
+use crate::handles::DaemonHandles;
 use crate::jobs::index::JobIndex;
 use crate::jobs::messages::{JobWrite, JobsMessage, JobsSummary, OwnedSummary, PendingPull};
 use crate::jobs::store;
 use crate::message::Message;
-use crate::parts::Parts;
 use crate::platform::EntryRecord;
 use bluebellreel_job::{
     ItemEnd, ItemLease, JobEffect, JobRecord, JobScheduler, OwnedJob, SchedulerLimits,
@@ -19,16 +19,16 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Between two looks at all jobs.
+/// Interval between two polls of all jobs.
 const TICK: Duration = Duration::from_millis(50);
-/// How often a worker is told again that batch work waits.
-const OFFER_PERIOD: Duration = Duration::from_secs(1);
-/// Pause before a job that could not be opened is tried again.
-const REOPEN_PAUSE: Duration = Duration::from_millis(500);
-/// Between two tidyings.
-const TIDY_PERIOD: Duration = Duration::from_secs(10);
+/// Interval at which an offer of waiting batch work is repeated to a worker.
+const OFFER_REPEAT_PERIOD: Duration = Duration::from_secs(1);
+/// Delay before opening a job is retried.
+const REOPEN_DELAY: Duration = Duration::from_millis(500);
+/// Interval between two clean-ups of the scheduler.
+const CLEANUP_PERIOD: Duration = Duration::from_secs(10);
 
-/// A connected worker as this part sees it.
+/// A connected worker, which pulls batch items.
 struct Puller {
     incarnation: Incarnation,
     models: BTreeSet<ModelName>,
@@ -36,9 +36,10 @@
     offer_at: Moment,
 }
 
-/// Owns jobs.
-pub(crate) struct JobsPart {
-    parts: Parts,
+/// Owns batch jobs: hands out their items, records results, and takes over jobs
+/// of daemons that are gone.
+pub(crate) struct JobsComponent {
+    handles: DaemonHandles,
     scheduler: JobScheduler,
     index: JobIndex,
     pullers: BTreeMap<WorkerName, Puller>,
@@ -46,14 +47,14 @@
     opening: BTreeSet<JobId>,
     reopen_at: BTreeMap<JobId, Moment>,
     tick_at: Moment,
-    tidy_at: Moment,
+    cleanup_at: Moment,
     stopping: bool,
 }
 
-impl JobsPart {
-    pub(crate) fn new(parts: Parts) -> Self {
+impl JobsComponent {
+    pub(crate) fn new(handles: DaemonHandles) -> Self {
         Self {
-            parts,
+            handles,
             scheduler: JobScheduler::new(SchedulerLimits::default()),
             index: JobIndex::default(),
             pullers: BTreeMap::new(),
@@ -61,12 +62,12 @@
             opening: BTreeSet::new(),
             reopen_at: BTreeMap::new(),
             tick_at: Moment(0),
-            tidy_at: Moment(0),
+            cleanup_at: Moment(0),
             stopping: false,
         }
     }
 
-    /// Looks at all jobs.
+    /// Polls all jobs, takes over orphaned ones, and sends offers to workers.
     pub(crate) fn tick(&mut self) {
         let now = self.now();
         if !self.tick_at.is_past(now) {
@@ -77,11 +78,11 @@
         self.take_over_due(now);
         self.reopen_due(now);
         self.offer_all(now);
-        if self.tidy_at.is_past(now) {
-            self.tidy_at = now + TIDY_PERIOD;
+        if self.cleanup_at.is_past(now) {
+            self.cleanup_at = now + CLEANUP_PERIOD;
             self.scheduler.remove_stale_entries(now);
         }
-        let metrics = &self.parts.metrics;
+        let metrics = &self.handles.metrics;
         let owned = i64::try_from(self.scheduler.jobs.len()).unwrap_or(i64::MAX);
         metrics.jobs_owned.set(owned);
         let waiting = self.scheduler.unrecorded_bytes();
@@ -90,10 +91,10 @@
     }
 
     fn now(&self) -> Moment {
-        self.parts.clock.now()
+        self.handles.clock.now()
     }
 
-    /// Hands out nothing new from now on.
+    /// Stops handing out items and prepares all jobs for hand-over.
     pub(crate) fn stop(&mut self) {
         self.stopping = true;
         for job in self.scheduler.jobs.values_mut() {
@@ -101,12 +102,12 @@
         }
     }
 
-    /// Whether all that is out has come back and been recorded.
+    /// Whether all leased items have returned and their results are recorded.
     pub(crate) fn is_idle(&self) -> bool {
         self.scheduler.jobs.values().all(OwnedJob::is_handed_over)
     }
 
-    /// Models and services that waiting items need.
+    /// Models and services needed by waiting items.
     pub(crate) fn waiting_models(&self) -> BTreeSet<ModelName> {
         if self.stopping {
             return BTreeSet::new();
@@ -119,12 +120,12 @@
         self.scheduler.holders()
     }
 
-    pub(crate) fn on_entry_seen(&mut self, record: EntryRecord) {
+    pub(crate) fn on_entry_joined(&mut self, record: EntryRecord) {
         self.index.note_entry(record.name, record.run);
     }
 
-    pub(crate) fn on_entry_gone(&mut self, name: &EntryName) {
-        log::warn!(target: "jobs", entry:% = name; "Entry daemon gone.");
+    pub(crate) fn on_entry_left(&mut self, name: &EntryName) {
+        log::warn!(target: "jobs", entry:% = name; "Entry daemon lease ended.");
         self.index.forget_entry(name);
     }
 
@@ -182,8 +183,8 @@
             JobsMessage::AllJobs(jobs) => self.note_all(jobs),
             JobsMessage::Changed(event) => self.note_change(event),
             JobsMessage::Opened(opened) => self.open(*opened),
-            JobsMessage::OpenFailed(id) => self.note_not_opened(id),
-            JobsMessage::TakenOver { id, result } => self.note_taken(&id, result),
+            JobsMessage::OpenFailed(id) => self.on_open_failed(id),
+            JobsMessage::TakenOver { id, result } => self.on_takeover(&id, result),
             JobsMessage::Chunk {
                 id,
                 epoch,
@@ -199,8 +200,8 @@
                 write,
             } => {
                 if write == JobWrite::Done {
-                    self.parts.metrics.items.inc_by(u64::from(items));
-                    self.parts.metrics.items_failed.inc_by(u64::from(failed));
+                    self.handles.metrics.items.inc_by(u64::from(items));
+                    self.handles.metrics.items_failed.inc_by(u64::from(failed));
                 }
                 self.note_write(&id, epoch, write, now, |job| job.note_recorded(seq, now));
             }
@@ -213,10 +214,10 @@
                 }
             }
             JobsMessage::Claimed { pull, written } => self.note_claimed(*pull, &written),
-            JobsMessage::CountAsked(team, answer) => {
+            JobsMessage::QueryCount(team, answer) => {
                 answer.send(self.index.count(&team)).ok();
             }
-            JobsMessage::SummaryAsked(answer) => {
+            JobsMessage::QuerySummary(answer) => {
                 answer.send(self.summary(now)).ok();
             }
         }
@@ -239,7 +240,7 @@
             return;
         };
         if let Err(reason) = job.note_chunk(chunk, bytes) {
-            log::error!(target: "jobs", job:% = id, reason; "An input chunk is not as accepted.");
+            log::error!(target: "jobs", job:% = id, reason; "Input chunk does not match the accepted job.");
             job.note_chunk_failed(now);
         }
     }
@@ -277,22 +278,22 @@
         }
         for (id, record, revision, effects) in todo {
             for effect in effects {
-                self.carry_out(&id, &record, revision, effect);
+                self.execute(&id, &record, revision, effect);
             }
         }
     }
 
-    fn carry_out(&mut self, id: &JobId, record: &JobRecord, revision: i64, effect: JobEffect) {
-        let (at, parts) = (self.parts.clone(), self.parts.clone());
+    fn execute(&mut self, id: &JobId, record: &JobRecord, revision: i64, effect: JobEffect) {
+        let (storage_handles, handles) = (self.handles.clone(), self.handles.clone());
         let (id, record, epoch) = (id.clone(), record.clone(), record.epoch);
-        let tell = move |message| {
-            parts.tell(Message::Jobs(message));
+        let send = move |message| {
+            handles.send_message(Message::Jobs(message));
         };
         match effect {
             JobEffect::LoadChunk(chunk) => {
                 self.run_kv(&id.clone(), epoch, move |_| {
-                    let bytes = store::load_chunk(at.storage(), &record, chunk);
-                    tell(JobsMessage::Chunk {
+                    let bytes = store::load_chunk(storage_handles.storage(), &record, chunk);
+                    send(JobsMessage::Chunk {
                         id,
                         epoch,
                         chunk,
@@ -307,9 +308,14 @@
                     .filter(|r| matches!(r.end, ItemEnd::Failed { .. }));
                 let failed = u32::try_from(failed.count()).unwrap_or(u32::MAX);
                 self.run_kv(&id.clone(), epoch, move |_| {
-                    let write =
-                        store::record_results(at.storage(), &record, revision, seq, &results);
-                    tell(JobsMessage::Recorded {
+                    let write = store::record_results(
+                        storage_handles.storage(),
+                        &record,
+                        revision,
+                        seq,
+                        &results,
+                    );
+                    send(JobsMessage::Recorded {
                         id,
                         epoch,
                         seq,
@@ -323,17 +329,18 @@
                 let ended = record.ended(state, counts, self.now());
                 self.run_kv(&id.clone(), epoch, move |kv| {
                     let write = store::close_job(kv, &record, revision, &ended);
-                    tell(JobsMessage::Closed { id, epoch, write });
+                    send(JobsMessage::Closed { id, epoch, write });
                 });
             }
             JobEffect::Withdraw { worker, attempts } => {
-                self.parts.send(EntryCommand::Withdraw { worker, attempts });
+                self.handles
+                    .send_command(EntryCommand::Withdraw { worker, attempts });
             }
             JobEffect::QueryAttempt {
                 worker,
                 incarnation,
                 attempt,
-            } => self.ask(&id, &worker, incarnation, attempt),
+            } => self.query_verdict(&id, &worker, incarnation, attempt),
         }
     }
 
@@ -343,7 +350,7 @@
         epoch: u64,
         task: impl FnOnce(&bluebellreel_kv::KvClient) + Send + 'static,
     ) {
-        if !self.parts.pool.run(task) {
+        if !self.handles.pool.run(task) {
             let now = self.now();
             if let Some(job) = self.owned(id, epoch) {
                 job.note_chunk_failed(now);
@@ -352,7 +359,7 @@
         }
     }
 
-    fn ask(
+    fn query_verdict(
         &mut self,
         id: &JobId,
         worker: &WorkerName,
@@ -363,7 +370,8 @@
         match self.pullers.get(worker) {
             Some(puller) if puller.incarnation == incarnation => {
                 let worker = worker.clone();
-                self.parts.send(EntryCommand::Cancel { worker, attempt });
+                self.handles
+                    .send_command(EntryCommand::Cancel { worker, attempt });
             }
             Some(_) => {
                 if let Some(job) = self.scheduler.jobs.get_mut(id) {
@@ -411,9 +419,9 @@
     }
 }
 
-fn answer_pull(pull: PendingPull) {
-    // A side process that is gone hears nothing; its leases come back when
-    // its connection is seen to be lost.
+fn send_pull_answer(pull: PendingPull) {
+    // If the side process has disconnected, sending fails. Its leases are
+    // released when the lost connection is reported.
     pull.answer.0.send(pull.ready).ok();
 }
 
--- a/crates/bluebellreel_entry/src/jobs/part/handout.rs
+++ b/crates/bluebellreel_entry/src/jobs/component/handout.rs
@@ -1,14 +1,14 @@
-//! Handing items out to side processes that pull.
+//! Hands out items to side processes that pull.
 
-use super::{JobsPart, OFFER_PERIOD, answer_pull, dispatch_of};
-use crate::jobs::messages::{ClaimedPart, JobWrite, JobsMessage, PendingPull};
+use super::{JobsComponent, OFFER_REPEAT_PERIOD, dispatch_of, send_pull_answer};
+use crate::jobs::messages::{ClaimedDispatches, JobWrite, JobsMessage, PendingPull};
 use crate::jobs::store;
 use crate::message::Message;
 use bluebellreel_job::JobLeases;
 use bluebellreel_rpc::{EntryCommand, PullAnswer};
 use bluebellreel_types::{Dispatch, Moment, WorkerName};
 
-impl JobsPart {
+impl JobsComponent {
     pub(super) fn pull(&mut self, worker: &WorkerName, room: u32, answer: PullAnswer, now: Moment) {
         let leased_jobs = match self.pullers.get_mut(worker) {
             Some(puller) if !self.stopping => {
@@ -35,87 +35,89 @@
             if self.scheduler.jobs[&job].repeatable {
                 pull.ready.extend(dispatches);
             } else {
-                pull.claimed.push(ClaimedPart { job, dispatches });
+                pull.claimed.push(ClaimedDispatches { job, dispatches });
             }
         }
         if pull.claimed.is_empty() {
-            answer_pull(pull);
+            send_pull_answer(pull);
         } else {
             self.write_claims(pull);
         }
     }
 
-    /// Items that may not be repeated leave only after their claims are
-    /// recorded under our epoch, so that an owner that was paused while
-    /// another took over can send none of them.
+    /// Non-repeatable items are sent only after their claims are recorded under
+    /// this owner's epoch, so that an owner that was paused while another took
+    /// over cannot send any of them.
     pub(super) fn write_claims(&mut self, pull: PendingPull) {
         let mut writes = Vec::new();
-        for part in &pull.claimed {
-            let Some(job) = self.scheduler.jobs.get(&part.job) else {
+        for claimed in &pull.claimed {
+            let Some(job) = self.scheduler.jobs.get(&claimed.job) else {
                 continue;
             };
-            let seq = self.claim_seqs.entry(part.job.clone()).or_default();
+            let seq = self.claim_seqs.entry(claimed.job.clone()).or_default();
             *seq += 1;
-            let attempts = part.dispatches.iter().map(|d| d.attempt);
+            let attempts = claimed.dispatches.iter().map(|d| d.attempt);
             let claims = job.claims_of(attempts);
             writes.push((job.record.clone(), job.revision, *seq, claims));
         }
-        let parts = self.parts.clone();
+        let handles = self.handles.clone();
         let pull = Box::new(pull);
-        // A pull that cannot be queued is dropped: the side asks again, and
-        // the leases come back when they lapse.
-        self.parts.pool.run(move |kv| {
+        // A pull that cannot be queued is dropped: the side process pulls again,
+        // and the items are released when their leases expire.
+        self.handles.pool.run(move |kv| {
             let written = writes
                 .into_iter()
                 .map(|(record, revision, seq, claims)| {
                     store::record_claims(kv, &record, revision, seq, claims)
                 })
                 .collect();
-            parts.tell(Message::Jobs(JobsMessage::Claimed { pull, written }));
+            handles.send_message(Message::Jobs(JobsMessage::Claimed { pull, written }));
         });
     }
 
     pub(super) fn note_claimed(&mut self, mut pull: PendingPull, written: &[JobWrite]) {
         let claimed = std::mem::take(&mut pull.claimed);
-        for (part, write) in claimed.into_iter().zip(written) {
+        for (group, write) in claimed.into_iter().zip(written) {
             match write {
-                JobWrite::Done => pull.ready.extend(part.dispatches),
-                JobWrite::Failed => self.release(&part),
-                JobWrite::Fenced => self.drop_job(&part.job),
+                JobWrite::Done => pull.ready.extend(group.dispatches),
+                JobWrite::Failed => self.release(&group),
+                JobWrite::Fenced => self.drop_job(&group.job),
             }
         }
-        // A job may have been cancelled, or taken over, while the claims were written.
+        // The job may have been cancelled or taken over while the claims were written.
         let jobs = &self.scheduler.jobs;
         let is_held = |d: &Dispatch| jobs.values().any(|job| job.holds(d.attempt.request));
         pull.ready.retain(is_held);
-        answer_pull(pull);
+        send_pull_answer(pull);
     }
 
-    /// The claim's fate is open, but nothing was sent: the items stay claimed
-    /// by attempts that will never run, and are claimed anew later.
-    pub(super) fn release(&mut self, part: &ClaimedPart) {
-        if let Some(job) = self.scheduler.jobs.get_mut(&part.job) {
-            for dispatch in &part.dispatches {
+    /// Releases items whose claims may or may not have been written. None of
+    /// them was sent: they stay claimed by attempts that never run, and are
+    /// claimed again for later attempts.
+    pub(super) fn release(&mut self, claimed: &ClaimedDispatches) {
+        if let Some(job) = self.scheduler.jobs.get_mut(&claimed.job) {
+            for dispatch in &claimed.dispatches {
                 job.release(dispatch.attempt);
             }
         }
     }
 
-    /// Tells workers that batch work waits, so that they pull.
+    /// Offers waiting batch work to workers, so that they pull.
     pub(super) fn offer_all(&mut self, now: Moment) {
         if self.stopping {
             return;
         }
         for (worker, puller) in &mut self.pullers {
             let waiting = self.scheduler.waiting(&puller.models);
-            let rises = puller.offered == 0 && waiting > 0;
-            if !(rises || waiting > 0 && puller.offer_at.is_past(now)) {
+            let became_nonzero = puller.offered == 0 && waiting > 0;
+            if !(became_nonzero || waiting > 0 && puller.offer_at.is_past(now)) {
                 continue;
             }
             puller.offered = waiting;
-            puller.offer_at = now + OFFER_PERIOD;
+            puller.offer_at = now + OFFER_REPEAT_PERIOD;
             let worker = worker.clone();
-            self.parts.send(EntryCommand::Offer { worker, waiting });
+            self.handles
+                .send_command(EntryCommand::Offer { worker, waiting });
         }
     }
 }
--- a/crates/bluebellreel_entry/src/jobs/part/ownership.rs
+++ b/crates/bluebellreel_entry/src/jobs/component/ownership.rs
@@ -1,6 +1,6 @@
-//! Which jobs are ours: accepted, taken over, lost.
+//! Ownership of jobs: acceptance, take-over and loss.
 
-use super::{JobsPart, REOPEN_PAUSE};
+use super::{JobsComponent, REOPEN_DELAY};
 use crate::jobs::messages::{JobsMessage, OpenedJob};
 use crate::jobs::store;
 use crate::message::Message;
@@ -10,45 +10,45 @@
 use bluebellreel_types::{JobId, Moment};
 use std::collections::BTreeSet;
 
-impl JobsPart {
+impl JobsComponent {
     pub(super) fn take_over_due(&mut self, now: Moment) {
         if self.stopping {
             return;
         }
-        let me = self.parts.settings.name.clone();
-        let run = self.parts.run;
+        let me = self.handles.settings.name.clone();
+        let run = self.handles.run;
         let holds = |id: &JobId| {
             let is_open = self.scheduler.jobs.contains_key(id);
             is_open || self.opening.contains(id) || self.reopen_at.contains_key(id)
         };
-        for (record, revision) in self.index.due((&me, run), holds, now) {
+        for (record, revision) in self.index.due_takeovers((&me, run), holds, now) {
             let me = me.clone();
-            let parts = self.parts.clone();
+            let handles = self.handles.clone();
             let id = record.id.clone();
-            let queued = self.parts.pool.run(move |kv| {
+            let queued = self.handles.pool.run(move |kv| {
                 let result = store::take_over(kv, &record, revision, me, run);
                 let id = record.id.clone();
-                parts.tell(Message::Jobs(JobsMessage::TakenOver { id, result }));
+                handles.send_message(Message::Jobs(JobsMessage::TakenOver { id, result }));
             });
             if !queued {
-                self.note_taken(&id, None);
+                self.on_takeover(&id, None);
             }
         }
     }
 
-    pub(super) fn note_taken(&mut self, id: &JobId, result: Option<(Box<JobRecord>, i64)>) {
+    pub(super) fn on_takeover(&mut self, id: &JobId, result: Option<(Box<JobRecord>, i64)>) {
         match result {
             Some((record, revision)) => {
                 log::info!(target: "jobs", job:% = id, epoch = record.epoch; "Job taken over.");
-                self.parts.metrics.takeovers.inc();
+                self.handles.metrics.takeovers.inc();
                 self.index.put(*record, revision);
                 self.reopen(id);
             }
-            None => self.index.note_not_taken(id),
+            None => self.index.on_takeover_failed(id),
         }
     }
 
-    /// Tries again to open jobs that could not be opened before.
+    /// Retries opening jobs whose earlier attempt failed.
     pub(super) fn reopen_due(&mut self, now: Moment) {
         let due = self.reopen_at.iter().filter(|(_, at)| at.is_past(now));
         let due: Vec<JobId> = due.map(|(id, _)| id.clone()).collect();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Reads what is recorded of a job that is ours, then opens it.
+    /// Reads the recorded state of an owned job; the job is opened once it is read.
     pub(super) fn reopen(&mut self, id: &JobId) {
         let Some(job) = self.index.jobs.get(id) else {
             return;
@@ -67,27 +67,27 @@
             return;
         }
         let (record, revision) = (job.record.clone(), job.revision);
-        let (parts, id) = (self.parts.clone(), id.clone());
+        let (handles, id) = (self.handles.clone(), id.clone());
         let job = id.clone();
-        let queued = self.parts.pool.run(move |_| {
-            let message = match store::open_job(parts.storage(), record, revision) {
+        let queued = self.handles.pool.run(move |_| {
+            let message = match store::open_job(handles.storage(), record, revision) {
                 Ok(opened) => JobsMessage::Opened(Box::new(opened)),
                 Err(e) => {
-                    log::warn!(target: "jobs", job:% = id, error:% = e; "A job cannot be opened yet.");
+                    log::warn!(target: "jobs", job:% = id, error:% = e; "Job cannot be opened; retrying.");
                     JobsMessage::OpenFailed(id)
                 }
             };
-            parts.tell(Message::Jobs(message));
+            handles.send_message(Message::Jobs(message));
         });
         if !queued {
-            self.note_not_opened(job);
+            self.on_open_failed(job);
         }
     }
 
-    /// A job could not be opened: it is tried again later.
-    pub(super) fn note_not_opened(&mut self, id: JobId) {
+    /// Schedules another attempt for a job that could not be opened.
+    pub(super) fn on_open_failed(&mut self, id: JobId) {
         self.opening.remove(&id);
-        self.reopen_at.insert(id, self.now() + REOPEN_PAUSE);
+        self.reopen_at.insert(id, self.now() + REOPEN_DELAY);
     }
 
     pub(super) fn open(&mut self, opened: OpenedJob) {
@@ -97,7 +97,8 @@
         if current != Some(opened.revision) {
             return;
         }
-        // A job may hold any call of a service, so all of them run at most once.
+        // A service job may contain any call of the service, also non-repeatable
+        // ones, so all its calls run at most once.
         let repeatable = matches!(opened.record.target, JobTarget::Chat(_));
         let job = OwnedJob::open(
             opened.record,
@@ -114,11 +115,11 @@
         let Some(mut job) = self.scheduler.jobs.remove(id) else {
             return;
         };
-        log::info!(target: "jobs", job:% = id; "Job is no longer ours.");
+        log::info!(target: "jobs", job:% = id; "Job no longer owned by this daemon.");
         let mut effects = Vec::new();
         job.withdraw_all(&mut effects);
         for effect in effects {
-            self.carry_out(id, &job.record, job.revision, effect);
+            self.execute(id, &job.record, job.revision, effect);
         }
     }
 
@@ -166,7 +167,8 @@
         }
     }
 
-    /// A record under another owner ends our ownership.
+    /// Updates the index. A newer record that names another owner ends this
+    /// daemon's ownership.
     pub(super) fn note_record(&mut self, record: JobRecord, revision: i64) {
         let mine = self.is_mine(&record);
         let id = record.id.clone();
@@ -182,6 +184,6 @@
     }
 
     pub(super) fn is_mine(&self, record: &JobRecord) -> bool {
-        record.owner == self.parts.settings.name && record.owner_run == self.parts.run
+        record.owner == self.handles.settings.name && record.owner_run == self.handles.run
     }
 }
--- a/crates/bluebellreel_entry/src/jobs/results.rs
+++ b/crates/bluebellreel_entry/src/jobs/results.rs
@@ -1,4 +1,4 @@
-//! Reading a job's results back, page by page.
+//! Reads a job's results page by page.
 
 use crate::jobs::store::{JobStorage, READ_PAGE, for_each_result, load_chunk, results_of};
 use crate::platform::output_prefix;
@@ -33,40 +33,40 @@
     pub(crate) attempts: u32,
 }
 
-/// A page of results and where the next one begins.
+/// A page of results and the cursor of the next one.
 #[derive(Clone, Debug)]
 pub(crate) struct ResultPage {
     pub(crate) lines: Vec<ItemLine>,
-    /// Cursor of the next page; none when this was the last one.
+    /// Cursor of the next page, `None` on the last page.
     pub(crate) next: Option<String>,
 }
 
-/// Cursor of the part that lists items without a recorded result.
+/// Cursor prefix of the pages that list items without a recorded result.
 const UNFINISHED: &str = "unfinished";
 
-/// Reads one page of results, in the order in which they were recorded. Items
-/// of a cancelled or expired job that never finished come last.
+/// Reads one page of results in the order in which they were recorded. Unfinished
+/// items of a cancelled or expired job come last.
 pub(crate) fn read_results(
-    at: JobStorage<'_>,
+    storage: JobStorage<'_>,
     record: &JobRecord,
     after: Option<&str>,
 ) -> Result<ResultPage, KvError> {
     if let Some(rest) = after.and_then(|cursor| cursor.strip_prefix(UNFINISHED)) {
         let chunk = rest.trim_start_matches('-').parse().unwrap_or(0);
-        return read_unfinished(at, record, chunk);
+        return read_unfinished(storage, record, chunk);
     }
     let prefix = output_prefix(&record.id);
     let start = match after {
         Some(cursor) => Key::from(format!("{prefix}{cursor}\0")),
         None => prefix.clone(),
     };
-    let (page, more) = at
+    let (page, more) = storage
         .kv
         .range_page(&start, &prefix.prefix_end(), READ_PAGE, false)?;
     let mut lines = Vec::new();
     for found in &page {
-        for result in results_of(at, record, &found.value)? {
-            lines.push(line_of(at, record, result)?);
+        for result in results_of(storage, record, &found.value)? {
+            lines.push(line_of(storage, record, result)?);
         }
     }
     let last = page.last().map(|found| &found.key);
@@ -86,14 +86,15 @@
 }
 
 fn line_of(
-    at: JobStorage<'_>,
+    storage: JobStorage<'_>,
     record: &JobRecord,
     result: ItemResult,
 ) -> Result<ItemLine, KvError> {
-    // An item that ended in doubt under a later owner was recorded before its
-    // chunk was read again; its name is found here.
+    // A later owner records an item with an unknown outcome before it has read
+    // the item's chunk, so the result has no custom id. It is read from the
+    // chunk here.
     let custom_id = if result.custom_id.is_empty() {
-        name_of(at, record, result.index)?
+        name_of(storage, record, result.index)?
     } else {
         result.custom_id
     };
@@ -119,9 +120,9 @@
     })
 }
 
-fn name_of(at: JobStorage<'_>, record: &JobRecord, index: u32) -> Result<Arc<str>, KvError> {
+fn name_of(storage: JobStorage<'_>, record: &JobRecord, index: u32) -> Result<Arc<str>, KvError> {
     let chunk = record.chunk_of(index);
-    let names = names_in(at, record, chunk)?;
+    let names = names_in(storage, record, chunk)?;
     let first = record.chunks[chunk as usize].first;
     Ok(names
         .get((index - first) as usize)
@@ -129,25 +130,29 @@
         .unwrap_or_default())
 }
 
-fn names_in(at: JobStorage<'_>, record: &JobRecord, chunk: u32) -> Result<Vec<Arc<str>>, KvError> {
-    let bytes = load_chunk(at, record, chunk)
+fn names_in(
+    storage: JobStorage<'_>,
+    record: &JobRecord,
+    chunk: u32,
+) -> Result<Vec<Arc<str>>, KvError> {
+    let bytes = load_chunk(storage, record, chunk)
         .ok_or_else(|| KvError::NotDone("an input chunk cannot be read".into()))?;
     bluebellreel_job::custom_ids(&bytes).map_err(KvError::Refused)
 }
 
-/// Lists the items of one input chunk that have no recorded result.
+/// Reads the page of one input chunk's items without a recorded result.
 fn read_unfinished(
-    at: JobStorage<'_>,
+    storage: JobStorage<'_>,
     record: &JobRecord,
     chunk: u32,
 ) -> Result<ResultPage, KvError> {
-    let Some(place) = record.chunks.get(chunk as usize) else {
+    let Some(chunk_ref) = record.chunks.get(chunk as usize) else {
         let (lines, next) = (Vec::new(), None);
         return Ok(ResultPage { lines, next });
     };
-    let range = place.first..place.first + place.items;
+    let range = chunk_ref.first..chunk_ref.first + chunk_ref.items;
     let mut finished = HashSet::new();
-    for_each_result(at, record, |result| {
+    for_each_result(storage, record, |result| {
         if range.contains(&result.index) {
             finished.insert(result.index);
         }
@@ -157,7 +162,7 @@
     } else {
         "expired"
     };
-    let names = names_in(at, record, chunk)?;
+    let names = names_in(storage, record, chunk)?;
     let unfinished = range
         .zip(names)
         .filter(|(index, _)| !finished.contains(index));
--- a/crates/bluebellreel_entry/src/jobs/store/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/store/tests.rs
@@ -1,4 +1,4 @@
-//! What writes to a job lead to.
+//! Tests of writes to a job.
 
 use super::*;
 use bluebellreel_kv::KvSettings;
@@ -8,14 +8,14 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Room of the stand-in's values.
+/// Total size of values that the key-value stand-in accepts.
 const VALUE_BYTES: usize = 1 << 20;
 
 struct Fixture {
     kv: KvClient,
     data: ChunkAccess,
-    /// Whether calls are done and their answers lost.
-    is_deaf: Arc<AtomicBool>,
+    /// Whether calls are executed but their responses are lost.
+    drops_answers: Arc<AtomicBool>,
     clock: Clock,
 }
 
@@ -23,12 +23,12 @@
     fn new() -> Self {
         let clock = Clock::manual_at(Moment(1_000_000));
         let calls = Mutex::new(KvCalls::new(VALUE_BYTES));
-        let is_deaf = Arc::new(AtomicBool::new(false));
-        let (time, deaf) = (clock.clone(), is_deaf.clone());
+        let drops_answers = Arc::new(AtomicBool::new(false));
+        let (time, is_lost) = (clock.clone(), drops_answers.clone());
         let send = move |path: &str, body: &serde_json::Value| {
             let mut calls = calls.lock().expect("no test thread panicked");
             let answer = calls.call(path, body, time.now());
-            if deaf.load(Ordering::Relaxed) {
+            if is_lost.load(Ordering::Relaxed) {
                 return Err(KvError::Unknown("the answer is lost".into()));
             }
             answer.map_err(KvError::Refused)
@@ -42,14 +42,14 @@
         Self {
             kv,
             data: ChunkAccess::default(),
-            is_deaf,
+            drops_answers,
             clock,
         }
     }
 
     fn put(&self, record: &JobRecord) -> i64 {
         let txn = Txn::create(job_key(&record.id), job_value(record));
-        match self.kv.commit(&txn, self.clock.now() + WRITE_TIME) {
+        match self.kv.commit(&txn, self.clock.now() + WRITE_TIMEOUT) {
             Commit::Applied { revision } => revision,
             other => panic!("{other:?}"),
         }
@@ -60,7 +60,7 @@
     }
 
     fn write_item(&self, record: &JobRecord, revision: i64, seq: u64, index: u32) -> JobWrite {
-        let at = JobStorage {
+        let storage = JobStorage {
             kv: &self.kv,
             data: &self.data,
         };
@@ -72,7 +72,7 @@
                 body: Arc::from("answer"),
             },
         };
-        record_results(at, record, revision, seq, &[result])
+        record_results(storage, record, revision, seq, &[result])
     }
 }
 
@@ -96,25 +96,25 @@
     }
 }
 
-/// Results were written, but the answer was lost for as long as the write was
-/// tried. The next try found them and took them for another owner's: the daemon
-/// let go of its job, which then lay for ever.
+/// Results were written, but every response was lost until the write timed out.
+/// The retry found the results and took them for another owner's, so the daemon
+/// dropped its job, which never continued.
 #[test]
-fn results_whose_answer_was_lost_are_found() {
+fn results_whose_response_was_lost_are_found() {
     let fixture = Fixture::new();
     let record = record();
     let revision = fixture.put(&record);
-    fixture.is_deaf.store(true, Ordering::Relaxed);
+    fixture.drops_answers.store(true, Ordering::Relaxed);
     assert_eq!(fixture.write(&record, revision, 0), JobWrite::Failed);
-    fixture.is_deaf.store(false, Ordering::Relaxed);
+    fixture.drops_answers.store(false, Ordering::Relaxed);
     assert_eq!(fixture.write(&record, revision, 0), JobWrite::Done);
     assert_eq!(fixture.write(&record, revision, 1), JobWrite::Done);
 }
 
-/// Other results under the same number are no lost answer: passed over, the
-/// later ones would be gone.
+/// Different results under the same sequence number are not a retry after a lost
+/// response. Accepted as one, the later results would be lost.
 #[test]
-fn other_results_under_a_number_are_not_taken_for_these() {
+fn different_results_under_a_sequence_number_are_fenced() {
     let fixture = Fixture::new();
     let record = record();
     let revision = fixture.put(&record);
@@ -124,7 +124,7 @@
     assert_eq!(other, JobWrite::Fenced);
 }
 
-/// An owner that another has followed can write nothing more.
+/// An owner whose job another daemon has taken over cannot write to it.
 #[test]
 fn a_former_owner_is_fenced() {
     let fixture = Fixture::new();
--- a/crates/bluebellreel_entry/src/online/mod.rs
+++ b/crates/bluebellreel_entry/src/online/mod.rs
@@ -1,11 +1,12 @@
-//! Online requests: the part that drives the router, and claims.
+//! Online requests: the component that drives the router, claims of
+//! non-repeatable calls, and the choice of worker connections.
 
 mod caller;
 mod claims;
-mod part;
-mod reach;
+mod component;
+mod connections;
 
-pub(crate) use caller::{AskAnswer, CallerEvent, NewCall, OnlineMessage};
+pub(crate) use caller::{CallerEvent, ClaimQueryResult, NewCall, OnlineMessage};
 pub(crate) use claims::{find_claim, record_state};
-pub(crate) use part::OnlinePart;
-pub(crate) use reach::ReachPart;
+pub(crate) use component::OnlineComponent;
+pub(crate) use connections::ConnectionsComponent;
--- a/crates/bluebellreel_entry/src/platform/membership.rs
+++ b/crates/bluebellreel_entry/src/platform/membership.rs
@@ -1,7 +1,8 @@
-//! Which entry daemons are there: a lease each, watched by all.
+//! Membership of entry daemons: each daemon holds a lease, and all watch the
+//! leases.
 
+use crate::handles::DaemonHandles;
 use crate::message::Message;
-use crate::parts::Parts;
 use crate::platform::keys::{entry_key, entry_prefix};
 use crate::platform::records::EntryRecord;
 use bluebellreel_kv::{
@@ -15,58 +16,58 @@
 use std::thread;
 use std::time::Duration;
 
-/// Stands for the lease of a daemon that has stopped.
+/// Value of the shared lease id after the daemon has stopped.
 pub(crate) const STOPPED: i64 = -1;
-/// Pause before a watch is opened again.
-const WATCH_PAUSE: Duration = Duration::from_millis(500);
+/// Minimum delay before a prefix is read again and its watch reopened.
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Holds the daemon's lease until the process ends.
-pub(crate) fn hold_lease(parts: &Parts, address: SocketAddr) -> io::Result<()> {
-    let parts = parts.clone();
+/// Starts the thread that holds the daemon's lease until the daemon stops.
+pub(crate) fn hold_lease(handles: &DaemonHandles, address: SocketAddr) -> io::Result<()> {
+    let handles = handles.clone();
     let record = EntryRecord {
-        name: parts.settings.name.clone(),
-        run: parts.run,
+        name: handles.settings.name.clone(),
+        run: handles.run,
         address,
-        data_centre: parts.settings.data_centre.clone(),
-        disk: parts.data.own().map(|own| own.id.clone()),
+        data_centre: handles.settings.data_centre.clone(),
+        disk: handles.data.own().map(|own| own.id.clone()),
     };
     thread::Builder::new()
         .name("entry-lease".into())
         .spawn(move || {
-            let ttl = parts.settings.lease;
+            let ttl = handles.settings.lease;
             let mut lease = None;
-            while parts.lease.load(Ordering::SeqCst) != STOPPED {
-                lease = renew(&parts.kv, lease, ttl, &record);
-                parts.note_lease(lease.unwrap_or(0));
+            while handles.lease.load(Ordering::SeqCst) != STOPPED {
+                lease = renew(&handles.kv, lease, ttl, &record);
+                handles.publish_lease(lease.unwrap_or(0));
                 thread::sleep(ttl / 3);
             }
         })?;
     Ok(())
 }
 
-impl Parts {
-    /// Notes the lease, unless the daemon has stopped meanwhile: one that was
-    /// taken too late goes back at once.
-    fn note_lease(&self, lease: i64) {
-        let noted = self
+impl DaemonHandles {
+    /// Publishes the lease to the other threads. If the daemon has stopped meanwhile,
+    /// the lease is revoked at once instead.
+    fn publish_lease(&self, lease: i64) {
+        let published = self
             .lease
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |known| {
                 (known != STOPPED).then_some(lease)
             });
-        if noted.is_err() && lease > 0 {
+        if published.is_err() && lease > 0 {
             self.kv.revoke(lease).ok();
         }
     }
 }
 
-/// Renews the lease, or takes a new one when it has lapsed.
+/// Renews the lease, or acquires a new one if it has expired.
 fn renew(kv: &KvClient, lease: Option<i64>, ttl: Duration, record: &EntryRecord) -> Option<i64> {
     if let Some(id) = lease {
         match kv.keep_alive(id) {
             Ok(true) => return Some(id),
-            Ok(false) => log::warn!(target: "entry", "The lease had lapsed; taking a new one."),
+            Ok(false) => log::warn!(target: "entry", "Lease expired; acquiring a new one."),
             Err(e) => {
-                log::warn!(target: "entry", error:% = e; "The lease could not be renewed.");
+                log::warn!(target: "entry", error:% = e; "Lease could not be renewed; retrying.");
                 return Some(id);
             }
         }
@@ -74,7 +75,7 @@
     match register(kv, ttl, record) {
         Ok(id) => Some(id),
         Err(e) => {
-            log::warn!(target: "entry", error:% = e; "No lease could be taken.");
+            log::warn!(target: "entry", error:% = e; "Lease could not be acquired; retrying.");
             None
         }
     }
@@ -94,32 +95,32 @@
     match kv.commit(&txn, kv.now() + ttl) {
         Commit::Applied { .. } => Ok(id),
         Commit::Beaten(_) => Err(KvError::Refused(
-            "a write without a guard was beaten".into(),
+            "unconditional write reported a failed condition".into(),
         )),
         Commit::NotDone(reason) => Err(KvError::NotDone(reason)),
         Commit::Unknown(reason) => Err(KvError::Unknown(reason)),
     }
 }
 
-/// Watches the leases of all daemons.
-pub(crate) fn watch_entries(parts: &Parts) -> io::Result<()> {
-    let parts = parts.clone();
+/// Starts the thread that watches the leases of all daemons.
+pub(crate) fn watch_entries(handles: &DaemonHandles) -> io::Result<()> {
+    let handles = handles.clone();
     thread::Builder::new()
         .name("entry-watch".into())
         .spawn(move || {
             let mut known = BTreeSet::new();
             follow_prefix(
-                &parts.kv,
+                &handles.kv,
                 &entry_prefix(),
-                |all| note_all(&parts, &mut known, &all),
-                |event| note_event(&parts, event),
+                |all| note_all(&handles, &mut known, &all),
+                |event| note_event(&handles, event),
             );
         })?;
     Ok(())
 }
 
-/// Reads a prefix, then follows its changes; starts over when the watch
-/// cannot go on. Ends never.
+/// Reads a prefix, then follows its changes, and reads it again when the watch
+/// cannot continue. Returns only when a callback returns false.
 pub(crate) fn follow_prefix(
     kv: &KvClient,
     prefix: &Key,
@@ -137,13 +138,13 @@
                 return;
             }
         }
-        // With jitter: after an outage all daemons start over.
-        thread::sleep(WATCH_PAUSE + backoff.next(&mut rand::rng()));
+        // Random jitter, because all daemons start over after an outage.
+        thread::sleep(WATCH_RETRY_DELAY + backoff.next(&mut rand::rng()));
     }
 }
 
-/// Follows changes as long as watches can be opened; false when the receiver
-/// is gone.
+/// Follows changes for as long as watches can be opened. Returns false if
+/// `on_event` returned false.
 fn follow_from(
     kv: &KvClient,
     prefix: &Key,
@@ -173,36 +174,37 @@
     serde_json::from_slice(&kv.value).ok()
 }
 
-fn note_all(parts: &Parts, known: &mut BTreeSet<EntryName>, all: &[KeyValue]) -> bool {
+fn note_all(handles: &DaemonHandles, known: &mut BTreeSet<EntryName>, all: &[KeyValue]) -> bool {
     let records: Vec<EntryRecord> = all.iter().filter_map(record_of).collect();
     let present: BTreeSet<EntryName> = records.iter().map(|r| r.name.clone()).collect();
     let gone: Vec<EntryName> = known.difference(&present).cloned().collect();
     *known = present;
     for name in &gone {
-        parts.data.note_daemon_gone(name);
+        handles.data.note_daemon_gone(name);
     }
     for record in &records {
-        parts.data.note_daemon(record);
+        handles.data.note_daemon(record);
     }
-    let seen = records.into_iter().map(Message::EntrySeen);
-    let gone = gone.into_iter().map(Message::EntryGone);
-    gone.chain(seen).all(|message| parts.tell(message))
+    let seen = records.into_iter().map(Message::EntryJoined);
+    let gone = gone.into_iter().map(Message::EntryLeft);
+    gone.chain(seen)
+        .all(|message| handles.send_message(message))
 }
 
-fn note_event(parts: &Parts, event: WatchEvent) -> bool {
+fn note_event(handles: &DaemonHandles, event: WatchEvent) -> bool {
     match event {
         WatchEvent::Put(kv) => match record_of(&kv) {
             Some(record) => {
-                parts.data.note_daemon(&record);
-                parts.tell(Message::EntrySeen(record))
+                handles.data.note_daemon(&record);
+                handles.send_message(Message::EntryJoined(record))
             }
             None => true,
         },
         WatchEvent::Deleted { key, .. } => {
             let text = key.as_str();
             let name = EntryName::from(text.strip_prefix("entry/").unwrap_or(text));
-            parts.data.note_daemon_gone(&name);
-            parts.tell(Message::EntryGone(name))
+            handles.data.note_daemon_gone(&name);
+            handles.send_message(Message::EntryLeft(name))
         }
     }
 }
--- a/crates/bluebellreel_entry/src/run.rs
+++ b/crates/bluebellreel_entry/src/run.rs
@@ -1,13 +1,13 @@
-//! Wiring of the entry daemon.
+//! Start and stop of the entry daemon.
 
 use crate::actor::EntryActor;
 use crate::core::EntryCore;
 use crate::data::{ChunkAccess, keep_volumes, watch_volumes};
 use crate::fleet::{SharedManifest, watch_drains, watch_manifest, watch_matchers};
-use crate::http::{Rim, handle};
-use crate::jobs::{JobsMessage, keep_swept};
+use crate::handles::DaemonHandles;
+use crate::http::{HttpContext, handle};
+use crate::jobs::{JobsMessage, start_sweeper};
 use crate::message::Message;
-use crate::parts::Parts;
 use crate::platform::{
     KvPool, STOPPED, follow_prefix, hold_lease, job_prefix, watch_entries, watch_vms,
 };
@@ -29,95 +29,96 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Messages that wait for the actors; past it, senders wait.
-const MESSAGES: usize = 65_536;
-/// Messages handled before timers are looked at again.
-const MESSAGES_AT_ONCE: usize = 1_024;
-/// Longest sleep of the actors' loop.
-const LONGEST_SLEEP: Duration = Duration::from_millis(100);
-/// Between two looks at whether a stop is done.
+/// Capacity of the actor's message queue; senders block when it is full.
+const MESSAGE_QUEUE_CAPACITY: usize = 65_536;
+/// Maximum number of messages handled before timers are checked again.
+const MAX_MESSAGES_PER_TURN: usize = 1_024;
+/// Maximum sleep of the actor's loop.
+const MAX_SLEEP: Duration = Duration::from_millis(100);
+/// Interval at which a stop checks whether all work has finished.
 const IDLE_POLL: Duration = Duration::from_millis(10);
-/// Time for connections to be closed, also past the deadline: longer than the
-/// HTTP server waits for a caller that says nothing more.
-const CLOSE_TIME: Duration = Duration::from_secs(4);
-/// Longest wait for one call to the key-value service.
+/// Minimum time for closing connections, also past the stop's deadline. It is longer
+/// than the HTTP server waits for an idle caller.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Timeout of one call to the key-value service.
 const KV_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A running entry daemon.
 pub struct Entry {
-    /// Where callers and operators reach it.
+    /// Address of the HTTP server for callers and operators.
     pub address: SocketAddr,
     tx: Sender<Message>,
     http: HttpServer,
     actors: JoinHandle<()>,
-    parts: Parts,
+    handles: DaemonHandles,
 }
 
 impl Entry {
-    /// Stops gracefully: nothing new, what is in progress finishes. Whether
-    /// nothing was cut.
+    /// Stops gracefully: accepts no new work and lets work in progress finish.
+    /// Returns whether no work was interrupted.
     ///
-    /// Guards against requests that come between the last look and the end: the
-    /// lease is given back, a call that may take seconds, while late callers
-    /// are still told "not run", and nothing slow comes after the last look.
-    /// Nobody can connect any more by then, and connections are closed.
-    #[must_use = "a stop that cut something must be reported"]
+    /// No request may arrive between the last check and the end. The lease is
+    /// therefore revoked, a call that may take seconds, while late callers are still
+    /// answered "not run", and no slow operation follows the last check. By then
+    /// the server accepts no connections, and existing ones are closed.
+    #[must_use = "a stop that interrupted work must be reported"]
     pub fn stop(self) -> bool {
         self.leave_rotation();
-        let until = Instant::now() + self.parts.settings.stop;
-        self.tx.send(Message::StopAsked).ok();
-        // Late callers may come one after another for as long as anybody can
-        // connect; the actors' work only becomes less.
+        let until = Instant::now() + self.handles.settings.stop;
+        self.tx.send(Message::Stop).ok();
+        // Late callers may keep arriving while the server accepts connections, so
+        // this waits only for the actor, whose work can only decrease.
         wait_until(until, || self.is_idle());
-        give_back_lease(&self.parts);
+        revoke_lease(&self.handles);
         self.http.stop();
-        let until = until.max(Instant::now() + CLOSE_TIME);
-        // Whether connections are gone is looked at first: once they are, the
-        // actors get nothing new.
+        let until = until.max(Instant::now() + CLOSE_TIMEOUT);
+        // Connections are checked first: once they are closed, the actor receives
+        // no new work.
         wait_until(until, || self.http.is_gone() && self.is_idle());
         let cut = self.http.in_progress();
         let clean = self.is_idle() && cut == 0;
         if clean {
             self.tx.send(Message::Quit).ok();
             self.actors.join().ok();
-            log::info!(target: "entry", "Stopped; nothing was cut.");
+            log::info!(target: "entry", "Stopped; no work was interrupted.");
         } else {
             log::error!(target: "entry", cut; "Stopped at the deadline with work in progress.");
         }
         clean
     }
 
-    /// The balancer goes on sending for a while; those callers are served.
+    /// Reports the daemon as unready, then waits for the notice period: the load
+    /// balancer keeps sending callers for a while, and they are served.
     fn leave_rotation(&self) {
-        self.parts.readiness.stop();
+        self.handles.readiness.stop();
         self.http.leave();
-        log::info!(target: "entry", "Stopping: not ready any more.");
-        thread::sleep(self.parts.settings.drain_delay);
+        log::info!(target: "entry", "Stopping: no longer ready.");
+        thread::sleep(self.handles.settings.drain_delay);
     }
 
-    /// Whether the actors have nothing to do any more.
+    /// Whether the actor has no work in progress.
     fn is_idle(&self) -> bool {
         let (answer, idle) = bounded(1);
-        self.tx.send(Message::IdleAsked(answer)).ok();
-        idle.recv_timeout(LONGEST_SLEEP * 10).unwrap_or(false)
+        self.tx.send(Message::QueryIdle(answer)).ok();
+        idle.recv_timeout(MAX_SLEEP * 10).unwrap_or(false)
     }
 }
 
-/// Looks until it holds or the time is up.
-fn wait_until(until: Instant, holds: impl Fn() -> bool) {
-    while !holds() && Instant::now() < until {
+/// Polls until the condition holds or the deadline has passed.
+fn wait_until(until: Instant, condition: impl Fn() -> bool) {
+    while !condition() && Instant::now() < until {
         thread::sleep(IDLE_POLL);
     }
 }
 
-/// Gives the lease back, so that other daemons need not wait for its end to
-/// take over what is left.
-fn give_back_lease(parts: &Parts) {
-    let lease = parts.lease.swap(STOPPED, Ordering::SeqCst);
+/// Revokes the lease, so that other daemons can take over remaining jobs without
+/// waiting for its expiry.
+fn revoke_lease(handles: &DaemonHandles) {
+    let lease = handles.lease.swap(STOPPED, Ordering::SeqCst);
     if lease > 0
-        && let Err(e) = parts.kv.revoke(lease)
+        && let Err(e) = handles.kv.revoke(lease)
     {
-        log::warn!(target: "entry", error:% = e; "The lease could not be given back.");
+        log::warn!(target: "entry", error:% = e; "Lease could not be revoked.");
     }
 }
 
@@ -125,12 +126,12 @@
 ///
 /// # Errors
 ///
-/// Gives the system's error when an address cannot be bound or a thread cannot
-/// be started.
+/// Returns the system's error if an address cannot be bound, a thread cannot be
+/// started, or the folder for chunks cannot be used.
 pub fn start_entry(settings: EntrySettings) -> eyre::Result<Entry> {
     let settings = Arc::new(settings);
     let run = Incarnation::random();
-    let (tx, rx) = bounded(MESSAGES);
+    let (tx, rx) = bounded(MESSAGE_QUEUE_CAPACITY);
     let clock = Clock::start();
     let kv = Arc::new(KvClient::new(
         KvSettings {
@@ -141,7 +142,7 @@
         run,
         clock.clone(),
     ));
-    let parts = Parts {
+    let handles = DaemonHandles {
         run,
         clock: clock.clone(),
         lease: Arc::default(),
@@ -156,27 +157,27 @@
         data: ChunkAccess::open(settings.data.as_ref(), &clock)?,
     };
     let shared = SharedManifest::default();
-    let rim = Rim {
-        parts: parts.clone(),
+    let cx = HttpContext {
+        handles: handles.clone(),
         manifest: shared.clone(),
     };
     let http = serve(settings.listen, settings.limits.threads, move |req| {
-        handle(&rim, req);
+        handle(&cx, req);
     })?;
-    hold_lease(&parts, http.address)?;
-    watch_volumes(&parts)?;
-    watch_entries(&parts)?;
-    keep_volumes(&parts)?;
-    watch_vms(&parts)?;
-    watch_manifest(&parts)?;
-    watch_drains(&parts)?;
-    watch_matchers(&parts)?;
-    watch_jobs(&parts)?;
-    keep_swept(&parts)?;
+    hold_lease(&handles, http.address)?;
+    watch_volumes(&handles)?;
+    watch_entries(&handles)?;
+    keep_volumes(&handles)?;
+    watch_vms(&handles)?;
+    watch_manifest(&handles)?;
+    watch_drains(&handles)?;
+    watch_matchers(&handles)?;
+    watch_jobs(&handles)?;
+    start_sweeper(&handles)?;
     let name = settings.name.clone();
     let actors = thread::Builder::new().name("entry-actors".into()).spawn({
-        let parts = parts.clone();
-        move || run_actor(&parts, shared, &rx)
+        let handles = handles.clone();
+        move || run_actor(&handles, shared, &rx)
     })?;
     log::info!(target: "entry", entry:% = name, address:% = http.address; "Entry daemon started.");
     Ok(Entry {
@@ -184,7 +185,7 @@
         tx,
         http,
         actors,
-        parts,
+        handles,
     })
 }
 
@@ -218,20 +219,20 @@
     Ok(commands)
 }
 
-/// Follows the jobs that are not over.
-fn watch_jobs(parts: &Parts) -> io::Result<()> {
-    let parts = parts.clone();
+/// Starts the thread that watches the running jobs.
+fn watch_jobs(handles: &DaemonHandles) -> io::Result<()> {
+    let handles = handles.clone();
     thread::Builder::new()
         .name("job-watch".into())
         .spawn(move || {
             follow_prefix(
-                &parts.kv,
+                &handles.kv,
                 &job_prefix(),
                 |all| {
                     let jobs = all.iter().filter_map(job_of).collect();
-                    parts.tell(Message::Jobs(JobsMessage::AllJobs(jobs)))
+                    handles.send_message(Message::Jobs(JobsMessage::AllJobs(jobs)))
                 },
-                |event| parts.tell(Message::Jobs(JobsMessage::Changed(event))),
+                |event| handles.send_message(Message::Jobs(JobsMessage::Changed(event))),
             );
         })?;
     Ok(())
@@ -242,19 +243,19 @@
     Some((record, kv.revision))
 }
 
-/// Runs the actor until it is told to quit.
-fn run_actor(parts: &Parts, shared: SharedManifest, rx: &Receiver<Message>) {
+/// Runs the actor until it receives [`Message::Quit`] or all senders are gone.
+fn run_actor(handles: &DaemonHandles, shared: SharedManifest, rx: &Receiver<Message>) {
     let mut stakker = Stakker::new(Instant::now());
     let s = &mut stakker;
-    let core = EntryCore::new(parts, shared);
+    let core = EntryCore::new(handles, shared);
     let entry: ActorOwn<EntryActor> = actor!(s, EntryActor::init(core), ret_nop!());
     s.run(Instant::now(), false);
     let mut running = true;
     while running {
-        let sleep = s.next_wait_max(Instant::now(), LONGEST_SLEEP, false);
+        let sleep = s.next_wait_max(Instant::now(), MAX_SLEEP, false);
         match rx.recv_timeout(sleep) {
             Ok(first) => {
-                let more = rx.try_iter().take(MESSAGES_AT_ONCE);
+                let more = rx.try_iter().take(MAX_MESSAGES_PER_TURN);
                 for message in std::iter::once(first).chain(more) {
                     running &= !matches!(message, Message::Quit);
                     call!([entry], on_message(message));
