--- a/crates/bluebellreel_entry/src/run.rs
+++ b/crates/bluebellreel_entry/src/run.rs
@@ -74,7 +74,7 @@
         let until = until.max(Instant::now() + CLOSE_TIMEOUT);
         // Connections are checked first: once they are closed, the actor receives
         // no new work.
-        wait_until(until, || self.http.is_gone() && self.is_idle());
+        wait_until(until, || self.http.is_closed() && self.is_idle());
         let cut = self.http.in_progress();
         let clean = self.is_idle() && cut == 0;
         if clean {
@@ -91,7 +91,7 @@
     /// balancer keeps sending callers for a while, and they are served.
     fn leave_rotation(&self) {
         self.handles.readiness.stop();
-        self.http.leave();
+        self.http.start_draining();
         log::info!(target: "entry", "Stopping: no longer ready.");
         thread::sleep(self.handles.settings.drain_delay);
     }
