--- a/crates/bluebellreel_entry/src/online/part.rs
+++ b/crates/bluebellreel_entry/src/online/part.rs
@@ -243,7 +243,7 @@
             .collect();
         for worker in &gone {
             self.links.remove(worker);
-            self.parts.send(EntryCommand::Forget(worker.clone()));
+            self.parts.send(EntryCommand::Disconnect(worker.clone()));
             self.decide(Event::WorkerUnlisted(worker.clone()));
         }
         for listed in list {
@@ -263,7 +263,7 @@
         if known.is_none_or(|before| before.side != listed.side) {
             if known.is_some() {
                 let worker = listed.name.clone();
-                self.parts.send(EntryCommand::Forget(worker));
+                self.parts.send(EntryCommand::Disconnect(worker));
             }
             self.parts.send(EntryCommand::Connect {
                 worker: listed.name.clone(),
--- a/crates/bluebellreel_faults/src/world.rs
+++ b/crates/bluebellreel_faults/src/world.rs
@@ -12,7 +12,7 @@
 use bluebellreel_entry::bench::EntryBench;
 use bluebellreel_rpc::{EntryNotice, SideNotice};
 use bluebellreel_settings::parse_entry;
-use bluebellreel_side::bench::SideBench;
+use bluebellreel_side::bench::SideHarness;
 use bluebellreel_types::{
     AttemptId, Clock, DataCentre, Dispatch, EntryName, Incarnation, ModelName, Moment, SideHello,
     WorkerName,
@@ -70,7 +70,7 @@
 }
 
 struct SideNode {
-    bench: Option<SideBench>,
+    bench: Option<SideHarness>,
     incarnation: Incarnation,
     back_at: Moment,
     backend: Backend,
@@ -255,7 +255,7 @@
                     window: 6,
                     ..AdmissionLimits::default()
                 };
-                let mut bench = SideBench::new(side.incarnation, limits, self.clock.clone());
+                let mut bench = SideHarness::new(side.incarnation, limits, self.clock.clone());
                 bench.serve(vec![model_of(side.backend.kind)]);
                 side.bench = Some(bench);
             }
--- a/crates/bluebellreel_faults/src/world/messages.rs
+++ b/crates/bluebellreel_faults/src/world/messages.rs
@@ -7,7 +7,7 @@
 use crate::net::{Envelope, Link, Payload};
 use crate::plan::Step;
 use bluebellreel_rpc::{EntryCommand, EntryNotice, PullAnswer, SideCommand, SideNotice};
-use bluebellreel_side::bench::SideBench;
+use bluebellreel_side::bench::SideHarness;
 use tokio::sync::oneshot;
 
 impl World {
@@ -21,7 +21,7 @@
             | EntryCommand::Order { worker, .. }
             | EntryCommand::Fence { worker, .. }
             | EntryCommand::Drain(worker) => side_index(worker),
-            EntryCommand::Connect { .. } | EntryCommand::Forget(_) => return,
+            EntryCommand::Connect { .. } | EntryCommand::Disconnect(_) => return,
         };
         let is_dispatch = matches!(command, EntryCommand::Submit { .. });
         if let EntryCommand::Submit { dispatch, .. } = &command {
@@ -80,7 +80,7 @@
         while let Some(command) = self.sides[index]
             .bench
             .as_mut()
-            .and_then(SideBench::command)
+            .and_then(SideHarness::command)
         {
             let (entry, step) = match &command {
                 SideCommand::Part { attempt, .. } => (self.senders.get(attempt).copied(), None),
@@ -186,9 +186,10 @@
                 }
             }
             EntryCommand::Drain(_) => side.notice(SideNotice::DrainAsked),
-            EntryCommand::Fence { fence, .. } => side.notice(SideNotice::FenceTold(fence)),
-            EntryCommand::Order { .. } | EntryCommand::Connect { .. } | EntryCommand::Forget(_) => {
-            }
+            EntryCommand::Fence { fence, .. } => side.notice(SideNotice::FenceAnnounced(fence)),
+            EntryCommand::Order { .. }
+            | EntryCommand::Connect { .. }
+            | EntryCommand::Disconnect(_) => {}
         }
     }
 
--- a/crates/bluebellreel_faults/src/world/sides.rs
+++ b/crates/bluebellreel_faults/src/world/sides.rs
@@ -6,7 +6,7 @@
 use crate::plan::Step;
 use bluebellreel_rpc::{EntryNotice, SideNotice};
 use bluebellreel_side::BackendOrder;
-use bluebellreel_side::bench::SideBench;
+use bluebellreel_side::bench::SideHarness;
 use bluebellreel_types::{Dispatch, LoadReport};
 use tokio::sync::oneshot;
 
@@ -46,7 +46,7 @@
             return;
         };
         let (answer, mut rx) = oneshot::channel();
-        bench.notice(SideNotice::LoadAsked(answer));
+        bench.notice(SideNotice::LoadRequested(answer));
         let Ok(load): Result<LoadReport, _> = rx.try_recv() else {
             return;
         };
@@ -66,7 +66,11 @@
 
     fn carry_out_orders(&mut self, index: usize) {
         let now = self.now();
-        while let Some(order) = self.sides[index].bench.as_mut().and_then(SideBench::order) {
+        while let Some(order) = self.sides[index]
+            .bench
+            .as_mut()
+            .and_then(SideHarness::order)
+        {
             match order {
                 BackendOrder::Start(dispatch) => {
                     for strike in self.kv.with(|kv| kv.reach(Step::Run)) {
--- a/crates/bluebellreel_rpc/src/entry.rs
+++ b/crates/bluebellreel_rpc/src/entry.rs
@@ -39,7 +39,7 @@
                     .entry(worker.clone())
                     .or_insert_with(|| open_link(&name, worker, address, &count, &notify));
             }
-            EntryCommand::Forget(worker) => {
+            EntryCommand::Disconnect(worker) => {
                 if let Some(link) = links.remove(&worker) {
                     link.stop.send(()).ok();
                 }
--- a/crates/bluebellreel_rpc/src/entry/message.rs
+++ b/crates/bluebellreel_rpc/src/entry/message.rs
@@ -23,7 +23,7 @@
         address: SocketAddr,
     },
     /// Stop connecting to a worker.
-    Forget(WorkerName),
+    Disconnect(WorkerName),
     /// Hand an attempt to a worker.
     Submit {
         /// Where to.
--- a/crates/bluebellreel_rpc/src/side.rs
+++ b/crates/bluebellreel_rpc/src/side.rs
@@ -92,9 +92,9 @@
         entry: EntryName,
     },
     /// The load is asked for.
-    LoadAsked(oneshot::Sender<LoadReport>),
+    LoadRequested(oneshot::Sender<LoadReport>),
     /// An entry has been told the load.
-    LoadTold {
+    LoadDelivered {
         /// The entry.
         entry: EntryName,
         /// Whether it knows now that the worker takes nothing new.
@@ -115,7 +115,7 @@
     /// The worker is to leave.
     DrainAsked,
     /// A fencing number that an entry knows.
-    FenceTold(u64),
+    FenceAnnounced(u64),
     /// A model is to be loaded.
     Ordered {
         /// The order's fencing number.
@@ -233,12 +233,12 @@
         mut results: wire::side::LoadResults,
     ) -> Result<(), capnp::Error> {
         let (answer, load) = oneshot::channel();
-        (self.notify)(SideNotice::LoadAsked(answer));
+        (self.notify)(SideNotice::LoadRequested(answer));
         let load = load.await.map_err(gone)?;
         convert::write_load(results.get().init_load(), &load);
         if let Some(entry) = self.entry.borrow().clone() {
             let leaving = load.leaving;
-            (self.notify)(SideNotice::LoadTold { entry, leaving });
+            (self.notify)(SideNotice::LoadDelivered { entry, leaving });
         }
         Ok(())
     }
@@ -295,7 +295,7 @@
         _: wire::side::FenceResults,
     ) -> Result<(), capnp::Error> {
         let fence = params.get()?.get_fence();
-        (self.notify)(SideNotice::FenceTold(fence));
+        (self.notify)(SideNotice::FenceAnnounced(fence));
         Ok(())
     }
 
@@ -406,7 +406,7 @@
     convert::write_load(call.get().init_load(), &load);
     if call.send().promise.await.is_ok() {
         let (entry, leaving) = (open.entry, load.leaving);
-        notify(SideNotice::LoadTold { entry, leaving });
+        notify(SideNotice::LoadDelivered { entry, leaving });
     }
     open.closed.send(()).ok();
 }
--- a/crates/bluebellreel_side/src/bench.rs
+++ b/crates/bluebellreel_side/src/bench.rs
@@ -11,13 +11,13 @@
 use tokio::sync::mpsc;
 
 /// A side process without threads, sockets or backend server.
-pub struct SideBench {
+pub struct SideHarness {
     core: SideCore,
     commands: mpsc::UnboundedReceiver<SideCommand>,
     orders: std_mpsc::Receiver<BackendOrder>,
 }
 
-impl SideBench {
+impl SideHarness {
     /// A side process that has just started.
     #[must_use]
     pub fn new(incarnation: Incarnation, limits: AdmissionLimits, clock: Clock) -> Self {
--- a/crates/bluebellreel_side/src/core.rs
+++ b/crates/bluebellreel_side/src/core.rs
@@ -123,10 +123,10 @@
             SideNotice::ReportLost { entry } => {
                 log::warn!(target: "side", entry:% = entry; "Batch results could not be reported.");
             }
-            SideNotice::LoadAsked(answer) => {
+            SideNotice::LoadRequested(answer) => {
                 answer.send(self.state.load(self.now())).ok();
             }
-            SideNotice::LoadTold { entry, leaving } => self.farewell.note_told(entry, leaving),
+            SideNotice::LoadDelivered { entry, leaving } => self.farewell.note_told(entry, leaving),
             SideNotice::Delivered => self.farewell.note_delivered(),
             SideNotice::Configured {
                 generation, answer, ..
@@ -135,7 +135,7 @@
                 answer.send(self.generation).ok();
             }
             SideNotice::DrainAsked => self.decide(Event::DrainAsked),
-            SideNotice::FenceTold(fence) => self.fence.learn(fence),
+            SideNotice::FenceAnnounced(fence) => self.fence.learn(fence),
             SideNotice::Ordered {
                 fence,
                 model,
