--- a/crates/bluebellreel_entry/src/http/batches.rs
+++ b/crates/bluebellreel_entry/src/http/batches.rs
@@ -6,7 +6,7 @@
     cancel_job, find_job, read_results,
 };
 use crate::message::Message;
-use bluebellreel_http::{ApiError, ChunkedStream, Method, Reply, unread};
+use bluebellreel_http::{ApiError, ChunkedStream, Method, Reply, body_read_error};
 use bluebellreel_job::{JobRecord, JobState};
 use bluebellreel_types::{JobId, Moment, Ran, TeamName};
 use serde_json::{Value, json};
@@ -97,7 +97,7 @@
     move || {
         let cut_short = || ApiError::new(400, "cut_short", "the body ended early");
         let mut piece = vec![0; PIECE];
-        let read = reader.read(&mut piece).map_err(|e| unread(&e))?;
+        let read = reader.read(&mut piece).map_err(|e| body_read_error(&e))?;
         piece.truncate(read);
         total += read;
         if total > most {
--- a/crates/bluebellreel_http/src/lib.rs
+++ b/crates/bluebellreel_http/src/lib.rs
@@ -22,6 +22,6 @@
 pub use client::is_unsent;
 pub use error::ApiError;
 pub use method::Method;
-pub use request::{BodyLimits, Request, header, read_body, unread};
+pub use request::{BodyLimits, Request, body_read_error, header, read_body};
 pub use server::{HttpServer, serve};
 pub use stream::ChunkedStream;
--- a/crates/bluebellreel_http/src/request.rs
+++ b/crates/bluebellreel_http/src/request.rs
@@ -216,7 +216,7 @@
     let mut piece = vec![0; PIECE];
     let reader = req.as_reader();
     loop {
-        let read = reader.read(&mut piece).map_err(|e| unread(&e))?;
+        let read = reader.read(&mut piece).map_err(|e| body_read_error(&e))?;
         if read == 0 {
             break;
         }
@@ -230,7 +230,7 @@
 
 /// The answer for a body that cannot be read on.
 #[must_use]
-pub fn unread(error: &io::Error) -> ApiError {
+pub fn body_read_error(error: &io::Error) -> ApiError {
     if error.kind() == io::ErrorKind::TimedOut {
         return ApiError::new(408, "too_slow", "the body came too slowly");
     }
