--- a/crates/bluebellreel_entry/src/run.rs
+++ b/crates/bluebellreel_entry/src/run.rs
@@ -74,7 +74,7 @@
         let until = until.max(Instant::now() + CLOSE_TIME);
         // Whether connections are gone is looked at first: once they are, the
         // actors get nothing new.
-        wait_until(until, || self.http.is_gone() && self.is_idle());
+        wait_until(until, || self.http.is_closed() && self.is_idle());
         let cut = self.http.in_progress();
         let clean = self.is_idle() && cut == 0;
         if clean {
@@ -90,7 +90,7 @@
     /// The balancer goes on sending for a while; those callers are served.
     fn leave_rotation(&self) {
         self.parts.readiness.stop();
-        self.http.leave();
+        self.http.start_draining();
         log::info!(target: "entry", "Stopping: not ready any more.");
         thread::sleep(self.parts.settings.notice);
     }
--- a/crates/bluebellreel_http/src/server.rs
+++ b/crates/bluebellreel_http/src/server.rs
@@ -51,20 +51,20 @@
 
     /// Goes on taking whatever comes, but closes each connection with the next
     /// answer, so that callers go elsewhere.
-    pub fn leave(&self) {
+    pub fn start_draining(&self) {
         self.state.leaving.store(true, Ordering::SeqCst);
     }
 
     /// Stops accepting and closes idle connections; what has been sent is read,
     /// and requests in progress go on and are answered.
     pub fn stop(&self) {
-        self.leave();
+        self.start_draining();
         self.stop.finish();
     }
 
     /// Whether nobody can connect any more and all connections are closed.
     #[must_use]
-    pub fn is_gone(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.state.gone.load(Ordering::SeqCst)
     }
 }
--- a/crates/bluebellreel_http/tests/server.rs
+++ b/crates/bluebellreel_http/tests/server.rs
@@ -169,19 +169,19 @@
     stream.write_all(b"POST / HT").expect("sent");
     server.stop();
     thread::sleep(Duration::from_millis(50));
-    assert!(!server.is_gone(), "half a head counts");
+    assert!(!server.is_closed(), "half a head counts");
     stream
         .write_all(b"TP/1.1\r\nContent-Length: 4\r\n\r\nha")
         .expect("sent");
     thread::sleep(Duration::from_millis(50));
     assert_eq!(server.in_progress(), 1, "half a body counts");
-    assert!(!server.is_gone());
+    assert!(!server.is_closed());
     stream.write_all(b"lf").expect("sent");
     let answer = read_all(&mut stream);
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert!(answer.contains("connection: close"), "{answer}");
     drop(stream);
-    wait_for("it is gone", || server.is_gone());
+    wait_for("it is gone", || server.is_closed());
 }
 
 /// Callers connect without a pause while a server stops. Whoever came too late
@@ -226,7 +226,7 @@
             .map(|c| c.join().expect("answered"))
             .sum();
         assert!(answered > 0);
-        wait_for("it is gone", || server.is_gone());
+        wait_for("it is gone", || server.is_closed());
     }
 }
 
@@ -241,7 +241,7 @@
     go.send(()).expect("held");
     assert!(!read_to(&mut kept, "done").contains("connection: close"));
     running.recv().expect("it ran");
-    server.leave();
+    server.start_draining();
     let mut late = connect(&server);
     late.write_all(request).expect("sent");
     running.recv().expect("it runs");
@@ -253,6 +253,6 @@
     assert!(answer.ends_with("done"), "{answer}");
     assert!(answer.contains("connection: close"), "{answer}");
     drop((kept, late));
-    wait_for("it is gone", || server.is_gone());
+    wait_for("it is gone", || server.is_closed());
     assert!(TcpStream::connect(server.address).is_err());
 }
