--- a/crates/bluebellreel_faults/src/world/messages.rs
+++ b/crates/bluebellreel_faults/src/world/messages.rs
@@ -155,7 +155,7 @@
             }
             EntryCommand::Cancel { attempt, .. } => {
                 let (answer, mut rx) = oneshot::channel();
-                side.notice(SideNotice::CancelAsked { attempt, answer });
+                side.notice(SideNotice::CancelRequested { attempt, answer });
                 let verdict = rx.try_recv().expect("a verdict is given at once");
                 if let Some(bench) = self.entries[link.entry].bench.as_mut() {
                     bench.notice(EntryNotice::Verdict { attempt, verdict });
@@ -185,7 +185,7 @@
                     bench.notice(EntryNotice::Applied { worker, generation });
                 }
             }
-            EntryCommand::Drain(_) => side.notice(SideNotice::DrainAsked),
+            EntryCommand::Drain(_) => side.notice(SideNotice::DrainRequested),
             EntryCommand::Fence { fence, .. } => side.notice(SideNotice::FenceAnnounced(fence)),
             EntryCommand::Order { .. }
             | EntryCommand::Connect { .. }
--- a/crates/bluebellreel_rpc/src/side.rs
+++ b/crates/bluebellreel_rpc/src/side.rs
@@ -64,7 +64,7 @@
         dispatch: Box<Dispatch>,
     },
     /// An attempt is to end.
-    CancelAsked {
+    CancelRequested {
         /// The attempt.
         attempt: AttemptId,
         /// Where the verdict goes.
@@ -113,7 +113,7 @@
         answer: oneshot::Sender<u64>,
     },
     /// The worker is to leave.
-    DrainAsked,
+    DrainRequested,
     /// A fencing number that an entry knows.
     FenceAnnounced(u64),
     /// A model is to be loaded.
@@ -207,7 +207,7 @@
     ) -> Result<(), capnp::Error> {
         let attempt = convert::read_attempt(params.get()?.get_attempt()?);
         let (answer, verdict) = oneshot::channel();
-        (self.notify)(SideNotice::CancelAsked { attempt, answer });
+        (self.notify)(SideNotice::CancelRequested { attempt, answer });
         match verdict.await.map_err(gone)? {
             AttemptVerdict::NeverSeen => results.get().set_never_seen(true),
             AttemptVerdict::Running => results.get().set_running(true),
@@ -304,7 +304,7 @@
         _: wire::side::DrainParams,
         _: wire::side::DrainResults,
     ) -> Result<(), capnp::Error> {
-        (self.notify)(SideNotice::DrainAsked);
+        (self.notify)(SideNotice::DrainRequested);
         Ok(())
     }
 }
--- a/crates/bluebellreel_side/src/core.rs
+++ b/crates/bluebellreel_side/src/core.rs
@@ -105,7 +105,7 @@
                 self.begin_span(&dispatch);
                 self.decide(Event::Arrived { entry, dispatch });
             }
-            SideNotice::CancelAsked { attempt, answer } => {
+            SideNotice::CancelRequested { attempt, answer } => {
                 self.verdicts.insert(attempt, answer);
                 self.decide(Event::CancelAsked { attempt });
             }
@@ -134,7 +134,7 @@
                 self.generation = self.generation.max(generation);
                 answer.send(self.generation).ok();
             }
-            SideNotice::DrainAsked => self.decide(Event::DrainAsked),
+            SideNotice::DrainRequested => self.decide(Event::DrainAsked),
             SideNotice::FenceAnnounced(fence) => self.fence.learn(fence),
             SideNotice::Ordered {
                 fence,
