--- a/crates/bluebellreel_side/src/actor.rs
+++ b/crates/bluebellreel_side/src/actor.rs
@@ -1,15 +1,15 @@
-//! The actor that runs the side process's state.
+//! The actor that owns the side process's state.
 
 use crate::core::SideCore;
 use crate::message::Message;
-use crate::stop::Look;
+use crate::stop::StopStatus;
 use stakker::{CX, after};
 use std::time::Duration;
 
-/// Between two looks at deadlines.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval between two deadline checks.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs the state: messages come in, timers go off.
+/// Passes messages and timer ticks to [`SideCore`].
 pub(crate) struct SideActor {
     core: SideCore,
 }
@@ -17,15 +17,15 @@
 impl SideActor {
     #[expect(
         clippy::unnecessary_wraps,
-        reason = "stakker wants an option from init"
+        reason = "stakker requires init to return an Option"
     )]
     pub(crate) fn init(cx: CX![], core: SideCore) -> Option<Self> {
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
         Some(Self { core })
     }
 
     fn tick(&mut self, cx: CX![]) {
-        after!(TICK, [cx], tick());
+        after!(TICK_INTERVAL, [cx], tick());
         self.core.tick();
     }
 
@@ -33,12 +33,13 @@
         self.core.on_message(message);
     }
 
-    /// How things stand, `heard` apart.
-    pub(crate) fn look(&mut self, _: CX![]) -> Look {
-        Look {
+    /// The progress of a graceful stop. `received_work` is false here; the loop
+    /// that receives the messages sets it.
+    pub(crate) fn stop_status(&mut self, _: CX![]) -> StopStatus {
+        StopStatus {
             idle: self.core.is_idle(),
             settled: self.core.is_settled(),
-            heard: false,
+            received_work: false,
         }
     }
 }
--- a/crates/bluebellreel_side/src/backend.rs
+++ b/crates/bluebellreel_side/src/backend.rs
@@ -1,4 +1,4 @@
-//! Calls to the backend server, each on a thread of its own.
+//! Calls to the backend server, one thread per call.
 
 use crate::message::Message;
 use bluebellreel_admission::EngineEnd;
@@ -13,22 +13,23 @@
 use std::thread;
 use std::time::Duration;
 
-/// Longest wait for a connection to the backend server.
+/// Connection timeout of calls to the backend server.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for the answer to a cancel or a look at the models.
+/// Timeout of a cancel and of a model list request.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for a load.
-const ORDER_TIMEOUT: Duration = Duration::from_mins(9);
-/// Time past an attempt's deadline after which its call is given up.
-const OVERTIME: Duration = Duration::from_secs(2);
-/// Longest time that an unrepeatable call is waited for past its deadline.
-const UNREPEATABLE_OVERTIME: Duration = Duration::from_mins(1);
-/// Most bytes of a plain service's answer.
-const MOST_ANSWER: u64 = 8 << 20;
-/// Stack of a thread that reads one answer.
-const READER_STACK: usize = 256 << 10;
+/// Timeout of a model load.
+const LOAD_TIMEOUT: Duration = Duration::from_mins(9);
+/// Time past an attempt's deadline after which its call times out.
+const DEADLINE_GRACE: Duration = Duration::from_secs(2);
+/// Time past the deadline after which a call that must not be repeated times
+/// out.
+const UNREPEATABLE_DEADLINE_GRACE: Duration = Duration::from_mins(1);
+/// Maximum body size of a plain service's response, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 8 << 20;
+/// Stack size of a thread that makes one call.
+const READER_STACK_BYTES: usize = 256 << 10;
 
-/// The backend server.
+/// Client of the backend server.
 pub(crate) struct Backend {
     url: String,
     service: Option<ModelName>,
@@ -92,15 +93,16 @@
         }
     }
 
-    /// Sends an attempt; its text and its end come as messages.
+    /// Sends an attempt on a new thread. Generated text and the attempt's end are
+    /// sent to the actor as messages.
     pub(crate) fn start(self: &Arc<Self>, dispatch: Box<Dispatch>) {
         let backend = self.clone();
         let attempt = dispatch.attempt;
         let spawned = thread::Builder::new()
             .name("backend-call".into())
-            .stack_size(READER_STACK)
+            .stack_size(READER_STACK_BYTES)
             .spawn(move || backend.run(&dispatch));
-        // Nothing was sent, so "unreachable" is true.
+        // No request was sent, so `Unreachable` is correct: the attempt did not run.
         if spawned.is_err() {
             let end = EngineEnd::Unreachable;
             self.tx.send(Message::Ended { attempt, end }).ok();
@@ -132,25 +134,25 @@
         if !dispatch.resume.is_empty() {
             body.insert("resume".into(), Value::from(&*dispatch.resume));
         }
-        let left = dispatch.deadline.since(self.clock.now()) + OVERTIME;
-        let answer = self
+        let timeout = dispatch.deadline.since(self.clock.now()) + DEADLINE_GRACE;
+        let response = self
             .agent
             .post(format!("{}/v1/chat/completions", self.url))
             .config()
-            .timeout_global(Some(left))
+            .timeout_global(Some(timeout))
             .build()
             .header("traceparent", span.below().to_string())
             .send_json(Value::Object(body));
-        let answer = match answer {
-            Ok(answer) => answer,
+        let response = match response {
+            Ok(response) => response,
             Err(e) if is_unsent(&e) => return EngineEnd::Unreachable,
             Err(_) => return EngineEnd::Broken,
         };
-        let status = answer.status().as_u16();
+        let status = response.status().as_u16();
         match status {
-            200 => self.read_stream(dispatch.attempt, answer),
+            200 => self.read_stream(dispatch.attempt, response),
             429 | 503 => EngineEnd::Busy,
-            400..500 => rejected(status, answer),
+            400..500 => rejected(status, response),
             _ => EngineEnd::Broken,
         }
     }
@@ -158,9 +160,9 @@
     fn read_stream(
         &self,
         attempt: AttemptId,
-        answer: ureq::http::Response<ureq::Body>,
+        response: ureq::http::Response<ureq::Body>,
     ) -> EngineEnd {
-        let reader = BufReader::new(answer.into_body().into_reader());
+        let reader = BufReader::new(response.into_body().into_reader());
         for line in reader.lines() {
             let Ok(line) = line else {
                 return EngineEnd::Broken;
@@ -179,7 +181,7 @@
             };
             self.send_text(attempt, chunk);
         }
-        // A stream without its last line is not a whole answer.
+        // A stream that ends without `[DONE]` is truncated.
         EngineEnd::Broken
     }
 
@@ -205,12 +207,12 @@
     }
 
     fn call(&self, dispatch: &Dispatch, method: &str, path: &str, span: &Span) -> EngineEnd {
-        let overtime = if dispatch.work.repeatable {
-            OVERTIME
+        let grace = if dispatch.work.repeatable {
+            DEADLINE_GRACE
         } else {
-            UNREPEATABLE_OVERTIME
+            UNREPEATABLE_DEADLINE_GRACE
         };
-        let left = dispatch.deadline.since(self.clock.now()) + overtime;
+        let timeout = dispatch.deadline.since(self.clock.now()) + grace;
         let request = ureq::http::Request::builder()
             .method(method)
             .uri(format!("{}{path}", self.url))
@@ -227,26 +229,27 @@
                 };
             }
         };
-        // A library that repeats a call by itself would break "at most once":
-        // no redirects are followed, and a fresh connection is used, since a
-        // kept one may close under the call and leave its fate open.
+        // An HTTP client that repeats a call by itself would break at-most-once
+        // execution, so redirects are not followed. Pooled connections are not
+        // reused: the server may close an idle one while the request is being
+        // sent, and then it is unknown whether the call ran.
         let request = self
             .agent
             .configure_request(request)
-            .timeout_global(Some(left))
+            .timeout_global(Some(timeout))
             .max_redirects(0)
             .max_idle_age(Duration::ZERO)
             .build();
-        let mut answer = match self.agent.run(request) {
-            Ok(answer) => answer,
+        let mut response = match self.agent.run(request) {
+            Ok(response) => response,
             Err(e) if is_unsent(&e) => return EngineEnd::Unreachable,
             Err(_) => return EngineEnd::Broken,
         };
-        let status = answer.status().as_u16();
-        let body = answer
+        let status = response.status().as_u16();
+        let body = response
             .body_mut()
             .with_config()
-            .limit(MOST_ANSWER)
+            .limit(MAX_RESPONSE_BYTES)
             .read_to_vec();
         match body {
             Ok(body) => EngineEnd::Completed {
@@ -257,12 +260,12 @@
         }
     }
 
-    /// Cancels an attempt at the engine; its stream then ends.
+    /// Cancels an attempt at the engine, which then ends the attempt's stream.
     pub(crate) fn cancel(self: &Arc<Self>, attempt: AttemptId) {
         let backend = self.clone();
         let spawned = thread::Builder::new()
             .name("backend-cancel".into())
-            .stack_size(READER_STACK)
+            .stack_size(READER_STACK_BYTES)
             .spawn(move || {
                 let body = serde_json::json!({ "request_id": attempt.to_string() });
                 backend
@@ -275,17 +278,18 @@
                     .ok();
             });
         if let Err(e) = spawned {
-            log::error!(target: "side", error = e.to_string(); "No thread for a cancel.");
+            log::error!(target: "side", error = e.to_string(); "Attempt not cancelled at the backend server: thread could not be started.");
         }
     }
 
-    /// Orders a load; its end comes as a message.
+    /// Orders a model load on a new thread. The result is sent to the actor as a
+    /// message.
     pub(crate) fn load(self: &Arc<Self>, fence: u64, model: ModelVersion) {
         let backend = self.clone();
         let ordered = model.clone();
         let spawned = thread::Builder::new()
             .name("backend-order".into())
-            .stack_size(READER_STACK)
+            .stack_size(READER_STACK_BYTES)
             .spawn(move || {
                 let body = serde_json::json!({
                     "kind": "load",
@@ -293,24 +297,24 @@
                     "version": ordered.version,
                     "fence": fence,
                 });
-                let answer = backend
+                let response = backend
                     .agent
                     .post(format!("{}/v1/orders", backend.url))
                     .config()
-                    .timeout_global(Some(ORDER_TIMEOUT))
+                    .timeout_global(Some(LOAD_TIMEOUT))
                     .build()
                     .send_json(body);
-                let loaded = answer.is_ok_and(|answer| answer.status().as_u16() == 200);
+                let loaded = response.is_ok_and(|response| response.status().as_u16() == 200);
                 let model = ordered;
-                backend.tx.send(Message::OrderEnded { model, loaded }).ok();
+                backend.tx.send(Message::LoadEnded { model, loaded }).ok();
             });
         if spawned.is_err() {
             let loaded = false;
-            self.tx.send(Message::OrderEnded { model, loaded }).ok();
+            self.tx.send(Message::LoadEnded { model, loaded }).ok();
         }
     }
 
-    /// Models that the backend server holds; none when it does not answer.
+    /// Models that the backend server has loaded; `None` if the request fails.
     pub(crate) fn models(&self) -> Option<Vec<ModelVersion>> {
         if let Some(service) = &self.service {
             return Some(vec![ModelVersion {
@@ -348,8 +352,8 @@
     }
 }
 
-fn rejected(status: u16, mut answer: ureq::http::Response<ureq::Body>) -> EngineEnd {
-    let text = answer.body_mut().read_to_string().unwrap_or_default();
+fn rejected(status: u16, mut response: ureq::http::Response<ureq::Body>) -> EngineEnd {
+    let text = response.body_mut().read_to_string().unwrap_or_default();
     let parsed: Option<Value> = serde_json::from_str(&text).ok();
     let message = parsed
         .as_ref()
--- a/crates/bluebellreel_side/src/core.rs
+++ b/crates/bluebellreel_side/src/core.rs
@@ -1,9 +1,9 @@
-//! The side process's state: it takes messages in and carries out effects.
+//! The side process's state: handles messages and executes their effects.
 
-use crate::farewell::Farewell;
+use crate::drain_tracker::DrainTracker;
 use crate::fence::Fence;
-use crate::message::{Message, OrderAnswer};
-use crate::parts::{BackendOrder, Parts};
+use crate::handles::{BackendOrder, Handles};
+use crate::message::{LoadResultSender, Message};
 use bluebellreel_admission::{Admission, Effect, Event, step};
 use bluebellreel_rpc::{SideCommand, SideNotice};
 use bluebellreel_telemetry::{OutcomeLabel, Span};
@@ -14,43 +14,43 @@
 use std::collections::{BTreeMap, HashMap};
 use tokio::sync::oneshot;
 
-/// Holds the admission state and carries out its effects.
+/// Owns the admission state and executes its effects.
 pub(crate) struct SideCore {
     state: Admission,
-    parts: Parts,
+    handles: Handles,
     verdicts: HashMap<AttemptId, oneshot::Sender<AttemptVerdict>>,
     spans: HashMap<AttemptId, Span>,
     reports: BTreeMap<EntryName, Vec<BatchReport>>,
     generation: u64,
     fence: Fence,
-    orders: HashMap<ModelVersion, Vec<OrderAnswer>>,
-    farewell: Farewell,
+    pending_loads: HashMap<ModelVersion, Vec<LoadResultSender>>,
+    drain: DrainTracker,
 }
 
 impl SideCore {
-    pub(crate) fn new(state: Admission, parts: Parts) -> Self {
+    pub(crate) fn new(state: Admission, handles: Handles) -> Self {
         Self {
             state,
-            parts,
+            handles,
             verdicts: HashMap::new(),
             spans: HashMap::new(),
             reports: BTreeMap::new(),
             generation: 0,
             fence: Fence::default(),
-            orders: HashMap::new(),
-            farewell: Farewell::default(),
+            pending_loads: HashMap::new(),
+            drain: DrainTracker::default(),
         }
     }
 
-    /// Looks at deadlines.
+    /// Checks deadlines and updates the load gauges.
     pub(crate) fn tick(&mut self) {
-        self.decide(Event::Ticked);
-        self.parts
+        self.apply(Event::Ticked);
+        self.handles
             .metrics
             .online
             .set(i64::from(self.state.online()));
         let batch = self.state.count(bluebellreel_types::Class::Batch);
-        self.parts.metrics.batch.set(i64::from(batch));
+        self.handles.metrics.batch.set(i64::from(batch));
     }
 
     pub(crate) fn on_message(&mut self, message: Message) {
@@ -60,82 +60,83 @@
                 attempt,
                 text,
                 tokens,
-            } => self.decide(Event::EngineText {
+            } => self.apply(Event::EngineText {
                 attempt,
                 text,
                 tokens,
             }),
-            Message::Ended { attempt, end } => self.decide(Event::EngineEnded { attempt, end }),
-            Message::Models(models) => self.decide(Event::ModelsChanged(models)),
-            Message::OrderEnded { model, loaded } => {
-                for answer in self.orders.remove(&model).unwrap_or_default() {
+            Message::Ended { attempt, end } => self.apply(Event::EngineEnded { attempt, end }),
+            Message::Models(models) => self.apply(Event::ModelsChanged(models)),
+            Message::LoadEnded { model, loaded } => {
+                for answer in self.pending_loads.remove(&model).unwrap_or_default() {
                     answer.send(loaded).ok();
                 }
             }
-            Message::MetricsAsked(answer) => {
-                answer.send(self.parts.metrics.text()).ok();
+            Message::MetricsRequested(answer) => {
+                answer.send(self.handles.metrics.text()).ok();
             }
-            Message::StopAsked => self.decide(Event::DrainAsked),
+            Message::StopRequested => self.apply(Event::DrainAsked),
         }
     }
 
-    /// Whether a graceful stop would cut nothing now.
+    /// Whether the process could end now without interrupting an attempt or
+    /// losing a report.
     pub(crate) fn is_idle(&self) -> bool {
         self.state.is_idle() && self.reports.is_empty()
     }
 
-    /// Whether nothing is under way to or from the entries, and all of them
-    /// know of the stop.
+    /// Whether no message to or from an entry daemon is in transit and all
+    /// connected entry daemons have been notified of the stop.
     pub(crate) fn is_settled(&self) -> bool {
-        self.farewell.is_settled()
+        self.drain.is_settled()
     }
 
     fn on_notice(&mut self, notice: SideNotice) {
         match notice {
             SideNotice::Connected(entry) => {
-                log::info!(target: "side", entry:% = entry; "Entry connected.");
-                self.farewell.note_connected(entry);
+                log::info!(target: "side", entry:% = entry; "Entry daemon connected.");
+                self.drain.record_connected(entry);
             }
             SideNotice::Lost(entry) => {
-                log::warn!(target: "side", entry:% = entry; "Entry lost.");
-                self.farewell.note_lost(&entry);
-                self.decide(Event::EntryLost(entry));
+                log::warn!(target: "side", entry:% = entry; "Connection to entry daemon lost.");
+                self.drain.record_lost(&entry);
+                self.apply(Event::EntryLost(entry));
             }
             SideNotice::Submitted { entry, dispatch } => {
                 self.begin_span(&dispatch);
-                self.decide(Event::Arrived { entry, dispatch });
+                self.apply(Event::Arrived { entry, dispatch });
             }
             SideNotice::CancelRequested { attempt, answer } => {
                 self.verdicts.insert(attempt, answer);
-                self.decide(Event::CancelAsked { attempt });
+                self.apply(Event::CancelAsked { attempt });
             }
-            SideNotice::Withdrawn(attempts) => self.decide(Event::Withdrawn(attempts)),
+            SideNotice::Withdrawn(attempts) => self.apply(Event::Withdrawn(attempts)),
             SideNotice::Offered { entry, waiting } => {
-                self.decide(Event::Offered { entry, waiting });
+                self.apply(Event::Offered { entry, waiting });
             }
             SideNotice::Pulled { entry, items } => {
-                self.farewell.note_pulled();
+                self.drain.record_pull_answered();
                 for item in &items {
                     self.begin_span(item);
                 }
-                self.decide(Event::Pulled { entry, items });
+                self.apply(Event::Pulled { entry, items });
             }
             SideNotice::ReportLost { entry } => {
-                log::warn!(target: "side", entry:% = entry; "Batch results could not be reported.");
+                log::warn!(target: "side", entry:% = entry; "Batch results could not be reported to the entry daemon.");
             }
             SideNotice::LoadRequested(answer) => {
                 answer.send(self.state.load(self.now())).ok();
             }
-            SideNotice::LoadDelivered { entry, leaving } => self.farewell.note_told(entry, leaving),
-            SideNotice::Delivered => self.farewell.note_delivered(),
+            SideNotice::LoadDelivered { entry, leaving } => self.drain.record_load(entry, leaving),
+            SideNotice::Delivered => self.drain.record_delivered(),
             SideNotice::Configured {
                 generation, answer, ..
             } => {
                 self.generation = self.generation.max(generation);
                 answer.send(self.generation).ok();
             }
-            SideNotice::DrainRequested => self.decide(Event::DrainAsked),
-            SideNotice::FenceAnnounced(fence) => self.fence.learn(fence),
+            SideNotice::DrainRequested => self.apply(Event::DrainAsked),
+            SideNotice::FenceAnnounced(fence) => self.fence.observe(fence),
             SideNotice::Ordered {
                 fence,
                 model,
@@ -144,23 +145,24 @@
         }
     }
 
-    /// Passes an order on, unless a later matcher has spoken. A load that is
-    /// under way is not ordered twice.
-    fn order(&mut self, fence: u64, model: ModelVersion, answer: OrderAnswer) {
+    /// Sends a load order to the backend server, unless a matcher with a higher
+    /// fencing number has been seen. An order for a model that is already being
+    /// loaded waits for that load's result instead of starting a second one.
+    fn order(&mut self, fence: u64, model: ModelVersion, answer: LoadResultSender) {
         if !self.fence.admits(fence) {
-            log::warn!(target: "side", fence; "An outdated order was refused.");
+            log::warn!(target: "side", fence; "Load order refused: its fencing number is stale.");
             answer.send(false).ok();
             return;
         }
-        let waiting = self.orders.entry(model.clone()).or_default();
+        let waiting = self.pending_loads.entry(model.clone()).or_default();
         waiting.push(answer);
         if waiting.len() == 1 {
-            (self.parts.backend)(BackendOrder::Load(fence, model));
+            (self.handles.backend)(BackendOrder::Load(fence, model));
         }
     }
 
     fn now(&self) -> Moment {
-        self.parts.clock.now()
+        self.handles.clock.now()
     }
 
     fn begin_span(&mut self, dispatch: &Dispatch) {
@@ -171,54 +173,54 @@
     fn end_span(&mut self, attempt: AttemptId, end: &AttemptEnd) {
         let label = end_label(end);
         let outcome = OutcomeLabel { outcome: label };
-        self.parts.metrics.attempts.get_or_create(&outcome).inc();
+        self.handles.metrics.attempts.get_or_create(&outcome).inc();
         if let Some(span) = self.spans.remove(&attempt) {
-            let worker = span.with("end", label);
-            self.parts.tracer.finish(worker, self.parts.clock.now());
+            let span = span.with("end", label);
+            self.handles.tracer.finish(span, self.handles.clock.now());
         }
     }
 
-    fn below_span(&self, dispatch: &Dispatch) -> TraceContext {
+    fn child_context(&self, dispatch: &Dispatch) -> TraceContext {
         self.spans
             .get(&dispatch.attempt)
             .map_or(dispatch.trace, Span::below)
     }
 
-    fn decide(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         let now = self.now();
         for effect in step(&mut self.state, event, now) {
-            self.carry_out(effect, now);
+            self.execute(effect, now);
         }
         for (entry, reports) in std::mem::take(&mut self.reports) {
-            self.farewell.note_sent();
+            self.drain.record_sent();
             self.send(SideCommand::Report { entry, reports });
         }
     }
 
-    fn carry_out(&mut self, effect: Effect, now: Moment) {
+    fn execute(&mut self, effect: Effect, now: Moment) {
         match effect {
             Effect::StartEngine(mut dispatch) => {
-                dispatch.trace = self.below_span(&dispatch);
-                (self.parts.backend)(BackendOrder::Start(dispatch));
+                dispatch.trace = self.child_context(&dispatch);
+                (self.handles.backend)(BackendOrder::Start(dispatch));
             }
             Effect::CancelEngine(attempt) => {
-                (self.parts.backend)(BackendOrder::Cancel(attempt));
+                (self.handles.backend)(BackendOrder::Cancel(attempt));
             }
             Effect::SendPart { attempt, text } => self.send(SideCommand::Part { attempt, text }),
             Effect::SendEnd { attempt, end } => {
                 self.end_span(attempt, &end);
                 let load = self.state.load(now);
-                self.farewell.note_sent();
+                self.drain.record_sent();
                 self.send(SideCommand::End { attempt, end, load });
             }
             Effect::Pull { entry, room } => {
-                self.farewell.note_pull();
+                self.drain.record_pull();
                 self.send(SideCommand::Pull { entry, room });
             }
             Effect::Report { entry, report } => {
                 self.end_span(report.attempt, &report.end);
                 if is_preempted(&report.end) {
-                    self.parts.metrics.preemptions.inc();
+                    self.handles.metrics.preemptions.inc();
                 }
                 self.reports.entry(entry).or_default().push(report);
             }
@@ -231,8 +233,8 @@
     }
 
     fn send(&self, command: SideCommand) {
-        // The RPC thread ends only with the process.
-        self.parts.rpc.send(command).ok();
+        // Sending cannot fail: the RPC thread runs as long as the process.
+        self.handles.rpc.send(command).ok();
     }
 }
 
--- a/crates/bluebellreel_side/src/lib.rs
+++ b/crates/bluebellreel_side/src/lib.rs
@@ -1,8 +1,8 @@
 //! The side process: the only sender to its backend server.
 //!
-//! An actor holds the admission state and carries out its effects; entries
-//! reach it by `capnp-rpc`, and each attempt at the backend server has a
-//! thread that reads its stream. [`start_side`] wires the parts.
+//! An actor owns the admission state and executes its effects. Entry daemons
+//! connect to it over `capnp-rpc`. Each attempt at the backend server has its own
+//! thread, which reads the response stream. [`start_side`] starts all of these.
 //!
 //! ```no_run
 //! let settings = bluebellreel_settings::load_side("side.toml").unwrap();
@@ -14,13 +14,13 @@
 mod backend;
 pub mod bench;
 mod core;
-mod farewell;
+mod drain_tracker;
 mod fence;
+mod handles;
 mod message;
-mod parts;
-mod rim;
+mod metrics_server;
 mod run;
 mod stop;
 
-pub use parts::BackendOrder;
+pub use handles::BackendOrder;
 pub use run::{Side, start_side};
--- a/crates/bluebellreel_side/src/message.rs
+++ b/crates/bluebellreel_side/src/message.rs
@@ -6,15 +6,15 @@
 use crossbeam_channel::Sender;
 use std::sync::Arc;
 
-/// Where the end of an order goes.
-pub(crate) type OrderAnswer = tokio::sync::oneshot::Sender<bool>;
+/// Receives the result of a load order: whether the model was loaded.
+pub(crate) type LoadResultSender = tokio::sync::oneshot::Sender<bool>;
 
-/// What reaches the actor.
+/// A message to the actor.
 #[derive(Debug)]
 pub(crate) enum Message {
-    /// From an entry.
+    /// A message from an entry daemon, or a change of its connection.
     Rpc(SideNotice),
-    /// The engine generated text.
+    /// The engine generated text for an attempt.
     Text {
         attempt: AttemptId,
         text: Arc<str>,
@@ -22,19 +22,19 @@
     },
     /// The engine ended an attempt.
     Ended { attempt: AttemptId, end: EngineEnd },
-    /// What the backend server serves.
+    /// The models that the backend server serves have changed.
     Models(Vec<ModelVersion>),
-    /// An order to the backend server has ended.
-    OrderEnded { model: ModelVersion, loaded: bool },
-    /// Metrics are read.
-    MetricsAsked(Sender<String>),
-    /// The process is asked to stop gracefully.
-    StopAsked,
+    /// A model load at the backend server has ended.
+    LoadEnded { model: ModelVersion, loaded: bool },
+    /// The metrics were requested over HTTP; their text goes to the channel.
+    MetricsRequested(Sender<String>),
+    /// A graceful stop was requested.
+    StopRequested,
 }
 
 impl Message {
-    /// Whether it brings work.
-    pub(crate) fn brings_work(&self) -> bool {
+    /// Whether the message carries an attempt or batch items.
+    pub(crate) fn carries_work(&self) -> bool {
         match self {
             Self::Rpc(SideNotice::Submitted { .. }) => true,
             Self::Rpc(SideNotice::Pulled { items, .. }) => !items.is_empty(),
--- a/crates/bluebellreel_side/src/rim.rs
+++ b/crates/bluebellreel_side/src/metrics_server.rs
@@ -1,4 +1,4 @@
-//! Metrics and health of the side process over HTTP.
+//! HTTP server for the side process's metrics and health check.
 
 use crate::message::Message;
 use bluebellreel_http::{ApiError, HttpServer, Reply, Request, respond, serve};
@@ -7,13 +7,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Requests at one time.
-const THREADS: usize = 8;
-/// Longest wait for the actor.
+/// Maximum number of concurrent requests.
+const MAX_REQUESTS: usize = 8;
+/// Time that the actor has to produce the metrics.
 const ACTOR_TIMEOUT: Duration = Duration::from_secs(2);
 
 pub(crate) fn serve_metrics(address: SocketAddr, tx: Sender<Message>) -> io::Result<HttpServer> {
-    serve(address, THREADS, move |req| answer(req, &tx))
+    serve(address, MAX_REQUESTS, move |req| answer(req, &tx))
 }
 
 fn answer(req: Request, tx: &Sender<Message>) {
@@ -27,7 +27,7 @@
 
 fn metrics(tx: &Sender<Message>) -> Reply {
     let (answer, text) = bounded(1);
-    tx.send(Message::MetricsAsked(answer)).ok();
+    tx.send(Message::MetricsRequested(answer)).ok();
     match text.recv_timeout(ACTOR_TIMEOUT) {
         Ok(text) => Reply::bytes(200, "text/plain; version=0.0.4", text.into_bytes()),
         Err(_) => ApiError::new(503, "stuck", "the process does not answer").into(),
--- a/crates/bluebellreel_side/src/run.rs
+++ b/crates/bluebellreel_side/src/run.rs
@@ -1,12 +1,12 @@
-//! Wiring of the side process.
+//! Starts and stops the side process.
 
 use crate::actor::SideActor;
 use crate::backend::Backend;
 use crate::core::SideCore;
+use crate::handles::{BackendOrder, Handles};
 use crate::message::Message;
-use crate::parts::{BackendOrder, Parts};
-use crate::rim;
-use crate::stop::{Look, Stop, Verdict};
+use crate::metrics_server;
+use crate::stop::{Stop, StopDecision, StopStatus};
 use bluebellreel_admission::{Admission, AdmissionLimits, Lean};
 use bluebellreel_http::HttpServer;
 use bluebellreel_rpc::{SideCommand, SideNotice, run_side};
@@ -22,36 +22,36 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Between two looks at the backend server's models.
-const MODELS_PERIOD: Duration = Duration::from_millis(500);
-/// Messages that wait for the actor; past it, senders wait.
-const MESSAGES: usize = 16_384;
-/// Longest sleep of the actor's loop.
-const LONGEST_SLEEP: Duration = Duration::from_millis(100);
+/// Interval between two model list requests to the backend server.
+const MODEL_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Capacity of the actor's message queue. Senders block while it is full.
+const QUEUE_CAPACITY: usize = 16_384;
+/// Maximum time that the actor's loop waits for a message.
+const MAX_SLEEP: Duration = Duration::from_millis(100);
 
 /// A running side process.
 pub struct Side {
-    /// Where entries reach it.
+    /// Address that entry daemons connect to.
     pub address: SocketAddr,
-    /// Where metrics are read.
+    /// Address of the metrics server, if there is one.
     pub metrics: Option<SocketAddr>,
     tx: Sender<Message>,
     actor_thread: JoinHandle<bool>,
-    _rim: Option<HttpServer>,
+    _metrics_server: Option<HttpServer>,
 }
 
 impl Side {
-    /// Stops gracefully: nothing new, what runs finishes. Whether nothing was
-    /// cut.
-    #[must_use = "a stop that cut something must be reported"]
+    /// Stops gracefully: refuses new work and waits for running attempts until
+    /// the configured limit. Returns whether all of them finished.
+    #[must_use = "a stop that interrupted running attempts must be reported"]
     pub fn stop(self) -> bool {
-        self.tx.send(Message::StopAsked).ok();
+        self.tx.send(Message::StopRequested).ok();
         self.actor_thread.join().unwrap_or(false)
     }
 
-    /// Asks for a graceful stop without waiting for it.
+    /// Requests a graceful stop without waiting for it.
     pub fn begin_stop(&self) {
-        self.tx.send(Message::StopAsked).ok();
+        self.tx.send(Message::StopRequested).ok();
     }
 }
 
@@ -59,18 +59,19 @@
 ///
 /// # Errors
 ///
-/// Gives the system's error when an address cannot be bound.
+/// Returns the operating system's error if an address cannot be bound or a
+/// thread cannot be started.
 pub fn start_side(settings: &SideSettings) -> eyre::Result<Side> {
     let clock = Clock::start();
     let incarnation = Incarnation::random();
-    let (tx, rx) = bounded(MESSAGES);
+    let (tx, rx) = bounded(QUEUE_CAPACITY);
     let tracer = start_tracer(settings);
     let listener = std::net::TcpListener::bind(settings.listen)?;
     listener.set_nonblocking(true)?;
     let address = listener.local_addr()?;
-    let rim = settings
+    let metrics_server = settings
         .metrics
-        .map(|address| rim::serve_metrics(address, tx.clone()))
+        .map(|address| metrics_server::serve_metrics(address, tx.clone()))
         .transpose()?;
     let backend = Arc::new(Backend::new(
         settings.backend.clone(),
@@ -79,8 +80,9 @@
         tx.clone(),
         tracer.clone(),
     ));
-    // The actor hears the models before any connection: a load report without
-    // them would hide this worker from daemons until their next question.
+    // The actor receives the model list before the first connection is accepted:
+    // a load report without models would make entry daemons route nothing to this
+    // worker until they request its load again.
     let loaded = backend.models();
     if let Some(models) = &loaded {
         tx.send(Message::Models(models.clone())).ok();
@@ -93,7 +95,7 @@
     };
     watch_models(&backend, &tx, loaded)?;
     let rpc = start_rpc(hello, listener, tx.clone())?;
-    let parts = Parts {
+    let handles = Handles {
         clock,
         rpc,
         backend: Box::new(move |order| match order {
@@ -104,18 +106,18 @@
         tracer,
         metrics: Arc::new(SideMetrics::default()),
     };
-    let state = Admission::new(incarnation, limits_of(settings));
+    let state = Admission::new(incarnation, admission_limits(settings));
     let stop = settings.stop;
     let actor_thread = thread::Builder::new()
         .name("side-actor".into())
-        .spawn(move || run_actor(state, parts, &rx, stop))?;
+        .spawn(move || run_actor(state, handles, &rx, stop))?;
     log::info!(target: "side", worker:% = settings.worker, address:% = address; "Side process started.");
     Ok(Side {
         address,
-        metrics: rim.as_ref().map(|rim| rim.address),
+        metrics: metrics_server.as_ref().map(|server| server.address),
         tx,
         actor_thread,
-        _rim: rim,
+        _metrics_server: metrics_server,
     })
 }
 
@@ -128,7 +130,7 @@
     Tracer::start("bluebellreel-side", sink)
 }
 
-fn limits_of(settings: &SideSettings) -> AdmissionLimits {
+fn admission_limits(settings: &SideSettings) -> AdmissionLimits {
     AdmissionLimits {
         window: settings.window,
         queue_count: settings.queue_count,
@@ -142,7 +144,8 @@
     }
 }
 
-/// Looks at the backend server's models until the actor is gone.
+/// Polls the backend server's model list and notifies the actor of changes,
+/// until the actor has ended.
 fn watch_models(
     backend: &Arc<Backend>,
     tx: &Sender<Message>,
@@ -163,7 +166,7 @@
                     }
                     known = models;
                 }
-                thread::sleep(MODELS_PERIOD);
+                thread::sleep(MODEL_POLL_INTERVAL);
             }
         })?;
     Ok(())
@@ -189,7 +192,7 @@
                 match tokio::net::TcpListener::from_std(listener) {
                     Ok(listener) => run_side(hello, listener, queue, notify).await,
                     Err(e) => {
-                        log::error!(target: "side", error = e.to_string(); "Listening failed.");
+                        log::error!(target: "side", error = e.to_string(); "RPC server not started: its listener could not be registered.");
                     }
                 }
             });
@@ -197,22 +200,23 @@
     Ok(commands)
 }
 
-/// Runs the actor until a graceful stop is done; whether it cut nothing.
-fn run_actor(state: Admission, parts: Parts, rx: &Receiver<Message>, stop: Duration) -> bool {
+/// Runs the actor until a graceful stop is complete. Returns whether all
+/// attempts finished.
+fn run_actor(state: Admission, handles: Handles, rx: &Receiver<Message>, stop: Duration) -> bool {
     let mut stakker = Stakker::new(Instant::now());
     let s = &mut stakker;
-    let core = SideCore::new(state, parts);
+    let core = SideCore::new(state, handles);
     let side: ActorOwn<SideActor> = actor!(s, SideActor::init(core), ret_nop!());
     s.run(Instant::now(), false);
     let mut stopping: Option<Stop> = None;
     loop {
-        let sleep = s.next_wait_max(Instant::now(), LONGEST_SLEEP, false);
-        let mut heard = false;
+        let sleep = s.next_wait_max(Instant::now(), MAX_SLEEP, false);
+        let mut received_work = false;
         match rx.recv_timeout(sleep) {
             Ok(message) => {
-                for message in std::iter::once(message).chain(rx.try_iter().take(MESSAGES)) {
-                    heard |= message.brings_work();
-                    if matches!(message, Message::StopAsked) && stopping.is_none() {
+                for message in std::iter::once(message).chain(rx.try_iter().take(QUEUE_CAPACITY)) {
+                    received_work |= message.carries_work();
+                    if matches!(message, Message::StopRequested) && stopping.is_none() {
                         log::info!(target: "side", "Stopping: nothing new is taken.");
                         stopping = Some(Stop::new(Instant::now() + stop));
                     }
@@ -226,16 +230,20 @@
         let Some(stopping) = &mut stopping else {
             continue;
         };
-        let Some(look) = query!([side, s], look()) else {
+        let Some(status) = query!([side, s], stop_status()) else {
             return true;
         };
-        match stopping.look(Look { heard, ..look }, Instant::now()) {
-            Verdict::GoOn => {}
-            Verdict::Done => {
-                log::info!(target: "side", settled = look.settled; "Stopped; nothing was cut.");
+        let status = StopStatus {
+            received_work,
+            ..status
+        };
+        match stopping.evaluate(status, Instant::now()) {
+            StopDecision::Wait => {}
+            StopDecision::Finish => {
+                log::info!(target: "side", settled = status.settled; "Stopped; nothing was cut.");
                 return true;
             }
-            Verdict::Cut => {
+            StopDecision::Interrupt => {
                 log::error!(target: "side", "Stopped at the deadline; requests in progress were cut.");
                 return false;
             }
--- a/crates/bluebellreel_side/src/stop.rs
+++ b/crates/bluebellreel_side/src/stop.rs
@@ -1,77 +1,86 @@
-//! The order of a graceful stop.
+//! The phases of a graceful stop.
 //!
-//! Nothing new is taken from the first moment on, and the actor says so until
-//! the last. What runs finishes; then the entries hear of the stop and what is
-//! under way arrives; then, after a quiet while, the process ends.
+//! From the start of the stop until the process ends, the actor refuses new work
+//! and answers that it is leaving. First, running attempts finish. Then all entry
+//! daemons are notified of the stop and messages in transit are delivered. The
+//! process ends after a period in which no new work arrives.
 
 use std::time::{Duration, Instant};
 
-/// Quiet before the end: longer than a word takes within a data centre and
-/// between two.
-const LINGER: Duration = Duration::from_millis(200);
-/// Longest time for the entries to hear of the stop: longer than the three
-/// seconds after which an entry of a small site asks for the load.
-const TELL_TIME: Duration = Duration::from_secs(5);
+/// Time without new work before the process ends. Longer than a message takes
+/// within a data centre or between two.
+const QUIET_PERIOD: Duration = Duration::from_millis(200);
+/// Maximum time that the process waits for entry daemons to be notified of the
+/// stop. Longer than the three seconds after which an entry daemon of a small
+/// site requests the load.
+const NOTIFY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How things stand at one look.
+/// The state of the process during a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Look {
-    /// Nothing runs or waits.
+pub(crate) struct StopStatus {
+    /// No attempt is running or queued, and no report is unsent.
     pub(crate) idle: bool,
-    /// Nothing is under way, and all entries know.
+    /// No message to or from an entry daemon is in transit, and all connected
+    /// entry daemons have been notified of the stop.
     pub(crate) settled: bool,
-    /// An attempt or items have come since the last look.
-    pub(crate) heard: bool,
+    /// An attempt or batch items have arrived since the last check.
+    pub(crate) received_work: bool,
 }
 
-/// What a look leads to.
+/// What the process does after a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// Not yet.
-    GoOn,
-    /// The process ends and cuts nothing.
-    Done,
-    /// The deadline has come with work in progress.
-    Cut,
+pub(crate) enum StopDecision {
+    /// Keep running.
+    Wait,
+    /// End the process; no attempt is interrupted.
+    Finish,
+    /// End the process at the deadline although attempts are running.
+    Interrupt,
 }
 
-/// A stop that goes on.
+/// A graceful stop in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stop {
-    ends_at: Instant,
-    told_by: Option<Instant>,
+    deadline: Instant,
+    /// End of the wait for notifications, set when the process is first idle.
+    notify_deadline: Option<Instant>,
+    /// Start of the current period without new work.
     quiet_since: Option<Instant>,
 }
 
 impl Stop {
-    pub(crate) fn new(ends_at: Instant) -> Self {
+    pub(crate) fn new(deadline: Instant) -> Self {
         Self {
-            ends_at,
-            told_by: None,
+            deadline,
+            notify_deadline: None,
             quiet_since: None,
         }
     }
 
-    /// Looks whether the process may end.
-    pub(crate) fn look(&mut self, look: Look, now: Instant) -> Verdict {
-        let is_late = now >= self.ends_at;
-        if !look.idle {
+    /// Decides whether the process may end.
+    pub(crate) fn evaluate(&mut self, status: StopStatus, now: Instant) -> StopDecision {
+        let is_late = now >= self.deadline;
+        if !status.idle {
             self.quiet_since = None;
-            return if is_late { Verdict::Cut } else { Verdict::GoOn };
+            return if is_late {
+                StopDecision::Interrupt
+            } else {
+                StopDecision::Wait
+            };
         }
         if is_late {
-            return Verdict::Done;
+            return StopDecision::Finish;
         }
-        let told_by = *self.told_by.get_or_insert(now + TELL_TIME);
-        if look.heard || !look.settled && now < told_by {
+        let notify_deadline = *self.notify_deadline.get_or_insert(now + NOTIFY_TIMEOUT);
+        if status.received_work || !status.settled && now < notify_deadline {
             self.quiet_since = None;
-            return Verdict::GoOn;
+            return StopDecision::Wait;
         }
         let quiet_since = *self.quiet_since.get_or_insert(now);
-        if now.saturating_duration_since(quiet_since) < LINGER {
-            return Verdict::GoOn;
+        if now.saturating_duration_since(quiet_since) < QUIET_PERIOD {
+            return StopDecision::Wait;
         }
-        Verdict::Done
+        StopDecision::Finish
     }
 }
 
@@ -79,56 +88,63 @@
 mod tests {
     use super::*;
 
-    const BUSY: Look = Look {
+    const BUSY: StopStatus = StopStatus {
         idle: false,
         settled: false,
-        heard: false,
+        received_work: false,
     };
-    const IDLE: Look = Look { idle: true, ..BUSY };
-    const SETTLED: Look = Look {
+    const IDLE: StopStatus = StopStatus { idle: true, ..BUSY };
+    const SETTLED: StopStatus = StopStatus {
         settled: true,
         ..IDLE
     };
-    const HEARD: Look = Look {
-        heard: true,
+    const WORK_RECEIVED: StopStatus = StopStatus {
+        received_work: true,
         ..SETTLED
     };
 
-    /// An attempt came in the quiet while before the end: its answer gets a
-    /// quiet while of its own.
+    /// An attempt arrives in the quiet period before the end. A new quiet period
+    /// must start, so that its answer can be delivered.
     #[test]
-    fn ends_after_a_quiet_while_only() {
+    fn finishes_only_after_quiet_period() {
         let start = Instant::now();
         let mut stop = Stop::new(start + Duration::from_mins(1));
         let mut now = start;
-        for (look, verdict) in [
-            (BUSY, Verdict::GoOn),
-            (IDLE, Verdict::GoOn),
-            (SETTLED, Verdict::GoOn),
-            (HEARD, Verdict::GoOn),
-            (SETTLED, Verdict::GoOn),
-            (SETTLED, Verdict::Done),
+        for (status, decision) in [
+            (BUSY, StopDecision::Wait),
+            (IDLE, StopDecision::Wait),
+            (SETTLED, StopDecision::Wait),
+            (WORK_RECEIVED, StopDecision::Wait),
+            (SETTLED, StopDecision::Wait),
+            (SETTLED, StopDecision::Finish),
         ] {
-            assert_eq!(stop.look(look, now), verdict, "{look:?}");
-            now += LINGER;
+            assert_eq!(stop.evaluate(status, now), decision, "{status:?}");
+            now += QUIET_PERIOD;
         }
     }
 
-    /// An entry is frozen and hears nothing: the process ends all the same.
+    /// A frozen entry daemon cannot be notified. The process must end
+    /// nevertheless.
     #[test]
-    fn entries_that_do_not_hear_are_not_waited_for_for_ever() {
+    fn unresponsive_entry_does_not_block_stop() {
         let start = Instant::now();
         let mut stop = Stop::new(start + Duration::from_mins(1));
-        assert_eq!(stop.look(IDLE, start), Verdict::GoOn);
-        let late = start + TELL_TIME;
-        assert_eq!(stop.look(IDLE, late), Verdict::GoOn);
-        assert_eq!(stop.look(IDLE, late + LINGER), Verdict::Done);
+        assert_eq!(stop.evaluate(IDLE, start), StopDecision::Wait);
+        let late = start + NOTIFY_TIMEOUT;
+        assert_eq!(stop.evaluate(IDLE, late), StopDecision::Wait);
+        assert_eq!(
+            stop.evaluate(IDLE, late + QUIET_PERIOD),
+            StopDecision::Finish
+        );
     }
 
     #[test]
-    fn deadline_cuts_what_runs_and_nothing_else() {
+    fn deadline_interrupts_only_running_attempts() {
         let start = Instant::now();
-        assert_eq!(Stop::new(start).look(BUSY, start), Verdict::Cut);
-        assert_eq!(Stop::new(start).look(IDLE, start), Verdict::Done);
+        assert_eq!(
+            Stop::new(start).evaluate(BUSY, start),
+            StopDecision::Interrupt
+        );
+        assert_eq!(Stop::new(start).evaluate(IDLE, start), StopDecision::Finish);
     }
 }
--- a/crates/bluebellreel_side/tests/first_load.rs
+++ b/crates/bluebellreel_side/tests/first_load.rs
@@ -1,4 +1,4 @@
-//! What a daemon hears first from a side process that has just started.
+//! The first load report from a side process that has just started.
 
 use bluebellreel_rpc::{EntryCommand, EntryNotice, run_entry};
 use bluebellreel_settings::parse_side;
@@ -10,7 +10,8 @@
 use tiny_http::{Response, Server};
 use tokio::sync::mpsc;
 
-/// An engine that names its models once and then hangs: a busy machine.
+/// An engine that answers one model list request and then hangs, as on an
+/// overloaded machine.
 fn start_hanging_engine() -> SocketAddr {
     let server = Server::http("127.0.0.1:0").expect("a free port");
     let address = server.server_addr().to_ip().expect("an IP address");
@@ -29,7 +30,7 @@
     address
 }
 
-/// The first load report that a daemon hears.
+/// The models in the first load report that an entry daemon receives.
 async fn first_load(side: SocketAddr) -> Vec<ModelName> {
     let (commands, queue) = mpsc::unbounded_channel();
     let (tx, mut rx) = mpsc::unbounded_channel();
@@ -41,27 +42,28 @@
         worker: WorkerName::from("w"),
         address: side,
     };
-    commands.send(connect).expect("the connections run");
+    commands.send(connect).expect("the connection task runs");
     loop {
-        let notice = rx.recv().await.expect("the connections run");
+        let notice = rx.recv().await.expect("the connection task runs");
         if let EntryNotice::Load { load, .. } = notice {
             return load.models;
         }
     }
 }
 
-/// People were refused with "no worker serves this model" while side processes
-/// were restarted one by one. A side process that had greeted a daemon with its
-/// models answered the first question for its load before its own actor knew
-/// them; the daemon took the empty list for three seconds.
+/// Guards against requests refused with "no worker serves this model" during a
+/// rolling restart of side processes. A side process sent its models in the hello
+/// response, but answered the first load request before its own actor knew them;
+/// the entry daemon used the empty list for three seconds.
 #[test]
-fn first_load_report_names_the_models() {
+fn first_load_report_lists_the_models() {
     let engine = start_hanging_engine();
     let settings = format!(
         "worker = \"w\"\ndata_centre = \"d\"\nlisten = \"127.0.0.1:0\"\n\
          [backend]\nurl = \"http://{engine}\"\n"
     );
-    let side = start_side(&parse_side("test", &settings).expect("settings")).expect("a side");
+    let side =
+        start_side(&parse_side("test", &settings).expect("settings")).expect("a side process");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/bluebellreel_side/tests/stop.rs
+++ b/crates/bluebellreel_side/tests/stop.rs
@@ -1,4 +1,4 @@
-//! What entry daemons see of a side process that stops.
+//! A stopping side process as seen by entry daemons.
 
 use bluebellreel_rpc::{EntryCommand, EntryNotice, run_entry};
 use bluebellreel_settings::parse_side;
@@ -12,19 +12,19 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Longest wait for anything; generous, as machines are busy.
-const LONGEST: Duration = Duration::from_mins(1);
-/// A deadline far away.
-const FAR: Moment = Moment::FAR;
+/// Timeout of each step; generous, since test machines may be busy.
+const TIMEOUT: Duration = Duration::from_mins(1);
+/// A deadline that is never reached.
+const DEADLINE: Moment = Moment::FAR;
 
-/// A side process beside a service that is never reached.
+/// Starts a side process whose plain service is unreachable.
 fn start() -> Side {
     let settings = "worker = \"w\"\ndata_centre = \"d\"\nlisten = \"127.0.0.1:0\"\n\
                     [backend]\nurl = \"http://127.0.0.1:9\"\nservice = \"desk\"\n";
-    start_side(&parse_side("test", settings).expect("settings")).expect("a side")
+    start_side(&parse_side("test", settings).expect("settings")).expect("a side process")
 }
 
-/// An entry daemon's end of the connection.
+/// The entry daemon's end of a connection.
 struct Entry {
     commands: mpsc::UnboundedSender<EntryCommand>,
     notices: mpsc::UnboundedReceiver<EntryNotice>,
@@ -42,7 +42,7 @@
             worker: WorkerName::from("w"),
             address,
         };
-        commands.send(connect).expect("the connections run");
+        commands.send(connect).expect("the connection task runs");
         let mut entry = Self {
             commands,
             notices,
@@ -51,7 +51,7 @@
         loop {
             match entry.next().await {
                 EntryNotice::Connected(hello) => entry.side = hello.incarnation,
-                // The first answer, before the stop.
+                // The first load report, received before the stop.
                 EntryNotice::Load { .. } => return entry,
                 _ => {}
             }
@@ -59,11 +59,11 @@
     }
 
     async fn next(&mut self) -> EntryNotice {
-        let next = tokio::time::timeout(LONGEST, self.notices.recv()).await;
-        next.expect("in time").expect("the connections run")
+        let next = tokio::time::timeout(TIMEOUT, self.notices.recv()).await;
+        next.expect("in time").expect("the connection task runs")
     }
 
-    /// Sends a booking, which may run once only.
+    /// Submits a booking, which must run at most once.
     fn book(&self) -> AttemptId {
         let attempt = AttemptId {
             request: RequestId::random(),
@@ -86,13 +86,15 @@
                 key: Arc::from("k"),
                 team: TeamName::from("school"),
             }),
-            deadline: FAR,
+            deadline: DEADLINE,
             resume: Arc::from(""),
             trace: TraceContext::fresh(),
         });
         let worker = WorkerName::from("w");
         let submit = EntryCommand::Submit { worker, dispatch };
-        self.commands.send(submit).expect("the connections run");
+        self.commands
+            .send(submit)
+            .expect("the connection task runs");
         attempt
     }
 
@@ -119,11 +121,11 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// A side process had nothing to do when it was asked to stop, and lingered for
-/// its last words to leave. A booking that came meanwhile got no answer and
-/// counted as "may have run", though it never did.
+/// An idle side process that is asked to stop stays up for a moment so that its
+/// last messages are delivered. Guards against a booking that arrives in that time,
+/// gets no answer and counts as "may have run" although it never ran.
 #[test]
-fn attempt_that_comes_at_the_end_is_not_run() {
+fn attempt_received_during_stop_is_not_run() {
     run(async {
         let side = start();
         let mut entry = Entry::connect(side.address).await;
@@ -135,11 +137,11 @@
     });
 }
 
-/// A daemon that had nothing for a worker at the moment knew nothing of its stop
-/// and sent a booking just as the connection was closed. Each daemon is told
-/// before.
+/// Guards against an entry daemon that has no attempt at a worker, is not notified
+/// of the worker's stop, and sends a booking just as the connection is closed. Each
+/// entry daemon must be notified before its connection closes.
 #[test]
-fn daemon_hears_of_a_stop_before_its_connection_closes() {
+fn daemon_is_notified_of_stop_before_connection_closes() {
     run(async {
         let side = start();
         let mut entry = Entry::connect(side.address).await;
@@ -147,7 +149,9 @@
         loop {
             match entry.next().await {
                 EntryNotice::Load { load, .. } if load.leaving => return,
-                EntryNotice::Lost(_) => panic!("closed without a word"),
+                EntryNotice::Lost(_) => {
+                    panic!("connection closed without a notification of the stop")
+                }
                 _ => {}
             }
         }
