--- a/crates/bluebellreel_side/src/drain_tracker.rs
+++ b/crates/bluebellreel_side/src/drain_tracker.rs
@@ -15,7 +15,8 @@
     connected: BTreeSet<EntryName>,
     /// Entry daemons that have received a load report marked as leaving.
     notified: BTreeSet<EntryName>,
-    /// Attempt ends and reports that have been sent but not yet acknowledged.
+    /// Attempt ends and reports whose delivery has neither succeeded nor failed
+    /// yet.
     unacknowledged: u32,
     /// Pulls that have not yet been answered.
     pending_pulls: u32,
--- a/crates/bluebellreel_side/src/fence.rs
+++ b/crates/bluebellreel_side/src/fence.rs
@@ -12,7 +12,7 @@
 }
 
 impl Fence {
-    /// Records a number that an entry daemon announced.
+    /// Records a fencing number.
     pub(crate) fn observe(&mut self, fence: u64) {
         self.highest = Some(self.highest.unwrap_or(0).max(fence));
     }
--- a/crates/bluebellreel_side/src/run.rs
+++ b/crates/bluebellreel_side/src/run.rs
@@ -233,11 +233,13 @@
         let Some(status) = query!([side, s], stop_status()) else {
             return true;
         };
-        let status = StopStatus {
-            received_work,
-            ..status
-        };
-        match stopping.evaluate(status, Instant::now()) {
+        match stopping.evaluate(
+            StopStatus {
+                received_work,
+                ..status
+            },
+            Instant::now(),
+        ) {
             StopDecision::Wait => {}
             StopDecision::Finish => {
                 log::info!(target: "side", settled = status.settled; "Stopped; nothing was cut.");
