--- a/crates/bluebellreel_rpc/src/convert.rs
+++ b/crates/bluebellreel_rpc/src/convert.rs
@@ -11,8 +11,8 @@
 
 type Read<T> = Result<T, Error>;
 
-/// Not-run reasons by their name on the wire.
-const NOT_RUN: [(NotRunReason, &str); 11] = [
+/// Reasons why an attempt did not run, and their names on the wire.
+const NOT_RUN_REASONS: [(NotRunReason, &str); 11] = [
     (NotRunReason::Overloaded, "overloaded"),
     (NotRunReason::TooLate, "too-late"),
     (NotRunReason::Expired, "expired"),
@@ -26,8 +26,8 @@
     (NotRunReason::EngineBusy, "engine-busy"),
 ];
 
-/// Reasons of a break by their name on the wire.
-const BROKEN: [(BrokenReason, &str); 6] = [
+/// Reasons why an attempt broke off, and their names on the wire.
+const BROKEN_REASONS: [(BrokenReason, &str); 6] = [
     (BrokenReason::EngineLost, "engine-lost"),
     (BrokenReason::SideLost, "side-lost"),
     (BrokenReason::Preempted, "preempted"),
@@ -48,10 +48,10 @@
         .iter()
         .find(|(_, known)| *known == name)
         .map(|(value, _)| *value)
-        .ok_or_else(|| Error::failed(format!("unknown reason {name}")))
+        .ok_or_else(|| Error::failed(format!("unknown not-run or broken reason: {name}")))
 }
 
-fn shared(text: capnp::text::Reader<'_>) -> Read<Arc<str>> {
+fn to_arc_str(text: capnp::text::Reader<'_>) -> Read<Arc<str>> {
     Ok(Arc::from(text.to_str()?))
 }
 
@@ -89,19 +89,19 @@
     let kind = match from.which()? {
         wire::work::Which::Chat(()) => WorkKind::Chat,
         wire::work::Which::Call(call) => WorkKind::Call {
-            method: shared(call.get_method()?)?,
-            path: shared(call.get_path()?)?,
+            method: to_arc_str(call.get_method()?)?,
+            path: to_arc_str(call.get_path()?)?,
         },
     };
     Ok(Work {
         kind,
-        model: ModelName(shared(from.get_model()?)?),
+        model: ModelName(to_arc_str(from.get_model()?)?),
         body: Arc::from(from.get_body()?),
         tokens: from.get_tokens(),
         prefix: from.get_prefix(),
         repeatable: from.get_repeatable(),
-        key: shared(from.get_key()?)?,
-        team: TeamName(shared(from.get_team()?)?),
+        key: to_arc_str(from.get_key()?)?,
+        team: TeamName(to_arc_str(from.get_team()?)?),
     })
 }
 
@@ -127,7 +127,7 @@
         },
         work: Arc::new(read_work(from.get_work()?)?),
         deadline: Moment(from.get_deadline()),
-        resume: shared(from.get_resume()?)?,
+        resume: to_arc_str(from.get_resume()?)?,
         trace: TraceContext::try_from(trace).unwrap_or_else(|_| TraceContext::fresh()),
     })
 }
@@ -151,8 +151,8 @@
 
 fn read_loaded(from: wire::loaded::Reader<'_>) -> Read<ModelVersion> {
     Ok(ModelVersion {
-        name: ModelName(shared(from.get_name()?)?),
-        version: shared(from.get_version()?)?,
+        name: ModelName(to_arc_str(from.get_name()?)?),
+        version: to_arc_str(from.get_version()?)?,
     })
 }
 
@@ -163,7 +163,9 @@
 }
 
 fn read_models(from: capnp::text_list::Reader<'_>) -> Read<Vec<ModelName>> {
-    from.iter().map(|m| Ok(ModelName(shared(m?)?))).collect()
+    from.iter()
+        .map(|m| Ok(ModelName(to_arc_str(m?)?)))
+        .collect()
 }
 
 pub(crate) fn read_load(from: wire::load::Reader<'_>) -> Read<LoadReport> {
@@ -194,10 +196,10 @@
             end.set_body(body);
             end.set_tokens(*tokens);
         }
-        AttemptEnd::NotRun(reason) => to.set_not_run(name_of(&NOT_RUN, reason)),
+        AttemptEnd::NotRun(reason) => to.set_not_run(name_of(&NOT_RUN_REASONS, reason)),
         AttemptEnd::Broken { reason, partial } => {
             let mut end = to.init_broken();
-            end.set_reason(name_of(&BROKEN, reason));
+            end.set_reason(name_of(&BROKEN_REASONS, reason));
             end.set_partial(&**partial);
         }
         AttemptEnd::Rejected { status, message } => {
@@ -216,15 +218,15 @@
             tokens: end.get_tokens(),
         },
         wire::end::Which::NotRun(reason) => {
-            AttemptEnd::NotRun(value_of(&NOT_RUN, reason?.to_str()?)?)
+            AttemptEnd::NotRun(value_of(&NOT_RUN_REASONS, reason?.to_str()?)?)
         }
         wire::end::Which::Broken(end) => AttemptEnd::Broken {
-            reason: value_of(&BROKEN, end.get_reason()?.to_str()?)?,
-            partial: shared(end.get_partial()?)?,
+            reason: value_of(&BROKEN_REASONS, end.get_reason()?.to_str()?)?,
+            partial: to_arc_str(end.get_partial()?)?,
         },
         wire::end::Which::Rejected(end) => AttemptEnd::Rejected {
             status: end.get_status(),
-            message: shared(end.get_message()?)?,
+            message: to_arc_str(end.get_message()?)?,
         },
     })
 }
@@ -239,9 +241,9 @@
 
 pub(crate) fn read_hello(from: wire::hello::Reader<'_>) -> Read<SideHello> {
     Ok(SideHello {
-        worker: WorkerName(shared(from.get_worker()?)?),
+        worker: WorkerName(to_arc_str(from.get_worker()?)?),
         incarnation: Incarnation(from.get_incarnation()),
-        data_centre: shared(from.get_data_centre()?)?.as_ref().into(),
+        data_centre: to_arc_str(from.get_data_centre()?)?.as_ref().into(),
         models: read_models(from.get_models()?)?,
     })
 }
@@ -258,12 +260,12 @@
     }
 
     #[test]
-    fn every_end_survives_the_wire() {
-        for (reason, _) in NOT_RUN {
+    fn attempt_ends_survive_round_trip() {
+        for (reason, _) in NOT_RUN_REASONS {
             let end = AttemptEnd::NotRun(reason);
             assert_eq!(round_trip(&end), end);
         }
-        for (reason, _) in BROKEN {
+        for (reason, _) in BROKEN_REASONS {
             let partial = Arc::from("half");
             let end = AttemptEnd::Broken { reason, partial };
             assert_eq!(round_trip(&end), end);
--- a/crates/bluebellreel_rpc/src/entry.rs
+++ b/crates/bluebellreel_rpc/src/entry.rs
@@ -1,28 +1,29 @@
-//! The entry daemon's end: connects to side processes and keeps connecting.
+//! The entry daemon's end: connects to side processes and reconnects when a
+//! connection is lost.
 
 mod calls;
+mod capabilities;
 mod link;
+mod liveness;
 mod message;
-mod pulse;
-mod served;
 
 pub use message::{EntryCommand, EntryNotice, PullAnswer};
 
 use bluebellreel_types::{EntryName, WorkerName};
 use calls::{cancel, send_one_way, submit};
 use link::{Link, client_of, open_link};
-use pulse::LinkCount;
+use liveness::LinkCount;
 use std::collections::HashMap;
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Takes what comes in.
+/// Receives what arrives over the connections.
 type Notify = Rc<dyn Fn(EntryNotice)>;
 
 /// Runs the connections until the command channel closes.
 ///
 /// Must be called within a `tokio::task::LocalSet`. `notify` is called on this
-/// thread for whatever comes in.
+/// thread for each message and connection event.
 pub async fn run_entry(
     name: EntryName,
     mut commands: mpsc::UnboundedReceiver<EntryCommand>,
@@ -45,10 +46,10 @@
                 }
             }
             EntryCommand::Submit { worker, dispatch } => {
-                let pulse = links.get(&worker).map(|link| link.pulse.clone());
-                let at = client_of(&links, &worker).zip(pulse);
+                let liveness = links.get(&worker).map(|link| link.liveness.clone());
+                let target = client_of(&links, &worker).zip(liveness);
                 let notify = notify.clone();
-                tokio::task::spawn_local(submit(worker, at, dispatch, notify));
+                tokio::task::spawn_local(submit(worker, target, dispatch, notify));
             }
             EntryCommand::Cancel { worker, attempt } => {
                 if let Some(client) = client_of(&links, &worker) {
--- a/crates/bluebellreel_rpc/src/entry/calls.rs
+++ b/crates/bluebellreel_rpc/src/entry/calls.rs
@@ -1,10 +1,10 @@
-//! Calls to side processes.
+//! Calls from the entry daemon to side processes.
 
 use super::Notify;
+use super::capabilities::Sink;
 use super::link::{Link, client_of};
+use super::liveness::Liveness;
 use super::message::{EntryCommand, EntryNotice};
-use super::pulse::Pulse;
-use super::served::Sink;
 use crate::convert;
 use crate::side_capnp as wire;
 use bluebellreel_types::{
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Sends what needs no answer, or whose answer comes as a notice.
+/// Makes the calls whose response is not needed or is passed on as a notice.
 pub(super) fn send_one_way(
     links: &HashMap<WorkerName, Link>,
     command: EntryCommand,
@@ -92,14 +92,14 @@
                 });
             });
         }
-        _ => unreachable!("commands with an answer are handled by the caller"),
+        _ => unreachable!("Connect, Disconnect, Submit and Cancel are handled by the caller"),
     }
 }
 
-/// Hands an online attempt to a side process.
+/// Submits an online attempt to a side process.
 pub(super) async fn submit(
     worker: WorkerName,
-    at: Option<(wire::side::Client, Rc<Pulse>)>,
+    target: Option<(wire::side::Client, Rc<Liveness>)>,
     dispatch: Box<Dispatch>,
     notify: Notify,
 ) {
@@ -110,8 +110,8 @@
         end,
         load: None,
     };
-    // Nothing was written to a socket yet, so "not run" is true.
-    let Some((client, pulse)) = at else {
+    // No connection: nothing was sent, so "not run" is correct.
+    let Some((client, liveness)) = target else {
         notify(ended(AttemptEnd::NotRun(NotRunReason::Unreachable)));
         return;
     };
@@ -119,14 +119,15 @@
         worker: worker.clone(),
         attempt,
         notify: notify.clone(),
-        pulse: pulse.clone(),
+        liveness: liveness.clone(),
     });
-    let _out = pulse.note_out();
+    let _in_flight = liveness.begin_attempt();
     let mut call = client.submit_request();
     convert::write_dispatch(call.get().init_dispatch(), &dispatch);
     call.get().set_sink(sink);
-    // The call returns once the side has told the end. If it fails, the
-    // attempt may have run: it is broken, not "not run".
+    // The call returns after the side process has delivered the attempt's end to
+    // the sink. If the call fails, the attempt may have run, so it is reported as
+    // broken and not as "not run".
     if call.send().promise.await.is_err() {
         notify(ended(AttemptEnd::Broken {
             reason: BrokenReason::SideLost,
@@ -148,7 +149,7 @@
     Ok(answer.get()?.get_loaded())
 }
 
-/// Puts an end to an attempt and asks what became of it.
+/// Cancels an attempt and reports its state at the side process.
 pub(super) async fn cancel(client: wire::side::Client, attempt: AttemptId, notify: Notify) {
     let mut call = client.cancel_request();
     convert::write_attempt(call.get().init_attempt(), attempt);
--- a/crates/bluebellreel_rpc/src/entry/served.rs
+++ b/crates/bluebellreel_rpc/src/entry/capabilities.rs
@@ -1,8 +1,8 @@
-//! Capabilities that side processes call.
+//! Capabilities that the entry daemon exports to side processes.
 
 use super::Notify;
+use super::liveness::Liveness;
 use super::message::{EntryNotice, PullAnswer};
-use super::pulse::Pulse;
 use crate::convert;
 use crate::side_capnp as wire;
 use bluebellreel_types::{AttemptId, BatchReport, WorkerName};
@@ -10,17 +10,17 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// Takes one online attempt's answer in.
+/// Receives the response of one online attempt.
 pub(super) struct Sink {
     pub(super) worker: WorkerName,
     pub(super) attempt: AttemptId,
     pub(super) notify: Notify,
-    pub(super) pulse: Rc<Pulse>,
+    pub(super) liveness: Rc<Liveness>,
 }
 
 impl wire::sink::Server for Sink {
     async fn write(self: Rc<Self>, params: wire::sink::WriteParams) -> Result<(), capnp::Error> {
-        self.pulse.note_heard();
+        self.liveness.record_activity();
         let text = Arc::from(params.get()?.get_text()?.to_str()?);
         let attempt = self.attempt;
         (self.notify)(EntryNotice::Part { attempt, text });
@@ -32,7 +32,7 @@
         params: wire::sink::EndParams,
         _: wire::sink::EndResults,
     ) -> Result<(), capnp::Error> {
-        self.pulse.note_heard();
+        self.liveness.record_activity();
         let params = params.get()?;
         (self.notify)(EntryNotice::Ended {
             worker: self.worker.clone(),
@@ -44,11 +44,11 @@
     }
 }
 
-/// What a side process pulls batch work from.
+/// Hands out batch items to a side process and receives their results.
 pub(super) struct Feed {
     pub(super) worker: WorkerName,
     pub(super) notify: Notify,
-    pub(super) pulse: Rc<Pulse>,
+    pub(super) liveness: Rc<Liveness>,
 }
 
 impl wire::batch_feed::Server for Feed {
@@ -57,7 +57,7 @@
         params: wire::batch_feed::PullParams,
         mut results: wire::batch_feed::PullResults,
     ) -> Result<(), capnp::Error> {
-        self.pulse.note_heard();
+        self.liveness.record_activity();
         let (tx, rx) = oneshot::channel();
         (self.notify)(EntryNotice::Pull {
             worker: self.worker.clone(),
@@ -78,7 +78,7 @@
         params: wire::batch_feed::ReportParams,
         _: wire::batch_feed::ReportResults,
     ) -> Result<(), capnp::Error> {
-        self.pulse.note_heard();
+        self.liveness.record_activity();
         let mut reports = Vec::new();
         for report in params.get()?.get_reports()? {
             reports.push(BatchReport {
--- a/crates/bluebellreel_rpc/src/entry/link.rs
+++ b/crates/bluebellreel_rpc/src/entry/link.rs
@@ -1,9 +1,9 @@
-//! Connections to side processes, kept up.
+//! Connections to side processes, re-established when they are lost.
 
 use super::Notify;
+use super::capabilities::Feed;
+use super::liveness::{LinkCount, Liveness, poll_load};
 use super::message::EntryNotice;
-use super::pulse::{LinkCount, Pulse, watch_load};
-use super::served::Feed;
 use crate::convert;
 use crate::side_capnp as wire;
 use bluebellreel_types::{EntryName, SideHello, WorkerName};
@@ -16,22 +16,22 @@
 use tokio::sync::oneshot;
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-/// Pause before a lost side process is tried again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
-/// Longest wait for a connection and its greeting.
+/// Delay before reconnecting to a side process.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// Timeout of connecting, and of the hello call that follows.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Holds the connection's client while there is one.
-type Slot = Rc<RefCell<Option<wire::side::Client>>>;
+/// The connection's RPC client, while the connection is up.
+type ClientSlot = Rc<RefCell<Option<wire::side::Client>>>;
 
-/// A worker's connection.
+/// The connection to a worker's side process.
 pub(super) struct Link {
     pub(super) stop: oneshot::Sender<()>,
-    client: Slot,
-    pub(super) pulse: Rc<Pulse>,
+    client: ClientSlot,
+    pub(super) liveness: Rc<Liveness>,
 }
 
-/// The client of a worker that is connected.
+/// The RPC client of a worker, if it is connected.
 pub(super) fn client_of(
     links: &HashMap<WorkerName, Link>,
     worker: &WorkerName,
@@ -39,7 +39,8 @@
     links.get(worker)?.client.borrow().clone()
 }
 
-/// Opens a connection that is made again whenever it is lost.
+/// Starts a task that connects to a side process and reconnects whenever the
+/// connection is lost.
 pub(super) fn open_link(
     name: &EntryName,
     worker: WorkerName,
@@ -49,25 +50,25 @@
 ) -> Link {
     let (stop, stopped) = oneshot::channel();
     let client = Rc::new(RefCell::new(None));
-    let pulse = Rc::new(Pulse::new(links.clone()));
-    let keeper = keep_connected(
+    let liveness = Rc::new(Liveness::new(links.clone()));
+    let connection = keep_connected(
         name.clone(),
         worker,
         address,
         notify.clone(),
         client.clone(),
-        pulse.clone(),
+        liveness.clone(),
     );
     tokio::task::spawn_local(async move {
         tokio::select! {
-            () = keeper => {}
+            () = connection => {}
             _ = stopped => {}
         }
     });
     Link {
         stop,
         client,
-        pulse,
+        liveness,
     }
 }
 
@@ -76,25 +77,25 @@
     worker: WorkerName,
     address: SocketAddr,
     notify: Notify,
-    slot: Slot,
-    pulse: Rc<Pulse>,
+    slot: ClientSlot,
+    liveness: Rc<Liveness>,
 ) {
     loop {
-        hold_connection(&name, &worker, address, &notify, &slot, &pulse).await;
+        hold_connection(&name, &worker, address, &notify, &slot, &liveness).await;
         slot.borrow_mut().take();
         notify(EntryNotice::Lost(worker.clone()));
-        tokio::time::sleep(RECONNECT_PAUSE).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// Connects, greets and returns when the connection is gone.
+/// Connects, calls hello and polls the load. Returns when the connection is lost.
 async fn hold_connection(
     name: &EntryName,
     worker: &WorkerName,
     address: SocketAddr,
     notify: &Notify,
-    slot: &Slot,
-    pulse: &Rc<Pulse>,
+    slot: &ClientSlot,
+    liveness: &Rc<Liveness>,
 ) {
     let connecting = tokio::net::TcpStream::connect(address);
     let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await else {
@@ -111,29 +112,29 @@
     let mut system = RpcSystem::new(Box::new(network), None);
     let client: wire::side::Client = system.bootstrap(rpc_twoparty_capnp::Side::Server);
     let mut system = tokio::task::spawn_local(system);
-    let greeting = greet(name, worker, &client, notify, pulse);
-    if let Ok(Ok(hello)) = tokio::time::timeout(CONNECT_TIMEOUT, greeting).await {
+    let hello_call = send_hello(name, worker, &client, notify, liveness);
+    if let Ok(Ok(hello)) = tokio::time::timeout(CONNECT_TIMEOUT, hello_call).await {
         slot.borrow_mut().replace(client.clone());
         notify(EntryNotice::Connected(hello));
         tokio::select! {
             _ = &mut system => {}
-            () = watch_load(worker, &client, notify, pulse) => {}
+            () = poll_load(worker, &client, notify, liveness) => {}
         }
     }
     system.abort();
 }
 
-async fn greet(
+async fn send_hello(
     name: &EntryName,
     worker: &WorkerName,
     client: &wire::side::Client,
     notify: &Notify,
-    pulse: &Rc<Pulse>,
+    liveness: &Rc<Liveness>,
 ) -> Result<SideHello, capnp::Error> {
     let feed: wire::batch_feed::Client = capnp_rpc::new_client(Feed {
         worker: worker.clone(),
         notify: notify.clone(),
-        pulse: pulse.clone(),
+        liveness: liveness.clone(),
     });
     let mut call = client.hello_request();
     call.get().set_entry(name.as_str());
--- a/crates/bluebellreel_rpc/src/entry/message.rs
+++ b/crates/bluebellreel_rpc/src/entry/message.rs
@@ -1,4 +1,4 @@
-//! What the daemon and its connections tell each other.
+//! Messages between the entry daemon and its connections.
 
 use bluebellreel_types::{
     AttemptEnd, AttemptId, AttemptVerdict, BatchReport, Dispatch, LoadReport, ModelVersion,
@@ -8,60 +8,61 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// Batch work handed out to one pull.
+/// Receives the batch items that answer one pull.
 #[derive(Debug)]
 pub struct PullAnswer(pub oneshot::Sender<Vec<Dispatch>>);
 
-/// What the daemon asks of its connections.
+/// A command from the entry daemon to its connections.
 #[derive(Clone, Debug)]
 pub enum EntryCommand {
-    /// Keep a connection to this worker's side process.
+    /// Connect to a worker's side process, and reconnect whenever the
+    /// connection is lost.
     Connect {
         /// The worker.
         worker: WorkerName,
-        /// Its side process.
+        /// Address of its side process.
         address: SocketAddr,
     },
-    /// Stop connecting to a worker.
+    /// Close the connection to a worker and do not reconnect.
     Disconnect(WorkerName),
-    /// Hand an attempt to a worker.
+    /// Submit an attempt to a worker.
     Submit {
-        /// Where to.
+        /// The worker that receives it.
         worker: WorkerName,
         /// The attempt.
         dispatch: Box<Dispatch>,
     },
-    /// Put an end to an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// Where it was sent.
+        /// The worker that the attempt was submitted to.
         worker: WorkerName,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Tell a worker that batch work waits.
+    /// Notify a worker that batch items are waiting.
     Offer {
         /// The worker.
         worker: WorkerName,
-        /// Items waiting.
+        /// Number of waiting items.
         waiting: u32,
     },
-    /// Stop batch items wherever they stand at this worker.
+    /// Stop batch items at this worker, whether they are queued or running.
     Withdraw {
         /// The worker.
         worker: WorkerName,
         /// The items' attempts.
         attempts: Vec<AttemptId>,
     },
-    /// Bring a manifest into force beside a worker.
+    /// Apply a manifest at a worker's side process.
     Configure {
         /// The worker.
         worker: WorkerName,
         /// The manifest's generation.
         generation: u64,
-        /// The manifest as accepted.
+        /// The text of the accepted manifest.
         manifest: Arc<str>,
     },
-    /// Let a worker leave: no new work, running work finishes.
+    /// Drain a worker: it takes no new work, and running work finishes.
     Drain(WorkerName),
     /// Order a worker to load a model.
     Order {
@@ -69,10 +70,10 @@
         worker: WorkerName,
         /// The order's fencing number.
         fence: u64,
-        /// What to load.
+        /// The model to load.
         model: ModelVersion,
     },
-    /// Tell a worker the highest fencing number that is known.
+    /// Announce the highest known fencing number to a worker.
     Fence {
         /// The worker.
         worker: WorkerName,
@@ -81,18 +82,18 @@
     },
 }
 
-/// What the connections tell the daemon.
+/// A notice from the connections to the entry daemon.
 #[derive(Debug)]
 pub enum EntryNotice {
-    /// A side process has answered the greeting.
+    /// A side process has answered the hello call.
     Connected(SideHello),
-    /// The connection is gone, or was never made.
+    /// The connection to a worker was lost or could not be established.
     Lost(WorkerName),
-    /// Part of an online answer.
+    /// Part of an online response.
     Part {
         /// The attempt.
         attempt: AttemptId,
-        /// Text that follows the parts before.
+        /// Text to append to the earlier parts.
         text: Arc<str>,
     },
     /// An online attempt has ended.
@@ -101,55 +102,55 @@
         worker: WorkerName,
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// How the attempt ended.
         end: AttemptEnd,
-        /// The worker's load, when it told.
+        /// The worker's load, if the side process reported it.
         load: Option<LoadReport>,
     },
-    /// Answer to a cancel.
+    /// The result of a cancel call.
     Verdict {
         /// The attempt.
         attempt: AttemptId,
-        /// What the side process knows.
+        /// The attempt's state at the side process.
         verdict: AttemptVerdict,
     },
-    /// A worker's load.
+    /// A worker reported its load.
     Load {
         /// The worker.
         worker: WorkerName,
         /// Its load.
         load: LoadReport,
     },
-    /// A worker has room for batch items.
+    /// A worker pulls batch items.
     Pull {
         /// The worker.
         worker: WorkerName,
-        /// How many it takes.
+        /// Maximum number of items.
         room: u32,
-        /// Where the items go.
+        /// Receives the items.
         answer: PullAnswer,
     },
     /// Batch items have ended.
     Reports {
-        /// The worker, for its health.
+        /// The worker, whose health the ends count towards.
         worker: WorkerName,
-        /// The ends.
+        /// How each item ended.
         reports: Vec<BatchReport>,
     },
     /// An order to load a model has ended.
     OrderEnded {
         /// The worker.
         worker: WorkerName,
-        /// What was to be loaded.
+        /// The model that was ordered.
         model: ModelVersion,
-        /// Whether it is there.
+        /// Whether the model was loaded.
         loaded: bool,
     },
-    /// A worker's side process has a manifest in force.
+    /// A worker's side process has applied a manifest.
     Applied {
         /// The worker.
         worker: WorkerName,
-        /// The generation in force there.
+        /// The generation of the applied manifest.
         generation: u64,
     },
 }
--- a/crates/bluebellreel_rpc/src/lib.rs
+++ b/crates/bluebellreel_rpc/src/lib.rs
@@ -1,14 +1,14 @@
-//! The protocol between an entry daemon and a side process, by `capnp-rpc`.
+//! The protocol between entry daemons and side processes, over `capnp-rpc`.
 //!
-//! An entry connects to every side process that it routes to and hands it a
-//! capability to pull batch work from. Online answers stream back through a
-//! sink that belongs to a single attempt, so a late or crossed answer has no
-//! way to another caller.
+//! An entry daemon connects to every side process that it routes to and passes it
+//! a capability for pulling batch items. Online responses are streamed back
+//! through a sink that belongs to a single attempt, so a late or misdirected
+//! response cannot reach another caller.
 //!
-//! `capnp-rpc` is not `Send`: each process runs it on a thread of its own and
-//! talks to it by channels ([`EntryCommand`] and [`EntryNotice`] on the entry,
-//! [`SideCommand`] and [`SideNotice`] beside the backend server). All
-//! conversions between wire and domain types live in `convert`.
+//! `capnp-rpc` is not `Send`: each process runs it on a dedicated thread and
+//! communicates with that thread over channels ([`EntryCommand`] and
+//! [`EntryNotice`] in the entry daemon, [`SideCommand`] and [`SideNotice`] in the
+//! side process). All conversions between wire and domain types are in `convert`.
 //!
 //! ```
 //! let address: std::net::SocketAddr = "127.0.0.1:7000".parse().unwrap();
--- a/crates/bluebellreel_rpc/src/side.rs
+++ b/crates/bluebellreel_rpc/src/side.rs
@@ -1,4 +1,4 @@
-//! The side process's end: serves entries and pulls batch work from them.
+//! The side process's end: serves entry daemons and pulls batch items from them.
 
 use crate::convert;
 use crate::side_capnp as wire;
@@ -14,130 +14,132 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-/// What the side process asks of its connections.
+/// A command from the side process to its connections.
 #[derive(Clone, Debug)]
 pub enum SideCommand {
-    /// Send part of an online answer.
+    /// Send part of an online response.
     Part {
         /// The attempt.
         attempt: AttemptId,
         /// The text.
         text: Arc<str>,
     },
-    /// Tell the end of an online attempt.
+    /// Send the end of an online attempt.
     End {
         /// The attempt.
         attempt: AttemptId,
         /// How it ended.
         end: AttemptEnd,
-        /// The load now.
+        /// The worker's current load.
         load: LoadReport,
     },
-    /// Ask an entry for batch items.
+    /// Pull batch items from an entry daemon.
     Pull {
-        /// The entry.
+        /// The entry daemon.
         entry: EntryName,
-        /// How many.
+        /// Maximum number of items.
         room: u32,
     },
-    /// Tell an entry how its batch items ended.
+    /// Report to an entry daemon how its batch items ended.
     Report {
-        /// The entry.
+        /// The entry daemon.
         entry: EntryName,
-        /// The ends.
+        /// How each item ended.
         reports: Vec<BatchReport>,
     },
 }
 
-/// What the connections tell the side process.
+/// A notice from the connections to the side process.
 #[derive(Debug)]
 pub enum SideNotice {
-    /// An entry has connected.
+    /// An entry daemon has connected.
     Connected(EntryName),
-    /// An entry's connection is gone.
+    /// An entry daemon's connection was lost.
     Lost(EntryName),
-    /// An online attempt.
+    /// An entry daemon submitted an online attempt.
     Submitted {
-        /// Who sent it.
+        /// The entry daemon that submitted it.
         entry: EntryName,
         /// The attempt.
         dispatch: Box<Dispatch>,
     },
-    /// An attempt is to end.
+    /// Cancellation of an attempt was requested.
     CancelRequested {
         /// The attempt.
         attempt: AttemptId,
-        /// Where the verdict goes.
+        /// Receives the attempt's state.
         answer: oneshot::Sender<AttemptVerdict>,
     },
-    /// Batch items are to stop, unreported.
+    /// Batch items must stop without being reported.
     Withdrawn(Vec<AttemptId>),
-    /// An entry has batch work.
+    /// An entry daemon has batch items waiting.
     Offered {
-        /// The entry.
+        /// The entry daemon.
         entry: EntryName,
-        /// Items waiting there.
+        /// Number of waiting items.
         waiting: u32,
     },
-    /// Answer to a pull.
+    /// The response to a pull.
     Pulled {
-        /// The entry.
+        /// The entry daemon.
         entry: EntryName,
-        /// The items, empty for none.
+        /// The items; empty if there are none or the pull failed.
         items: Vec<Dispatch>,
     },
-    /// Reports that could not be delivered.
+    /// Reports could not be delivered to an entry daemon.
     ReportLost {
-        /// The entry.
+        /// The entry daemon.
         entry: EntryName,
     },
-    /// The load is asked for.
+    /// The load was requested.
     LoadRequested(oneshot::Sender<LoadReport>),
-    /// An entry has been told the load.
+    /// An entry daemon was sent the load, as the response to a load call or with
+    /// an attempt's end that it has acknowledged.
     LoadDelivered {
-        /// The entry.
+        /// The entry daemon.
         entry: EntryName,
-        /// Whether it knows now that the worker takes nothing new.
+        /// Whether the report says that the worker takes no new work.
         leaving: bool,
     },
-    /// The end of an online attempt or a report has reached its entry, or has
-    /// been given up.
+    /// Delivery of an online attempt's end or of a batch report has succeeded or
+    /// failed.
     Delivered,
-    /// A manifest to bring into force.
+    /// A manifest must be applied.
     Configured {
-        /// Its generation.
+        /// The manifest's generation.
         generation: u64,
-        /// The manifest as accepted.
+        /// The text of the accepted manifest.
         manifest: Arc<str>,
-        /// Where the generation in force goes.
+        /// Receives the generation of the applied manifest.
         answer: oneshot::Sender<u64>,
     },
-    /// The worker is to leave.
+    /// A drain of the worker was requested.
     DrainRequested,
-    /// A fencing number that an entry knows.
+    /// An entry daemon announced a fencing number.
     FenceAnnounced(u64),
-    /// A model is to be loaded.
+    /// A model load was ordered.
     Ordered {
         /// The order's fencing number.
         fence: u64,
-        /// What to load.
+        /// The model to load.
         model: ModelVersion,
-        /// Whether it was loaded.
+        /// Receives whether the model was loaded.
         answer: oneshot::Sender<bool>,
     },
 }
 
 type Notify = Rc<dyn Fn(SideNotice)>;
 
-struct OpenSink {
+struct OnlineAttempt {
     entry: EntryName,
     sink: wire::sink::Client,
+    /// Completes the entry daemon's submit call.
     closed: oneshot::Sender<()>,
 }
 
 #[derive(Default)]
 struct Shared {
-    sinks: HashMap<AttemptId, OpenSink>,
+    sinks: HashMap<AttemptId, OnlineAttempt>,
     feeds: HashMap<EntryName, wire::batch_feed::Client>,
 }
 
@@ -145,19 +147,19 @@
     hello: SideHello,
     notify: Notify,
     shared: Rc<RefCell<Shared>>,
+    /// The connected entry daemon's name, known after its hello call.
     entry: RefCell<Option<EntryName>>,
 }
 
 impl Service {
     fn entry(&self) -> Result<EntryName, capnp::Error> {
-        self.entry
-            .borrow()
-            .clone()
-            .ok_or_else(|| capnp::Error::failed("no greeting yet".into()))
+        self.entry.borrow().clone().ok_or_else(|| {
+            capnp::Error::failed("hello has not been called on this connection".into())
+        })
     }
 }
 
-fn gone<T>(_: T) -> capnp::Error {
+fn stopping_error<T>(_: T) -> capnp::Error {
     capnp::Error::disconnected("the side process is stopping".into())
 }
 
@@ -186,8 +188,8 @@
         let params = params.get()?;
         let dispatch = Box::new(convert::read_dispatch(params.get_dispatch()?)?);
         let sink = params.get_sink()?;
-        let (closed, end_told) = oneshot::channel();
-        let open = OpenSink {
+        let (closed, end_sent) = oneshot::channel();
+        let online = OnlineAttempt {
             entry: entry.clone(),
             sink,
             closed,
@@ -195,9 +197,9 @@
         self.shared
             .borrow_mut()
             .sinks
-            .insert(dispatch.attempt, open);
+            .insert(dispatch.attempt, online);
         (self.notify)(SideNotice::Submitted { entry, dispatch });
-        end_told.await.map_err(gone)
+        end_sent.await.map_err(stopping_error)
     }
 
     async fn cancel(
@@ -208,7 +210,7 @@
         let attempt = convert::read_attempt(params.get()?.get_attempt()?);
         let (answer, verdict) = oneshot::channel();
         (self.notify)(SideNotice::CancelRequested { attempt, answer });
-        match verdict.await.map_err(gone)? {
+        match verdict.await.map_err(stopping_error)? {
             AttemptVerdict::NeverSeen => results.get().set_never_seen(true),
             AttemptVerdict::Running => results.get().set_running(true),
             AttemptVerdict::Ended(end) => convert::write_end(results.get().init_ended(), &end),
@@ -234,7 +236,7 @@
     ) -> Result<(), capnp::Error> {
         let (answer, load) = oneshot::channel();
         (self.notify)(SideNotice::LoadRequested(answer));
-        let load = load.await.map_err(gone)?;
+        let load = load.await.map_err(stopping_error)?;
         convert::write_load(results.get().init_load(), &load);
         if let Some(entry) = self.entry.borrow().clone() {
             let leaving = load.leaving;
@@ -266,7 +268,9 @@
             manifest: Arc::from(params.get_manifest()?.to_str()?),
             answer,
         });
-        results.get().set_applied(applied.await.map_err(gone)?);
+        results
+            .get()
+            .set_applied(applied.await.map_err(stopping_error)?);
         Ok(())
     }
 
@@ -285,7 +289,9 @@
             },
             answer,
         });
-        results.get().set_loaded(loaded.await.map_err(gone)?);
+        results
+            .get()
+            .set_loaded(loaded.await.map_err(stopping_error)?);
         Ok(())
     }
 
@@ -309,10 +315,10 @@
     }
 }
 
-/// Serves entries on `listener` until the command channel closes.
+/// Serves entry daemons on `listener` until the command channel closes.
 ///
 /// Must be called within a `tokio::task::LocalSet`. `notify` is called on this
-/// thread for whatever comes in.
+/// thread for each message and connection event.
 pub async fn run_side(
     hello: SideHello,
     listener: tokio::net::TcpListener,
@@ -367,18 +373,18 @@
 fn run_command(command: SideCommand, shared: &Rc<RefCell<Shared>>, notify: &Notify) {
     match command {
         SideCommand::Part { attempt, text } => {
-            if let Some(open) = shared.borrow().sinks.get(&attempt) {
-                let mut call = open.sink.write_request();
+            if let Some(online) = shared.borrow().sinks.get(&attempt) {
+                let mut call = online.sink.write_request();
                 call.get().set_text(&*text);
                 tokio::task::spawn_local(call.send());
             }
         }
         SideCommand::End { attempt, end, load } => {
-            let open = shared.borrow_mut().sinks.remove(&attempt);
+            let online = shared.borrow_mut().sinks.remove(&attempt);
             let notify = notify.clone();
             tokio::task::spawn_local(async move {
-                if let Some(open) = open {
-                    send_end(open, end, load, &notify).await;
+                if let Some(online) = online {
+                    send_end(online, end, load, &notify).await;
                 }
                 notify(SideNotice::Delivered);
             });
@@ -400,26 +406,26 @@
     }
 }
 
-async fn send_end(open: OpenSink, end: AttemptEnd, load: LoadReport, notify: &Notify) {
-    let mut call = open.sink.end_request();
+async fn send_end(online: OnlineAttempt, end: AttemptEnd, load: LoadReport, notify: &Notify) {
+    let mut call = online.sink.end_request();
     convert::write_end(call.get().init_end(), &end);
     convert::write_load(call.get().init_load(), &load);
     if call.send().promise.await.is_ok() {
-        let (entry, leaving) = (open.entry, load.leaving);
+        let (entry, leaving) = (online.entry, load.leaving);
         notify(SideNotice::LoadDelivered { entry, leaving });
     }
-    open.closed.send(()).ok();
+    online.closed.send(()).ok();
 }
 
 async fn pull(entry: EntryName, room: u32, feed: Option<wire::batch_feed::Client>, notify: Notify) {
     let items = match feed {
-        Some(feed) => ask_items(room, &feed).await.unwrap_or_default(),
+        Some(feed) => pull_items(room, &feed).await.unwrap_or_default(),
         None => Vec::new(),
     };
     notify(SideNotice::Pulled { entry, items });
 }
 
-async fn ask_items(
+async fn pull_items(
     room: u32,
     feed: &wire::batch_feed::Client,
 ) -> Result<Vec<Dispatch>, capnp::Error> {
@@ -430,7 +436,8 @@
     items.iter().map(convert::read_dispatch).collect()
 }
 
-/// Tells an entry how its batch items ended; whether it has heard.
+/// Reports to an entry daemon how its batch items ended. Returns whether the
+/// report was delivered.
 async fn report(reports: &[BatchReport], feed: Option<wire::batch_feed::Client>) -> bool {
     let Some(feed) = feed else {
         return false;
