--- a/crates/bluebellreel_http/src/client.rs
+++ b/crates/bluebellreel_http/src/client.rs
@@ -1,9 +1,9 @@
-//! What a failed call tells.
+//! Interpretation of failed HTTP calls.
 
 use std::io;
 
-/// Whether a call failed before anything was sent, so that it surely did not
-/// run. All other failures leave it open.
+/// Whether a call failed before anything was sent, so that it certainly did not
+/// run. After any other failure it is unknown whether the call ran.
 #[must_use]
 pub fn is_unsent(error: &ureq::Error) -> bool {
     match error {
--- a/crates/bluebellreel_http/src/error.rs
+++ b/crates/bluebellreel_http/src/error.rs
@@ -1,22 +1,22 @@
-//! Errors as callers see them.
+//! Error responses to callers.
 
 use bluebellreel_types::Ran;
 use serde::Serialize;
 use std::fmt;
 use std::time::Duration;
 
-/// An error answer.
+/// An error response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApiError {
     /// HTTP status.
     pub status: u16,
-    /// Short code for programs.
+    /// Machine-readable error code.
     pub code: &'static str,
-    /// Sentence for people.
+    /// Human-readable description.
     pub message: String,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When to ask again, if that may help.
+    /// How long to wait before a retry, if a retry may help.
     pub retry_after: Option<Duration>,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl ApiError {
-    /// An error of a request that did not run.
+    /// Creates an error for a request that did not run.
     #[must_use]
     pub fn new(status: u16, code: &'static str, message: impl Into<String>) -> Self {
         Self {
@@ -45,13 +45,13 @@
         }
     }
 
-    /// The same error with another answer to "did it run".
+    /// Sets whether the request ran.
     #[must_use]
     pub fn ran(self, ran: Ran) -> Self {
         Self { ran, ..self }
     }
 
-    /// The same error with a time to come back.
+    /// Sets how long to wait before a retry.
     #[must_use]
     pub fn retry_after(self, span: Duration) -> Self {
         Self {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The JSON body.
+    /// The JSON body of the response.
     #[must_use]
     pub fn body(&self) -> Vec<u8> {
         let body = Body {
--- a/crates/bluebellreel_http/src/lib.rs
+++ b/crates/bluebellreel_http/src/lib.rs
@@ -1,27 +1,28 @@
-//! HTTP at the rim of the system, over `hyper` and `ureq`.
+//! HTTP server and client helpers, over `hyper` and `ureq`.
 //!
-//! One loop reads heads and writes answers, with the connections of
-//! `bluebellreel_net`; each request is handled on a thread of its own, and their
-//! number is bounded. Heads and bodies are bounded in bytes and in time, so that
-//! a caller that sends too much, too slowly or not all of it harms nobody else.
+//! One event loop reads request heads and writes responses on the connections of
+//! `bluebellreel_net`. Each request is handled on its own thread, and the number
+//! of these threads is limited. Heads and bodies are limited in size and in time,
+//! so that a caller that sends too much, too slowly or only a part of a request
+//! does not affect others.
 //!
 //! ```
 //! let error = bluebellreel_http::ApiError::new(404, "not_found", "no such path");
 //! assert_eq!(error.status, 404);
 //! ```
 
-mod answer;
 mod client;
 mod error;
 mod method;
 mod request;
+mod response;
 mod server;
 mod stream;
 
-pub use answer::{Reply, respond};
 pub use client::is_unsent;
 pub use error::ApiError;
 pub use method::Method;
 pub use request::{BodyLimits, Request, body_read_error, header, read_body};
+pub use response::{Reply, respond};
 pub use server::{HttpServer, serve};
 pub use stream::ChunkedStream;
--- a/crates/bluebellreel_http/src/method.rs
+++ b/crates/bluebellreel_http/src/method.rs
@@ -1,24 +1,24 @@
-//! What a request asks for.
+//! HTTP methods.
 
-/// A request's method.
+/// An HTTP request method.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Method {
-    /// Read.
+    /// `GET`: read a resource.
     Get,
-    /// Read the head only.
+    /// `HEAD`: read a resource's headers only.
     Head,
-    /// Hand in.
+    /// `POST`: submit data.
     Post,
-    /// Put in place.
+    /// `PUT`: create or replace a resource.
     Put,
-    /// Take away.
+    /// `DELETE`: remove a resource.
     Delete,
-    /// Any other.
+    /// Any other method, by name.
     Other(String),
 }
 
 impl Method {
-    /// Its name.
+    /// The method's name.
     #[must_use]
     pub fn as_str(&self) -> &str {
         match self {
--- a/crates/bluebellreel_http/src/request.rs
+++ b/crates/bluebellreel_http/src/request.rs
@@ -1,9 +1,9 @@
-//! Requests and reading them.
+//! Requests and their bodies.
 //!
-//! A handler runs on a thread of its own and asks the loop for its body piece
-//! by piece, each with a deadline.
+//! A handler runs on its own thread and requests the body from the event loop
+//! chunk by chunk. Each chunk request carries a deadline.
 
-use crate::answer::AnswerBody;
+use crate::response::ResponseBody;
 use crate::{ApiError, Method};
 use bytes::{Buf, Bytes};
 use http::header::{CONNECTION, HeaderValue};
@@ -16,90 +16,93 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
 
-/// Bytes read at one time.
-const PIECE: usize = 64 << 10;
+/// Buffer size for reading a body, in bytes.
+const READ_CHUNK_BYTES: usize = 64 << 10;
 
-/// Counts a request as long as it is in progress, even if its handler panics.
-pub(crate) struct InProgress(Arc<AtomicUsize>);
+/// Counts a request as in progress until it is dropped, also if its handler
+/// panics.
+pub(crate) struct InProgressGuard(Arc<AtomicUsize>);
 
-impl InProgress {
+impl InProgressGuard {
     pub(crate) fn begin(count: &Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::SeqCst);
         Self(count.clone())
     }
 }
 
-impl Drop for InProgress {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// A handler's wish for the next piece of its body.
-struct Pull {
-    until: Option<Instant>,
-    piece: oneshot::Sender<io::Result<Option<Bytes>>>,
+/// A handler's request for the next chunk of its body.
+struct ChunkRequest {
+    deadline: Option<Instant>,
+    chunk: oneshot::Sender<io::Result<Option<Bytes>>>,
 }
 
-/// A body, as a handler's thread reads it.
+/// Reads a body on the handler's thread.
 struct BodyReader {
-    pulls: mpsc::UnboundedSender<Pull>,
-    until: Option<Instant>,
-    piece: Bytes,
+    requests_tx: mpsc::UnboundedSender<ChunkRequest>,
+    deadline: Option<Instant>,
+    chunk: Bytes,
     ended: bool,
 }
 
 impl BodyReader {
-    /// Serves a body's pieces on the loop.
+    /// Starts a task on the event loop that reads the body's chunks on request.
     fn serve(mut body: Incoming) -> Self {
-        let (pulls, mut asked) = mpsc::unbounded_channel::<Pull>();
+        let (requests_tx, mut requests_rx) = mpsc::unbounded_channel::<ChunkRequest>();
         let ended = body.is_end_stream();
         tokio::task::spawn_local(async move {
-            while let Some(pull) = asked.recv().await {
-                let piece = next_piece(&mut body, pull.until).await;
-                // A handler that is gone needs no piece.
-                let _ = pull.piece.send(piece);
+            while let Some(request) = requests_rx.recv().await {
+                let chunk = next_chunk(&mut body, request.deadline).await;
+                // Sending fails if the handler has ended and needs no chunk.
+                let _ = request.chunk.send(chunk);
             }
         });
         Self {
-            pulls,
-            until: None,
-            piece: Bytes::new(),
+            requests_tx,
+            deadline: None,
+            chunk: Bytes::new(),
             ended,
         }
     }
 
-    fn pull(&self) -> io::Result<Option<Bytes>> {
-        let (piece, comes) = oneshot::channel();
-        let pull = Pull {
-            until: self.until,
-            piece,
+    fn request_chunk(&self) -> io::Result<Option<Bytes>> {
+        let (chunk, chunk_rx) = oneshot::channel();
+        let request = ChunkRequest {
+            deadline: self.deadline,
+            chunk,
         };
-        let gone = || io::Error::from(io::ErrorKind::UnexpectedEof);
-        self.pulls.send(pull).map_err(|_| gone())?;
-        comes.blocking_recv().map_err(|_| gone())?
+        let unexpected_eof = || io::Error::from(io::ErrorKind::UnexpectedEof);
+        self.requests_tx
+            .send(request)
+            .map_err(|_| unexpected_eof())?;
+        chunk_rx.blocking_recv().map_err(|_| unexpected_eof())?
     }
 }
 
 impl Read for BodyReader {
     fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
-        while self.piece.is_empty() && !self.ended {
-            match self.pull()? {
-                Some(piece) => self.piece = piece,
+        while self.chunk.is_empty() && !self.ended {
+            match self.request_chunk()? {
+                Some(chunk) => self.chunk = chunk,
                 None => self.ended = true,
             }
         }
-        let n = self.piece.len().min(buf.len());
-        self.piece.copy_to_slice(&mut buf[..n]);
+        let n = self.chunk.len().min(buf.len());
+        self.chunk.copy_to_slice(&mut buf[..n]);
         Ok(n)
     }
 }
 
-/// The next piece of a body; none at its end.
-async fn next_piece(body: &mut Incoming, until: Option<Instant>) -> io::Result<Option<Bytes>> {
+/// Reads the next chunk of a body; `None` at its end.
+async fn next_chunk(body: &mut Incoming, deadline: Option<Instant>) -> io::Result<Option<Bytes>> {
     loop {
-        let frame = match until {
-            Some(until) => tokio::time::timeout_at(until.into(), body.frame())
+        let frame = match deadline {
+            Some(deadline) => tokio::time::timeout_at(deadline.into(), body.frame())
                 .await
                 .map_err(|_| io::ErrorKind::TimedOut)?,
             None => body.frame().await,
@@ -114,22 +117,22 @@
     }
 }
 
-/// A request. One that is dropped unanswered is answered with an error.
+/// A request. If it is dropped without a response, the server sends an error.
 pub struct Request {
     head: http::request::Parts,
     method: Method,
     url: String,
     body: BodyReader,
-    answer: oneshot::Sender<Response<AnswerBody>>,
-    in_progress: InProgress,
+    response_tx: oneshot::Sender<Response<ResponseBody>>,
+    in_progress: InProgressGuard,
 }
 
 impl Request {
-    /// A request whose body is read on the present local task set.
+    /// Creates a request whose body is read by a task on the current `LocalSet`.
     pub(crate) fn new(
         req: hyper::Request<Incoming>,
-        answer: oneshot::Sender<Response<AnswerBody>>,
-        in_progress: InProgress,
+        response_tx: oneshot::Sender<Response<ResponseBody>>,
+        in_progress: InProgressGuard,
     ) -> Self {
         let (head, body) = req.into_parts();
         Self {
@@ -137,12 +140,12 @@
             url: head.uri.to_string(),
             head,
             body: BodyReader::serve(body),
-            answer,
+            response_tx,
             in_progress,
         }
     }
 
-    /// What it asks for.
+    /// The request method.
     #[must_use]
     pub fn method(&self) -> &Method {
         &self.method
@@ -154,73 +157,74 @@
         &self.url
     }
 
-    /// Bytes of the body, if they were announced.
+    /// The body's length in bytes according to `Content-Length`, if present.
     #[must_use]
     pub fn body_length(&self) -> Option<usize> {
         header(self, "Content-Length")?.parse().ok()
     }
 
-    /// The time by which the body must be read; past it, reading fails.
-    pub fn set_read_deadline(&mut self, until: Option<Instant>) {
-        self.body.until = until;
+    /// Sets the time after which reading the body fails; `None` for no limit.
+    pub fn set_read_deadline(&mut self, deadline: Option<Instant>) {
+        self.body.deadline = deadline;
     }
 
-    /// The body.
+    /// The request body.
     pub fn as_reader(&mut self) -> &mut dyn Read {
         &mut self.body
     }
 
-    /// Sends an answer. The request stays in progress as long as what is given
-    /// back lives.
-    pub(crate) fn answer(self, mut answer: Response<AnswerBody>) -> InProgress {
+    /// Sends a response. The request counts as in progress until the returned guard
+    /// is dropped.
+    pub(crate) fn send_response(self, mut response: Response<ResponseBody>) -> InProgressGuard {
         if !self.body.ended {
-            // What is left of the body is not read as the next request.
+            // Closes the connection, so that the unread rest of the body is not
+            // parsed as the next request.
             let close = HeaderValue::from_static("close");
-            answer.headers_mut().insert(CONNECTION, close);
+            response.headers_mut().insert(CONNECTION, close);
         }
-        // A caller that has gone away needs no answer.
-        let _ = self.answer.send(answer);
+        // Sending fails if the caller has disconnected and needs no response.
+        let _ = self.response_tx.send(response);
         self.in_progress
     }
 }
 
-/// Bounds of a body.
+/// Limits of a request body.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyLimits {
-    /// Most bytes.
+    /// Maximum size in bytes.
     pub bytes: usize,
-    /// Longest time to read it.
+    /// Maximum time for reading the body.
     pub time: Duration,
 }
 
-/// A header's value.
+/// A header's value, if the header is present and valid text.
 #[must_use]
 pub fn header<'a>(req: &'a Request, name: &'static str) -> Option<&'a str> {
     req.head.headers.get(name)?.to_str().ok()
 }
 
-/// Reads a body whole.
+/// Reads a request body in full.
 ///
 /// # Errors
 ///
-/// Gives the answer for a body that is too large, too slow or cut short.
+/// Returns the error response for a body that is too large, too slow or truncated.
 pub fn read_body(req: &mut Request, limits: BodyLimits) -> Result<Vec<u8>, ApiError> {
     let announced = req.body_length();
     if announced.is_some_and(|length| length > limits.bytes) {
         return Err(too_large(limits.bytes));
     }
-    // A caller that trickles its body, or sends half of it and then nothing,
-    // must not hold a thread, or a stop, for ever.
+    // Without a deadline, a caller that sends its body very slowly, or only half of
+    // it, would occupy a thread and delay a stop indefinitely.
     req.set_read_deadline(Some(Instant::now() + limits.time));
     let mut body = Vec::with_capacity(announced.unwrap_or(0).min(limits.bytes));
-    let mut piece = vec![0; PIECE];
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
     let reader = req.as_reader();
     loop {
-        let read = reader.read(&mut piece).map_err(|e| body_read_error(&e))?;
+        let read = reader.read(&mut chunk).map_err(|e| body_read_error(&e))?;
         if read == 0 {
             break;
         }
-        body.extend_from_slice(&piece[..read]);
+        body.extend_from_slice(&chunk[..read]);
         if body.len() > limits.bytes {
             return Err(too_large(limits.bytes));
         }
@@ -228,7 +232,7 @@
     Ok(body)
 }
 
-/// The answer for a body that cannot be read on.
+/// The error response for a request body whose reading failed.
 #[must_use]
 pub fn body_read_error(error: &io::Error) -> ApiError {
     if error.kind() == io::ErrorKind::TimedOut {
--- a/crates/bluebellreel_http/src/answer.rs
+++ b/crates/bluebellreel_http/src/response.rs
@@ -1,4 +1,4 @@
-//! Whole answers.
+//! Responses whose body is known in full.
 
 use crate::{ApiError, Request};
 use bluebellreel_net::{Body, Broken};
@@ -10,25 +10,25 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The body of an answer on its way from a handler's thread to the loop.
-pub(crate) enum AnswerBody {
-    Whole(Bytes),
-    Pieces(mpsc::Receiver<Result<Bytes, Broken>>),
+/// A response body, passed from a handler's thread to the event loop.
+pub(crate) enum ResponseBody {
+    Full(Bytes),
+    Stream(mpsc::Receiver<Result<Bytes, Broken>>),
 }
 
-impl From<AnswerBody> for Body {
-    fn from(body: AnswerBody) -> Self {
+impl From<ResponseBody> for Body {
+    fn from(body: ResponseBody) -> Self {
         match body {
-            AnswerBody::Whole(bytes) => Self::full(bytes),
-            AnswerBody::Pieces(rx) => Self::stream(futures::stream::unfold(rx, |mut rx| async {
-                let piece = rx.recv().await?;
-                Some((piece, rx))
+            ResponseBody::Full(bytes) => Self::full(bytes),
+            ResponseBody::Stream(rx) => Self::stream(futures::stream::unfold(rx, |mut rx| async {
+                let chunk = rx.recv().await?;
+                Some((chunk, rx))
             })),
         }
     }
 }
 
-/// An answer that is known as a whole.
+/// A response whose body is known in full.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// HTTP status.
@@ -37,21 +37,21 @@
     pub kind: &'static str,
     /// Body.
     pub body: Arc<[u8]>,
-    /// Entity tag, if the answer has one.
+    /// Entity tag without its quotes, if the response has one.
     pub tag: Option<String>,
-    /// When to ask again.
+    /// How long the caller waits before a retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Reply {
-    /// A JSON answer.
+    /// Creates a JSON response.
     #[must_use]
     pub fn json(status: u16, value: &impl Serialize) -> Self {
         let body = serde_json::to_vec(value).unwrap_or_default();
         Self::bytes(status, "application/json", body)
     }
 
-    /// An answer of any type.
+    /// Creates a response with any content type.
     #[must_use]
     pub fn bytes(status: u16, kind: &'static str, body: impl Into<Arc<[u8]>>) -> Self {
         Self {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The same answer with an entity tag.
+    /// Adds an entity tag.
     #[must_use]
     pub fn tagged(self, tag: impl Into<String>) -> Self {
         Self {
@@ -82,19 +82,19 @@
     }
 }
 
-/// Sends an answer; a caller that has gone away is no error.
+/// Sends a response. It is not an error if the caller has disconnected.
 pub fn respond(req: Request, reply: &Reply) {
-    let answer = response_of(reply);
-    req.answer(answer);
+    let response = response_of(reply);
+    req.send_response(response);
 }
 
-/// A reply as the HTTP library takes it.
-pub(crate) fn response_of(reply: &Reply) -> Response<AnswerBody> {
+/// Converts a reply to the HTTP library's response type.
+pub(crate) fn response_of(reply: &Reply) -> Response<ResponseBody> {
     let body = Bytes::copy_from_slice(&reply.body);
-    let mut answer = Response::new(AnswerBody::Whole(body));
+    let mut response = Response::new(ResponseBody::Full(body));
     let status = StatusCode::from_u16(reply.status);
-    *answer.status_mut() = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let headers = answer.headers_mut();
+    *response.status_mut() = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static(reply.kind));
     if let Some(tag) = &reply.tag {
         headers.insert(ETAG, text_header(&format!("\"{tag}\"")));
@@ -103,7 +103,7 @@
         let seconds = span.as_millis().div_ceil(1_000).max(1);
         headers.insert(RETRY_AFTER, text_header(&seconds.to_string()));
     }
-    answer
+    response
 }
 
 fn text_header(text: &str) -> HeaderValue {
--- a/crates/bluebellreel_http/src/server.rs
+++ b/crates/bluebellreel_http/src/server.rs
@@ -1,7 +1,7 @@
-//! Accepting requests, and the order of a stop.
+//! Accepts and dispatches requests, and stops in phases.
 
-use crate::answer::response_of;
-use crate::request::InProgress;
+use crate::request::InProgressGuard;
+use crate::response::response_of;
 use crate::{ApiError, Request};
 use bluebellreel_net::{Body, Served, Stop};
 use bluebellreel_types::Ran;
@@ -17,19 +17,20 @@
 use tokio::sync::oneshot;
 use tokio::task::LocalSet;
 
-/// Bytes of all headers together.
-const MOST_HEADER_BYTES: usize = 32 << 10;
-/// Stack of a request's thread.
-const STACK: usize = 512 << 10;
-/// Longest that a connection may stay without a whole head. Idle ones cost no
-/// thread; callers' pools keep them for less than a minute.
-const IDLE: Duration = Duration::from_secs(75);
-/// When a caller may come back that came too early.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// Maximum total size of a request's headers, in bytes.
+const MAX_HEADER_BYTES: usize = 32 << 10;
+/// Stack size of a request's thread, in bytes.
+const STACK_BYTES: usize = 512 << 10;
+/// Maximum time that a connection may stay open without a complete request head.
+/// Idle connections occupy no thread, and callers' connection pools keep them for
+/// less than a minute.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(75);
+/// Retry delay sent to callers that are refused because of overload.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// A running server.
 pub struct HttpServer {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
     stop: Stop,
     state: Arc<State>,
@@ -38,43 +39,45 @@
 #[derive(Default)]
 struct State {
     in_progress: Arc<AtomicUsize>,
-    leaving: AtomicBool,
-    gone: AtomicBool,
+    draining: AtomicBool,
+    closed: AtomicBool,
 }
 
 impl HttpServer {
-    /// Requests in progress: from the end of their head to that of the answer.
+    /// Number of requests in progress. A request is in progress from the end of its
+    /// head to the end of its response.
     #[must_use]
     pub fn in_progress(&self) -> usize {
         self.state.in_progress.load(Ordering::SeqCst)
     }
 
-    /// Goes on taking whatever comes, but closes each connection with the next
-    /// answer, so that callers go elsewhere.
+    /// Keeps accepting requests, but closes each connection after its next response,
+    /// so that callers connect to other servers.
     pub fn start_draining(&self) {
-        self.state.leaving.store(true, Ordering::SeqCst);
+        self.state.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Stops accepting and closes idle connections; what has been sent is read,
-    /// and requests in progress go on and are answered.
+    /// Stops accepting connections and closes idle ones. Requests that callers have
+    /// already sent are read and get a response, as do requests in progress.
     pub fn stop(&self) {
         self.start_draining();
         self.stop.finish();
     }
 
-    /// Whether nobody can connect any more and all connections are closed.
+    /// Whether the server no longer listens and all connections are closed.
     #[must_use]
     pub fn is_closed(&self) -> bool {
-        self.state.gone.load(Ordering::SeqCst)
+        self.state.closed.load(Ordering::SeqCst)
     }
 }
 
-/// Listens at an address and hands each request to `handle` on a thread of its
-/// own, at most `threads` at one time.
+/// Listens on an address and calls `handle` for each request on a new thread, with
+/// at most `threads` of them at the same time.
 ///
 /// # Errors
 ///
-/// Gives the system's error when the address cannot be bound.
+/// Returns the operating system's error if the address cannot be bound or the
+/// event loop's thread cannot be started.
 pub fn serve(
     address: SocketAddr,
     threads: usize,
@@ -89,19 +92,27 @@
     };
     let address = listener.local_addr()?;
     let (stop, state) = (Stop::default(), Arc::new(State::default()));
-    let (asked, shared) = (stop.clone(), state.clone());
+    let (loop_stop, loop_state) = (stop.clone(), state.clone());
     let handle = Arc::new(handle);
     thread::Builder::new()
         .name("http-loop".into())
         .spawn(move || {
-            let served = Served::default();
-            let of_loop = shared.clone();
+            let connections = Served::default();
+            let end_state = loop_state.clone();
             LocalSet::new().block_on(&runtime, async {
-                let answer = move |req| answer(shared.clone(), threads, handle.clone(), req);
-                bluebellreel_net::serve(listener, asked, served.clone(), || IDLE, answer).await;
-                served.over().await;
+                let respond =
+                    move |req| handle_request(loop_state.clone(), threads, handle.clone(), req);
+                bluebellreel_net::serve(
+                    listener,
+                    loop_stop,
+                    connections.clone(),
+                    || HEAD_TIMEOUT,
+                    respond,
+                )
+                .await;
+                connections.over().await;
             });
-            of_loop.gone.store(true, Ordering::SeqCst);
+            end_state.closed.store(true, Ordering::SeqCst);
         })?;
     Ok(HttpServer {
         address,
@@ -110,9 +121,9 @@
     })
 }
 
-/// Has a request answered by its handler, and ends the connection with it while
-/// the server stops.
-async fn answer<H>(
+/// Runs the handler for a request and returns its response. While the server is
+/// draining, the response closes the connection.
+async fn handle_request<H>(
     state: Arc<State>,
     threads: usize,
     handle: Arc<H>,
@@ -121,61 +132,66 @@
 where
     H: Fn(Request) + Send + Sync + 'static,
 {
-    let mut answer = match refusal(&state, threads, &req) {
+    let mut response = match check_limits(&state, threads, &req) {
         Some(error) => refuse(&error),
-        None => handled(&state, handle, req).await,
+        None => run_handler(&state, handle, req).await,
     };
-    if state.leaving.load(Ordering::SeqCst) {
+    if state.draining.load(Ordering::SeqCst) {
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(CONNECTION, close);
+        response.headers_mut().insert(CONNECTION, close);
     }
-    answer
+    response
 }
 
-/// An answer to a request whose body stays unread.
+/// Creates an error response that closes the connection, because the request's
+/// body is not read.
 fn refuse(error: &ApiError) -> Response<Body> {
-    let mut answer = response_of(&error.clone().into());
+    let mut response = response_of(&error.clone().into());
     let close = HeaderValue::from_static("close");
-    answer.headers_mut().insert(CONNECTION, close);
-    answer.map(Body::from)
+    response.headers_mut().insert(CONNECTION, close);
+    response.map(Body::from)
 }
 
-fn refusal(state: &State, threads: usize, req: &hyper::Request<Incoming>) -> Option<ApiError> {
+fn check_limits(state: &State, threads: usize, req: &hyper::Request<Incoming>) -> Option<ApiError> {
     let headers = req.headers();
     let bytes: usize = headers
         .iter()
         .map(|(name, value)| name.as_str().len() + value.len())
         .sum();
-    if bytes > MOST_HEADER_BYTES {
+    if bytes > MAX_HEADER_BYTES {
         let error = ApiError::new(431, "headers_too_large", "too many headers");
         return Some(error);
     }
     if state.in_progress.load(Ordering::SeqCst) >= threads {
         let error = ApiError::new(503, "overloaded", "too many requests in progress");
-        return Some(error.retry_after(RETRY_PAUSE));
+        return Some(error.retry_after(RETRY_DELAY));
     }
     None
 }
 
-async fn handled<H>(state: &State, handle: Arc<H>, req: hyper::Request<Incoming>) -> Response<Body>
+async fn run_handler<H>(
+    state: &State,
+    handle: Arc<H>,
+    req: hyper::Request<Incoming>,
+) -> Response<Body>
 where
     H: Fn(Request) + Send + Sync + 'static,
 {
-    let (tx, answered) = oneshot::channel();
-    let req = Request::new(req, tx, InProgress::begin(&state.in_progress));
+    let (tx, response_rx) = oneshot::channel();
+    let req = Request::new(req, tx, InProgressGuard::begin(&state.in_progress));
     let spawned = thread::Builder::new()
         .name("http-request".into())
-        .stack_size(STACK)
+        .stack_size(STACK_BYTES)
         .spawn(move || handle(req));
     if let Err(e) = spawned {
-        log::error!(target: "http", error:% = e; "No thread for a request.");
+        log::error!(target: "http", error:% = e; "Request refused: no thread could be started for it.");
         let error = ApiError::new(503, "overloaded", "no thread for the request");
-        return refuse(&error.retry_after(RETRY_PAUSE));
+        return refuse(&error.retry_after(RETRY_DELAY));
     }
-    let Ok(answer) = answered.await else {
-        // Its handler has panicked: whether anything ran is not known.
+    let Ok(response) = response_rx.await else {
+        // The handler has panicked: it is unknown whether the request ran.
         let error = ApiError::new(500, "failed", "the request failed").ran(Ran::Unknown);
         return refuse(&error);
     };
-    answer.map(Body::from)
+    response.map(Body::from)
 }
--- a/crates/bluebellreel_http/src/stream.rs
+++ b/crates/bluebellreel_http/src/stream.rs
@@ -1,8 +1,8 @@
-//! Streamed answers.
+//! Streamed responses.
 
 use crate::Request;
-use crate::answer::AnswerBody;
-use crate::request::InProgress;
+use crate::request::InProgressGuard;
+use crate::response::ResponseBody;
 use bluebellreel_net::Broken;
 use bytes::Bytes;
 use http::header::{CACHE_CONTROL, CONTENT_TYPE, HeaderValue};
@@ -10,49 +10,51 @@
 use std::io;
 use tokio::sync::mpsc;
 
-/// Pieces that wait for the loop: the next one, while one is written.
-const WAITING: usize = 1;
+/// Number of chunks that wait for the event loop: the next one, while one is being
+/// written.
+const CHANNEL_CAPACITY: usize = 1;
 
-/// An answer whose pieces go out at once. Dropped, it ends whole.
+/// A response whose chunks are sent without buffering. Dropping it ends the
+/// response normally, as complete.
 pub struct ChunkedStream {
-    pieces: mpsc::Sender<Result<Bytes, Broken>>,
-    _in_progress: InProgress,
+    chunks: mpsc::Sender<Result<Bytes, Broken>>,
+    _in_progress: InProgressGuard,
 }
 
 impl ChunkedStream {
-    /// Sends the head.
+    /// Sends the response head.
     ///
     /// # Errors
     ///
-    /// Gives an error if the kind cannot be a header's value.
-    pub fn open(req: Request, kind: &str) -> io::Result<Self> {
-        let (pieces, rx) = mpsc::channel(WAITING);
-        let mut answer = Response::new(AnswerBody::Pieces(rx));
-        let kind = HeaderValue::try_from(kind).map_err(io::Error::other)?;
-        let headers = answer.headers_mut();
-        headers.insert(CONTENT_TYPE, kind);
+    /// Returns an error if `content_type` is not a valid header value.
+    pub fn open(req: Request, content_type: &str) -> io::Result<Self> {
+        let (chunks, rx) = mpsc::channel(CHANNEL_CAPACITY);
+        let mut response = Response::new(ResponseBody::Stream(rx));
+        let content_type = HeaderValue::try_from(content_type).map_err(io::Error::other)?;
+        let headers = response.headers_mut();
+        headers.insert(CONTENT_TYPE, content_type);
         headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
         Ok(Self {
-            pieces,
-            _in_progress: req.answer(answer),
+            chunks,
+            _in_progress: req.send_response(response),
         })
     }
 
-    /// Ends the answer without its last chunk, so that the caller sees that it
-    /// is not whole.
+    /// Ends the response without its last chunk, so that the caller detects that it
+    /// is incomplete.
     pub fn abandon(self) {
-        // A caller that has gone away sees nothing anyway.
-        let _ = self.pieces.blocking_send(Err(Broken));
+        // Sending fails if the caller has disconnected, which ends the response too.
+        let _ = self.chunks.blocking_send(Err(Broken));
     }
 
-    /// Sends a piece.
+    /// Sends a chunk.
     ///
     /// # Errors
     ///
-    /// Gives the connection's error; the caller has gone away.
-    pub fn send(&mut self, piece: &[u8]) -> io::Result<()> {
-        let piece = Ok(Bytes::copy_from_slice(piece));
-        let sent = self.pieces.blocking_send(piece);
+    /// Returns `BrokenPipe` if the caller has disconnected.
+    pub fn send(&mut self, chunk: &[u8]) -> io::Result<()> {
+        let chunk = Ok(Bytes::copy_from_slice(chunk));
+        let sent = self.chunks.blocking_send(chunk);
         sent.map_err(|_| io::ErrorKind::BrokenPipe.into())
     }
 }
--- a/crates/bluebellreel_http/tests/server.rs
+++ b/crates/bluebellreel_http/tests/server.rs
@@ -1,4 +1,4 @@
-//! The server as callers see it on the wire.
+//! The server's behaviour as seen by callers on the wire.
 
 use bluebellreel_http::{BodyLimits, HttpServer, Reply, Request, read_body, respond, serve};
 use std::collections::BTreeSet;
@@ -9,16 +9,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything; generous, as machines are busy.
-const LONGEST: Duration = Duration::from_secs(30);
-/// Largest body that the servers here take.
-const MOST: usize = 100_000;
+/// Timeout of each step; generous, since test machines may be busy.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum body size of the test servers, in bytes.
+const MAX_BODY_BYTES: usize = 100_000;
 
-/// Answers with the body, or its error.
+/// Responds with the request body, or with the error of reading it.
 fn echo(mut req: Request) {
     let limits = BodyLimits {
-        bytes: MOST,
-        time: LONGEST,
+        bytes: MAX_BODY_BYTES,
+        time: TIMEOUT,
     };
     let reply = match req.url() {
         "/panic" => panic!("a fault in a handler"),
@@ -38,11 +38,11 @@
 
 fn connect(server: &HttpServer) -> TcpStream {
     let stream = TcpStream::connect(server.address).expect("connected");
-    stream.set_read_timeout(Some(LONGEST)).expect("set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("set");
     stream
 }
 
-/// Sends and reads to the end of the connection.
+/// Sends a request and reads until the connection is closed.
 fn ask(server: &HttpServer, text: &str) -> String {
     let mut stream = connect(server);
     stream.write_all(text.as_bytes()).expect("sent");
@@ -55,7 +55,7 @@
     answer
 }
 
-/// Reads until the answer ends with this.
+/// Reads until the received text ends with `end`.
 fn read_to(stream: &mut TcpStream, end: &str) -> String {
     let mut answer = Vec::new();
     while !answer.ends_with(end.as_bytes()) {
@@ -66,43 +66,44 @@
     String::from_utf8(answer).expect("text")
 }
 
-fn wait_for(what: &str, holds: impl Fn() -> bool) {
-    let until = Instant::now() + LONGEST;
+fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    let until = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < until, "waited in vain: {what}");
+        assert!(Instant::now() < until, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// A handler that says when it runs and answers when it may.
-fn held() -> (HttpServer, Receiver<()>, Sender<()>) {
-    let (runs, running) = mpsc::channel();
-    let (go, may) = mpsc::channel();
-    let both = std::sync::Mutex::new((runs, may));
+/// A server whose handler signals when it has started and responds when it is
+/// released.
+fn blocking_server() -> (HttpServer, Receiver<()>, Sender<()>) {
+    let (started_tx, started) = mpsc::channel();
+    let (release, release_rx) = mpsc::channel();
+    let channels = std::sync::Mutex::new((started_tx, release_rx));
     let server = start(move |req| {
-        let both = both.lock().expect("one at a time");
-        both.0.send(()).ok();
-        both.1.recv().ok();
-        drop(both);
+        let channels = channels.lock().expect("one at a time");
+        channels.0.send(()).ok();
+        channels.1.recv().ok();
+        drop(channels);
         respond(req, &Reply::bytes(200, "text/plain", *b"done"));
     });
-    (server, running, go)
+    (server, started, release)
 }
 
 #[test]
-fn requests_follow_each_other_on_one_connection() {
+fn pipelined_requests_share_one_connection() {
     let server = start(echo);
     let mut stream = connect(&server);
-    // The second one is sent before the first is answered.
+    // The second request is sent before the first response.
     let two = "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\none\
                POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\ntw\r\n1\r\no\r\n0\r\n\r\n";
     stream.write_all(two.as_bytes()).expect("sent");
     assert!(read_to(&mut stream, "one").starts_with("HTTP/1.1 200"));
     assert!(read_to(&mut stream, "two").starts_with("HTTP/1.1 200"));
-    // A body that is answered unread does not become the next request, nor does
-    // what follows it.
-    let unread = "POST /unread HTTP/1.1\r\nContent-Length: 5\r\n\r\nGET /GET / HTTP/1.1\r\nConnection: close\r\n\r\n";
-    stream.write_all(unread.as_bytes()).expect("sent");
+    // If the response is sent before the body is read, neither the body nor the
+    // request after it is parsed as the next request.
+    let unread_body = "POST /unread HTTP/1.1\r\nContent-Length: 5\r\n\r\nGET /GET / HTTP/1.1\r\nConnection: close\r\n\r\n";
+    stream.write_all(unread_body.as_bytes()).expect("sent");
     let last = read_all(&mut stream);
     assert!(last.starts_with("HTTP/1.1 401"), "{last}");
     assert!(last.contains("connection: close"), "{last}");
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn caller_that_waits_for_a_word_hears_it() {
+fn expect_100_continue_is_answered_before_body() {
     let server = start(echo);
     let mut stream = connect(&server);
     let head = "POST / HTTP/1.1\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n";
@@ -120,13 +121,14 @@
     assert!(read_to(&mut stream, "yes").starts_with("HTTP/1.1 200"));
 }
 
-/// A caller sends far more than is taken and reads only then: closed at once,
-/// the system would reset the connection and the caller would read no answer.
+/// The caller sends far more than the server accepts and reads only afterwards. If
+/// the server closed the connection at once, the operating system would reset it
+/// and the caller could not read the response.
 #[test]
-fn refusal_of_a_large_body_reaches_its_caller() {
+fn refusal_of_large_body_reaches_caller() {
     let server = start(echo);
     let mut stream = connect(&server);
-    let length = MOST * 50;
+    let length = MAX_BODY_BYTES * 50;
     let head = format!("POST / HTTP/1.1\r\nContent-Length: {length}\r\n\r\n");
     stream.write_all(head.as_bytes()).expect("sent");
     stream.write_all(&vec![b'x'; length]).expect("sent");
@@ -135,7 +137,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_in_one_way_is_refused() {
+fn ambiguous_or_oversized_heads_are_refused() {
     let server = start(echo);
     let large = format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(40_000));
     for text in [
@@ -152,48 +154,55 @@
 }
 
 #[test]
-fn handler_that_fails_is_answered_for_and_not_counted_on() {
+fn panicking_handler_is_answered_and_not_counted_in_progress() {
     let server = start(echo);
     let answer = ask(&server, "GET /panic HTTP/1.1\r\n\r\n");
     assert!(answer.starts_with("HTTP/1.1 500"), "{answer}");
-    wait_for("it counts no more", || server.in_progress() == 0);
+    wait_until("no request is in progress", || server.in_progress() == 0);
 }
 
-/// A request was half read when a daemon looked whether anything was in
-/// progress, and it ended. A server is not gone from a request's first byte to
-/// its answer.
+/// Guards against a daemon that ends while a request is partly received, because no
+/// request counts as in progress yet. A server is not closed between a request's
+/// first byte and its response.
 #[test]
-fn half_read_requests_hold_a_server() {
+fn partly_received_requests_keep_server_open() {
     let server = start(echo);
     let mut stream = connect(&server);
     stream.write_all(b"POST / HT").expect("sent");
     server.stop();
     thread::sleep(Duration::from_millis(50));
-    assert!(!server.is_closed(), "half a head counts");
+    assert!(
+        !server.is_closed(),
+        "a partly received head keeps the server open"
+    );
     stream
         .write_all(b"TP/1.1\r\nContent-Length: 4\r\n\r\nha")
         .expect("sent");
     thread::sleep(Duration::from_millis(50));
-    assert_eq!(server.in_progress(), 1, "half a body counts");
+    assert_eq!(
+        server.in_progress(),
+        1,
+        "a partly received body is in progress"
+    );
     assert!(!server.is_closed());
     stream.write_all(b"lf").expect("sent");
     let answer = read_all(&mut stream);
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert!(answer.contains("connection: close"), "{answer}");
     drop(stream);
-    wait_for("it is gone", || server.is_closed());
+    wait_until("the server is closed", || server.is_closed());
 }
 
-/// Callers connect without a pause while a server stops. Whoever came too late
-/// may find its connection reset, but none whose request was handled.
+/// Callers connect continuously while a server stops. The connection of a late
+/// caller may be reset, but not that of a caller whose request was handled.
 #[test]
-fn whoever_was_handled_in_a_stop_has_its_answer() {
+fn requests_handled_during_stop_are_answered() {
     for _ in 0..5 {
         let handled = Arc::new(Mutex::new(BTreeSet::new()));
-        let noted = handled.clone();
+        let recorded = handled.clone();
         let server = start(move |req| {
             let url = req.url().to_owned();
-            noted.lock().expect("no panic").insert(url);
+            recorded.lock().expect("no panic").insert(url);
             echo(req);
         });
         let callers: Vec<_> = (0..8)
@@ -201,7 +210,7 @@
                 let (address, handled) = (server.address, handled.clone());
                 thread::spawn(move || {
                     let mut answered = 0;
-                    // Until nobody listens any more.
+                    // Repeats until the server no longer listens.
                     while let Ok(mut stream) = TcpStream::connect(address) {
                         let url = format!("/{caller}/{answered}");
                         let text = format!("GET {url} HTTP/1.1\r\nConnection: close\r\n\r\n");
@@ -226,33 +235,37 @@
             .map(|c| c.join().expect("answered"))
             .sum();
         assert!(answered > 0);
-        wait_for("it is gone", || server.is_closed());
+        wait_until("the server is closed", || server.is_closed());
     }
 }
 
-/// Answers in a stop close their connections; idle ones are closed; a running
-/// request is waited for.
+/// While the server is draining, responses close their connections. A stop closes
+/// idle connections and waits for requests in progress.
 #[test]
-fn phases_of_a_stop() {
-    let (server, running, go) = held();
+fn stop_drains_connections_in_phases() {
+    let (server, started, release) = blocking_server();
     let request = b"GET / HTTP/1.1\r\n\r\n";
-    let mut kept = connect(&server);
-    kept.write_all(request).expect("sent");
-    go.send(()).expect("held");
-    assert!(!read_to(&mut kept, "done").contains("connection: close"));
-    running.recv().expect("it ran");
+    let mut idle = connect(&server);
+    idle.write_all(request).expect("sent");
+    release.send(()).expect("the handler is waiting");
+    assert!(!read_to(&mut idle, "done").contains("connection: close"));
+    started.recv().expect("the handler has started");
     server.start_draining();
     let mut late = connect(&server);
     late.write_all(request).expect("sent");
-    running.recv().expect("it runs");
+    started.recv().expect("the handler has started");
     server.stop();
-    assert_eq!(read_all(&mut kept), "", "it was idle");
+    assert_eq!(
+        read_all(&mut idle),
+        "",
+        "an idle connection is closed without a response"
+    );
     assert_eq!(server.in_progress(), 1);
-    go.send(()).expect("held");
+    release.send(()).expect("the handler is waiting");
     let answer = read_all(&mut late);
     assert!(answer.ends_with("done"), "{answer}");
     assert!(answer.contains("connection: close"), "{answer}");
-    drop((kept, late));
-    wait_for("it is gone", || server.is_closed());
+    drop((idle, late));
+    wait_until("the server is closed", || server.is_closed());
     assert!(TcpStream::connect(server.address).is_err());
 }
