--- a/crates/bluebellreel_http/src/response.rs
+++ b/crates/bluebellreel_http/src/response.rs
@@ -34,7 +34,7 @@
     /// HTTP status.
     pub status: u16,
     /// Content type.
-    pub kind: &'static str,
+    pub content_type: &'static str,
     /// Body.
     pub body: Arc<[u8]>,
     /// Entity tag without its quotes, if the response has one.
@@ -53,10 +53,10 @@
 
     /// Creates a response with any content type.
     #[must_use]
-    pub fn bytes(status: u16, kind: &'static str, body: impl Into<Arc<[u8]>>) -> Self {
+    pub fn bytes(status: u16, content_type: &'static str, body: impl Into<Arc<[u8]>>) -> Self {
         Self {
             status,
-            kind,
+            content_type,
             body: body.into(),
             tag: None,
             retry_after: None,
@@ -95,7 +95,7 @@
     let status = StatusCode::from_u16(reply.status);
     *response.status_mut() = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
-    headers.insert(CONTENT_TYPE, HeaderValue::from_static(reply.kind));
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static(reply.content_type));
     if let Some(tag) = &reply.tag {
         headers.insert(ETAG, text_header(&format!("\"{tag}\"")));
     }
--- a/crates/bluebellreel_rpc/src/entry/liveness.rs
+++ b/crates/bluebellreel_rpc/src/entry/liveness.rs
@@ -18,7 +18,7 @@
 
 /// Minimum interval between two polls of a side process.
 const MIN_LOAD_PERIOD: Duration = Duration::from_secs(3);
-/// Size of a poll's request and response on the wire, including packet headers.
+/// Size of a poll's request and response on the wire, including headers.
 const POLL_BYTES: u32 = 600;
 /// Bandwidth that a daemon spends on polls, in bytes per second.
 const POLL_BUDGET_BYTES_PER_S: u32 = 2_000;
@@ -30,7 +30,7 @@
 /// side process: its socket stays open, and a caller would wait until the
 /// deadline.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time since its last activity for which a side process may still have batch
+/// Time after its last activity during which a side process may still have batch
 /// items.
 const BATCH_ACTIVITY_WINDOW: Duration = Duration::from_secs(30);
 /// Interval between two checks of whether a poll is due.
--- a/crates/bluebellreel_side/src/run.rs
+++ b/crates/bluebellreel_side/src/run.rs
@@ -246,7 +246,7 @@
                 return true;
             }
             StopDecision::Interrupt => {
-                log::error!(target: "side", "Stopped at the deadline; requests in progress were cut.");
+                log::error!(target: "side", "Stopped at the deadline; requests in progress were interrupted.");
                 return false;
             }
         }
