--- a/crates/bluebellreel_http/src/server.rs
+++ b/crates/bluebellreel_http/src/server.rs
@@ -3,7 +3,7 @@
 use crate::request::InProgressGuard;
 use crate::response::response_of;
 use crate::{ApiError, Request};
-use bluebellreel_net::{Body, Served, Stop};
+use bluebellreel_net::{Body, ConnectionTracker, Stop};
 use bluebellreel_types::Ran;
 use http::header::{CONNECTION, HeaderValue};
 use hyper::Response;
@@ -97,7 +97,7 @@
     thread::Builder::new()
         .name("http-loop".into())
         .spawn(move || {
-            let connections = Served::default();
+            let connections = ConnectionTracker::default();
             let end_state = loop_state.clone();
             LocalSet::new().block_on(&runtime, async {
                 let respond =
@@ -110,7 +110,7 @@
                     respond,
                 )
                 .await;
-                connections.over().await;
+                connections.wait_closed().await;
             });
             end_state.closed.store(true, Ordering::SeqCst);
         })?;
--- a/crates/bluebellreel_side/src/run.rs
+++ b/crates/bluebellreel_side/src/run.rs
@@ -7,10 +7,10 @@
 use crate::message::Message;
 use crate::metrics_server;
 use crate::stop::{Stop, StopDecision, StopStatus};
-use bluebellreel_admission::{Admission, AdmissionLimits, Lean};
+use bluebellreel_admission::{Admission, AdmissionLimits, Priority};
 use bluebellreel_http::HttpServer;
 use bluebellreel_rpc::{SideCommand, SideNotice, run_side};
-use bluebellreel_settings::{SideLean, SideSettings};
+use bluebellreel_settings::{SidePriority, SideSettings};
 use bluebellreel_telemetry::{SideMetrics, TraceSink, Tracer};
 use bluebellreel_types::{Clock, Incarnation, ModelVersion, SideHello};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
@@ -136,9 +136,15 @@
         queue_count: settings.queue_count,
         queue_bytes: settings.queue_bytes,
         inter_token_target: settings.inter_token_target,
+<<<<<<< ours
         lean: match settings.lean {
-            SideLean::Throughput => Lean::Throughput,
-            SideLean::Tail => Lean::Tail,
+            SidePriority::Throughput => Priority::Throughput,
+            SidePriority::Tail => Priority::Tail,
+=======
+        lean: match settings.priority {
+            SidePriority::Throughput => Lean::Throughput,
+            SidePriority::Tail => Lean::Tail,
+>>>>>>> theirs
         },
         ..AdmissionLimits::default()
     }
--- a/crates/bluebellreel_side/tests/stop.rs
+++ b/crates/bluebellreel_side/tests/stop.rs
@@ -15,7 +15,7 @@
 /// Timeout of each step; generous, since test machines may be busy.
 const TIMEOUT: Duration = Duration::from_mins(1);
 /// A deadline that is never reached.
-const DEADLINE: Moment = Moment::FAR;
+const DEADLINE: Moment = Moment::DISTANT_FUTURE;
 
 /// Starts a side process whose plain service is unreachable.
 fn start() -> Side {
