--- a/crates/bluebellreel_entry/src/online/component.rs
+++ b/crates/bluebellreel_entry/src/online/component.rs
@@ -255,7 +255,7 @@
         for worker in &gone {
             self.links.remove(worker);
             self.handles
-                .send_command(EntryCommand::Forget(worker.clone()));
+                .send_command(EntryCommand::Disconnect(worker.clone()));
             self.handle_event(Event::WorkerUnlisted(worker.clone()));
         }
         for listed in list {
@@ -275,7 +275,7 @@
         if known.is_none_or(|before| before.side != listed.side) {
             if known.is_some() {
                 let worker = listed.name.clone();
-                self.handles.send_command(EntryCommand::Forget(worker));
+                self.handles.send_command(EntryCommand::Disconnect(worker));
             }
             self.handles.send_command(EntryCommand::Connect {
                 worker: listed.name.clone(),
