--- a/crates/bluebellreel_model/src/call.rs
+++ b/crates/bluebellreel_model/src/call.rs
@@ -1,9 +1,8 @@
-//! The life of one call that may not be repeated: two entry daemons, a side
-//! process that may restart, messages that come late or twice, answers that
-//! are lost.
+//! One call that may not be repeated: two entry daemons, a side process that may
+//! restart, messages that arrive late or twice, and lost responses.
 //!
-//! The side process is the real admission; what a claim means and what a
-//! verdict means are the real claim functions.
+//! The side process is the real admission code. The real claim functions decide what a
+//! claim and a verdict mean.
 
 use crate::Explored;
 use crate::explored::explore_all;
@@ -16,26 +15,28 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Restarts of the side process that are explored.
-const MOST_RESTARTS: u64 = 1;
-/// Attempts that are explored over both daemons.
-const MOST_ATTEMPTS: u64 = 2;
-/// The moment at which all happens: time only adds expiry.
+/// Number of restarts of the side process that are explored.
+const MAX_RESTARTS: u64 = 1;
+/// Number of attempts that are explored, of both daemons together.
+const MAX_ATTEMPTS: u64 = 2;
+/// The moment of all events. The model does not advance time, which would only add
+/// expiry.
 const NOW: Moment = Moment(0);
 
-/// Guards that may be left out.
+/// Guards of the protocol, each of which can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
     /// A call is claimed before it is sent.
     pub claim: bool,
-    /// An attempt that was asked about and never seen is refused later.
+    /// An attempt that is queried before the side process has seen it is refused if it
+    /// arrives later.
     pub tombstone: bool,
-    /// A restarted side process refuses its predecessor's messages.
+    /// A restarted side process refuses messages addressed to its predecessor.
     pub incarnation: bool,
 }
 
 impl Guards {
-    /// All guards, as in the product.
+    /// All guards enabled, as in production.
     #[must_use]
     pub fn all() -> Self {
         Self {
@@ -46,7 +47,7 @@
     }
 }
 
-/// A claim as recorded.
+/// A claim as recorded in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Claim {
     attempt: u64,
@@ -54,16 +55,16 @@
     state: ClaimState,
 }
 
-/// What an entry daemon is doing.
+/// The state of the call at an entry daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Entry {
-    /// It has not been asked yet, or has died.
+    /// The daemon has not received the call.
     Idle,
-    /// Its claim is recorded, or not needed; the call is to be sent.
+    /// The claim is recorded, or not needed, and the call has not been sent yet.
     Claimed { attempt: u64, incarnation: u64 },
-    /// The call was sent.
+    /// The daemon has sent the call to the side process.
     Sent { attempt: u64 },
-    /// It is done with the call.
+    /// The daemon has finished with the call, or has crashed.
     Done,
 }
 
@@ -71,8 +72,8 @@
 struct State {
     claim: Option<Claim>,
     entries: [Entry; 2],
-    /// Dispatches on their way; they may arrive late, and twice.
-    on_the_way: BTreeSet<(u64, u64)>,
+    /// Dispatches in flight; they may arrive late and more than once.
+    in_flight: BTreeSet<(u64, u64)>,
     side: Box<Admission>,
     /// Attempts that the backend server has run.
     ran: Vec<u64>,
@@ -97,7 +98,7 @@
     State {
         claim: None,
         entries: [Entry::Idle, Entry::Idle],
-        on_the_way: BTreeSet::new(),
+        in_flight: BTreeSet::new(),
         side: new_side(1),
         ran: Vec::new(),
         refused: BTreeSet::new(),
@@ -108,15 +109,19 @@
 /// Explores all states.
 #[must_use]
 pub fn explore(guards: Guards) -> Explored {
-    explore_all(start(), |state| successors(state, guards), broken)
+    explore_all(
+        start(),
+        |state| successors(state, guards),
+        invariant_violation,
+    )
 }
 
-fn broken(state: &State) -> Option<String> {
+fn invariant_violation(state: &State) -> Option<String> {
     if state.ran.len() > 1 {
         return Some("the call ran twice".into());
     }
     if state.ran.iter().any(|ran| state.refused.contains(ran)) {
-        return Some("\"not run\" was said of a call that ran".into());
+        return Some("\"not run\" was reported of a call that ran".into());
     }
     let recorded = state.claim.as_ref().map(|claim| &claim.state);
     if recorded == Some(&ClaimState::NotRun) && !state.ran.is_empty() {
@@ -133,11 +138,11 @@
             ask_side(state, guards, &mut next);
         }
     }
-    for message in &state.on_the_way {
+    for message in &state.in_flight {
         arrive(state, *message, guards, &mut next);
     }
     finish_runs(state, &mut next);
-    if state.side.incarnation.0 <= MOST_RESTARTS {
+    if state.side.incarnation.0 <= MAX_RESTARTS {
         let mut restarted = state.clone();
         restarted.side = new_side(state.side.incarnation.0 + 1);
         next.push(restarted);
@@ -152,13 +157,13 @@
         next.push(died);
     }
     match state.entries[index].clone() {
-        Entry::Idle => begin(state, index, guards, next),
+        Entry::Idle => submit(state, index, guards, next),
         Entry::Claimed {
             attempt,
             incarnation,
         } => {
             let mut sent = state.clone();
-            sent.on_the_way.insert((attempt, incarnation));
+            sent.in_flight.insert((attempt, incarnation));
             sent.entries[index] = Entry::Sent { attempt };
             next.push(sent);
         }
@@ -166,9 +171,9 @@
     }
 }
 
-/// A caller sends the call through this daemon.
-fn begin(state: &State, index: usize, guards: Guards, next: &mut Vec<State>) {
-    if state.next_attempt > MOST_ATTEMPTS {
+/// A caller submits the call through this daemon.
+fn submit(state: &State, index: usize, guards: Guards, next: &mut Vec<State>) {
+    if state.next_attempt > MAX_ATTEMPTS {
         return;
     }
     let attempt = state.next_attempt;
@@ -191,14 +196,14 @@
         attempt,
         incarnation,
     };
-    // The write took effect and the daemon died before it heard of it.
+    // The write took effect and the daemon crashed before it received the response.
     let mut lost = claimed.clone();
     lost.entries[index] = Entry::Done;
     next.push(claimed);
     next.push(lost);
 }
 
-/// A dispatch arrives. It stays on the way, so that it may arrive again.
+/// Delivers a dispatch. It stays in flight, so that it may be delivered again.
 fn arrive(state: &State, message: (u64, u64), guards: Guards, next: &mut Vec<State>) {
     let (attempt, incarnation) = message;
     let mut arrived = state.clone();
@@ -242,43 +247,44 @@
     }
 }
 
-/// What the side process decided, with its answer heard or lost.
+/// Applies the side process's decisions. Its response arrives or is lost.
 fn take_effects(mut state: State, effects: Vec<Effect>, next: &mut Vec<State>) {
-    let mut told = None;
+    let mut sent_end = None;
     for effect in effects {
         match effect {
             Effect::StartEngine(dispatch) => state.ran.push(dispatch.attempt.request.0),
-            Effect::SendEnd { attempt, end } => told = Some((attempt.request.0, end)),
+            Effect::SendEnd { attempt, end } => sent_end = Some((attempt.request.0, end)),
             _ => {}
         }
     }
-    if let Some((attempt, end)) = told {
-        next.push(hear(&state, attempt, &end));
+    if let Some((attempt, end)) = sent_end {
+        next.push(receive_end(&state, attempt, &end));
     }
     next.push(state);
 }
 
-/// The daemon that sent an attempt hears how it ended, tells its caller and
+/// The daemon that sent an attempt receives its end, reports it to the caller, and
 /// records it.
-fn hear(state: &State, attempt: u64, end: &AttemptEnd) -> State {
-    let mut heard = state.clone();
-    let Some(index) = heard
+fn receive_end(state: &State, attempt: u64, end: &AttemptEnd) -> State {
+    let mut answered = state.clone();
+    let Some(index) = answered
         .entries
         .iter()
         .position(|entry| *entry == Entry::Sent { attempt })
     else {
-        return heard;
+        return answered;
     };
-    heard.entries[index] = Entry::Done;
+    answered.entries[index] = Entry::Done;
     let verdict = AttemptVerdict::Ended(end.clone());
     if state_after_verdict(&verdict, NOW, NOW) == Some(ClaimState::NotRun) {
-        heard.refused.insert(attempt);
+        answered.refused.insert(attempt);
     }
-    record(&mut heard, attempt, &verdict);
-    heard
+    record(&mut answered, attempt, &verdict);
+    answered
 }
 
-/// Records a verdict on the claim, if it is still the same and open.
+/// Records a verdict on the claim, if the claim is still pending and of the same
+/// attempt.
 fn record(state: &mut State, attempt: u64, verdict: &AttemptVerdict) {
     let Some(claim) = &mut state.claim else {
         return;
@@ -291,7 +297,7 @@
     }
 }
 
-/// Somebody finds the claim open and asks the side process that it names.
+/// A daemon finds the claim pending and asks the side process that the claim names.
 fn ask_side(state: &State, guards: Guards, next: &mut Vec<State>) {
     let Some(claim) = &state.claim else { return };
     if claim.state != ClaimState::Pending {
@@ -323,7 +329,8 @@
     next.push(asked);
 }
 
-/// The backend server finishes what it runs; its answer comes, or breaks off.
+/// The backend server finishes the attempts that it runs; each completes or its stream
+/// breaks.
 fn finish_runs(state: &State, next: &mut Vec<State>) {
     for attempt in state.side.running.keys() {
         let ends = [
--- a/crates/bluebellreel_model/src/explored.rs
+++ b/crates/bluebellreel_model/src/explored.rs
@@ -1,23 +1,23 @@
-//! Exploring all states.
+//! Exhaustive exploration of a model's states.
 
 use pathfinding::directed::bfs::bfs_reach;
 use std::hash::Hash;
 
-/// What an exploration found.
+/// The result of an exploration.
 #[derive(Clone, Debug)]
 pub struct Explored {
-    /// States reached.
+    /// Number of states visited.
     pub states: usize,
-    /// The first violation, with the state that shows it.
+    /// The first invariant violation, with the state in which it occurs.
     pub violation: Option<String>,
 }
 
-/// Visits every state that can be reached, nearest first, until one breaks
-/// what must hold.
+/// Visits every reachable state in breadth-first order, until one violates an
+/// invariant.
 pub(crate) fn explore_all<S, I>(
     start: S,
     next: impl Fn(&S) -> I,
-    broken: impl Fn(&S) -> Option<String>,
+    invariant_violation: impl Fn(&S) -> Option<String>,
 ) -> Explored
 where
     S: Clone + Eq + Hash + std::fmt::Debug,
@@ -26,7 +26,7 @@
     let mut states = 0;
     for state in bfs_reach(start, |state| next(state)) {
         states += 1;
-        if let Some(reason) = broken(&state) {
+        if let Some(reason) = invariant_violation(&state) {
             let violation = Some(format!("{reason}\n{state:#?}"));
             return Explored { states, violation };
         }
--- a/crates/bluebellreel_model/src/lib.rs
+++ b/crates/bluebellreel_model/src/lib.rs
@@ -1,13 +1,16 @@
 //! Model checking of the core protocol.
 //!
-//! Small specifications, each explored through all its states: the life
-//! of one call that may not be repeated ([`call`]), which drives the real
-//! admission and claim functions, the ownership of one job's item
-//! ([`ownership`]), the segments in which a gateway records results
-//! ([`segments`]), a gateway that lives by a snapshot ([`snapshot`]), a
-//! worker that starts again under its id ([`restart`]), and what owners tell readers
-//! ([`tenure`]), which drives the real functions too. Guards can be left out, to
-//! show that the checker finds what each one is for.
+//! Each module is a small specification whose reachable states are all explored:
+//!
+//! [`call`] covers a call that may not be repeated and drives the real admission and
+//! claim functions. [`ownership`] covers who owns a job with one item, [`segments`] the
+//! numbered segments in which a gateway records results, [`snapshot`] a gateway that
+//! runs on a snapshot from a keeper, and [`restart`] a worker that restarts under the
+//! same id. [`owner_reads`] covers the results that owners report to readers, and
+//! drives the real batch functions.
+//!
+//! Each guard of the protocol can be disabled, which shows that the checker finds the
+//! violation that the guard prevents.
 //!
 //! ```
 //! use bluebellreel_model::ownership::{self, Guards};
@@ -18,10 +21,10 @@
 
 pub mod call;
 mod explored;
+pub mod owner_reads;
 pub mod ownership;
 pub mod restart;
 pub mod segments;
 pub mod snapshot;
-pub mod tenure;
 
 pub use explored::Explored;
--- a/crates/bluebellreel_model/src/ownership.rs
+++ b/crates/bluebellreel_model/src/ownership.rs
@@ -1,27 +1,28 @@
-//! Ownership of a job with one item: two daemons, a cancel, lost answers and
+//! Ownership of a job with one item: two daemons, a cancellation, lost responses, and
 //! pauses at every step.
 //!
-//! A daemon works in steps that any other's may come between: it takes the job
-//! over, reads what is recorded, runs the item, writes the result, writes the
-//! end. A write's answer may be lost, and the write is then made again.
+//! A daemon works in steps, and the other daemon's steps may come between them: it
+//! takes the job over, reads the recorded results, runs the item, writes the result,
+//! and writes the job's end. The response to the result's write may be lost; the daemon
+//! then writes it again.
 
 use crate::Explored;
 use crate::explored::explore_all;
 
-/// Changes of owner that are explored.
-const MOST_EPOCHS: u8 = 4;
+/// The record's revision from which no further takeover is explored.
+const MAX_REVISION: u8 = 4;
 
-/// Guards that may be left out.
+/// Guards of the protocol, each of which can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// Writes compare the record's revision.
+    /// A write succeeds only if the job record still has the writer's revision.
     pub revision: bool,
-    /// A result's key is created once for its epoch and number.
+    /// A result's key, made of its epoch and number, can be created only once.
     pub create_once: bool,
 }
 
 impl Guards {
-    /// All guards, as in the product.
+    /// All guards enabled, as in production.
     #[must_use]
     pub fn all() -> Self {
         Self {
@@ -38,33 +39,33 @@
     Complete,
 }
 
-/// What a daemon believes.
+/// A daemon's local view of the job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Owner {
-    /// It does not own the job.
+    /// The daemon does not own the job.
     Idle,
-    /// It took the job over at this revision and has not read the results.
+    /// The daemon took the job over at this revision and has not read the results yet.
     Taken { revision: u8 },
-    /// It runs the item.
+    /// The daemon runs the item.
     Running { revision: u8 },
-    /// It has the item's result and is to write it.
+    /// The daemon has the item's result and has not written it yet.
     Writing { revision: u8 },
-    /// Its write's answer was lost.
-    Unsure { revision: u8 },
-    /// The result is recorded; the end is to be written.
+    /// The response to the result's write was lost.
+    Unconfirmed { revision: u8 },
+    /// The result is recorded, and the job's end has not been written yet.
     Closing { revision: u8 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     job: JobState,
-    /// Revision of the record; each change of owner and the end raise it.
+    /// Revision of the job record. Each change of owner and the job's end increment it.
     revision: u8,
-    /// Result chunks, by the revision under which they were written.
+    /// The revisions under which result chunks were written, one for each chunk.
     results: Vec<u8>,
-    /// Whether the operator was told that the job is cancelled, and how many
-    /// results there were.
-    cancel_told: Option<usize>,
+    /// Number of results recorded when the operator's cancellation was acknowledged;
+    /// `None` if the job was not cancelled.
+    results_at_cancel: Option<usize>,
     owners: [Owner; 2],
 }
 
@@ -73,7 +74,7 @@
         job: JobState::Running,
         revision: 1,
         results: Vec::new(),
-        cancel_told: None,
+        results_at_cancel: None,
         owners: [Owner::Running { revision: 1 }, Owner::Idle],
     }
 }
@@ -81,20 +82,27 @@
 /// Explores all states.
 #[must_use]
 pub fn explore(guards: Guards) -> Explored {
-    explore_all(start(), |state| successors(state, guards), broken)
+    explore_all(
+        start(),
+        |state| successors(state, guards),
+        invariant_violation,
+    )
 }
 
-fn broken(state: &State) -> Option<String> {
+fn invariant_violation(state: &State) -> Option<String> {
     if state.results.len() > 1 {
         return Some("the item has two results".into());
     }
-    if state.cancel_told.is_some_and(|n| state.results.len() > n) {
-        return Some("a result was recorded after the cancel was told".into());
+    if state
+        .results_at_cancel
+        .is_some_and(|n| state.results.len() > n)
+    {
+        return Some("a result was recorded after the cancellation was acknowledged".into());
     }
     if state.job == JobState::Complete && state.results.is_empty() {
         return Some("the job is complete without its item's result".into());
     }
-    if state.cancel_told.is_some() && state.job == JobState::Complete {
+    if state.results_at_cancel.is_some() && state.job == JobState::Complete {
         return Some("the job was cancelled and is complete".into());
     }
     None
@@ -109,26 +117,26 @@
         let mut cancelled = state.clone();
         cancelled.job = JobState::Cancelled;
         cancelled.revision += 1;
-        cancelled.cancel_told = Some(cancelled.results.len());
+        cancelled.results_at_cancel = Some(cancelled.results.len());
         next.push(cancelled);
     }
     next
 }
 
 fn owner_steps(state: &State, index: usize, guards: Guards, next: &mut Vec<State>) {
-    let mut become_ = |owner: Owner| {
+    let mut push_owner = |owner: Owner| {
         let mut changed = state.clone();
         changed.owners[index] = owner;
         next.push(changed);
     };
     match state.owners[index] {
         Owner::Idle => {}
-        // A daemon may die at any time.
-        _ => become_(Owner::Idle),
+        // A daemon may crash at any time.
+        _ => push_owner(Owner::Idle),
     }
     match state.owners[index] {
         Owner::Idle => {
-            if state.job == JobState::Running && state.revision < MOST_EPOCHS {
+            if state.job == JobState::Running && state.revision < MAX_REVISION {
                 let mut taken = state.clone();
                 taken.revision += 1;
                 let revision = taken.revision;
@@ -138,14 +146,14 @@
         }
         Owner::Taken { revision } => {
             let known = !state.results.is_empty();
-            become_(if known {
+            push_owner(if known {
                 Owner::Closing { revision }
             } else {
                 Owner::Running { revision }
             });
         }
-        Owner::Running { revision } => become_(Owner::Writing { revision }),
-        Owner::Writing { revision } | Owner::Unsure { revision } => {
+        Owner::Running { revision } => push_owner(Owner::Writing { revision }),
+        Owner::Writing { revision } | Owner::Unconfirmed { revision } => {
             write_result(state, index, revision, guards, next);
         }
         Owner::Closing { revision } => {
@@ -162,26 +170,26 @@
     }
 }
 
-/// A result is written under its epoch: the guards decide whether it may be.
-/// Its answer comes, or is lost.
+/// Writes a result under the owner's revision if the guards allow it. The response
+/// arrives or is lost.
 fn write_result(state: &State, index: usize, revision: u8, guards: Guards, next: &mut Vec<State>) {
-    let there = state.results.contains(&revision);
+    let already_written = state.results.contains(&revision);
     let current = state.job == JobState::Running && state.revision == revision;
-    let absent = !there || !guards.create_once;
+    let absent = !already_written || !guards.create_once;
     let allowed = absent && (current || !guards.revision);
     let mut written = state.clone();
     if allowed {
         written.results.push(revision);
     }
-    // With the key there, reading back shows that it is our own write.
-    let ours = allowed || there;
-    let mut heard = written.clone();
-    heard.owners[index] = if ours {
+    // If the key already exists, reading it back shows that this owner wrote it.
+    let own_write = allowed || already_written;
+    let mut acknowledged = written.clone();
+    acknowledged.owners[index] = if own_write {
         Owner::Closing { revision }
     } else {
         Owner::Idle
     };
-    next.push(heard);
-    written.owners[index] = Owner::Unsure { revision };
+    next.push(acknowledged);
+    written.owners[index] = Owner::Unconfirmed { revision };
     next.push(written);
 }
--- a/crates/bluebellreel_model/src/restart.rs
+++ b/crates/bluebellreel_model/src/restart.rs
@@ -1,32 +1,33 @@
-//! A worker that starts again under the id that it had: one daemon that counts
-//! its runs there, and requests that may run once at the most.
+//! A worker that restarts under the same id. One daemon counts its runs at the worker
+//! and sends a request that may run at most once.
 //!
-//! The daemon learns of the new life some time after it has begun. Until then
-//! what it sends may reach either life, and answers of the former one may come
-//! late.
+//! The daemon learns of the worker's new incarnation some time after the restart. Until
+//! then a message that it sends may reach either incarnation, and responses of the
+//! former one may still arrive.
 
 use crate::Explored;
 use crate::explored::explore_all;
 use std::collections::BTreeSet;
 
-/// Lives of the worker that are explored.
-const MOST_LIVES: u8 = 3;
-/// Sends of the one request that are explored.
-const MOST_SENDS: u8 = 2;
-/// Numbers of other requests, which may run at any time.
-const OTHERS: [u8; 2] = [11, 12];
+/// Number of incarnations of the worker that are explored.
+const MAX_INCARNATIONS: u8 = 3;
+/// Number of times that the request is sent.
+const MAX_SENDS: u8 = 2;
+/// Run numbers of other requests, which may run any number of times.
+const OTHER_REQUESTS: [u8; 2] = [11, 12];
 
-/// Guards that may be left out.
+/// Guards of the protocol, each of which can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// What a run tells counts only for the life that it was sent to.
+    /// The end of a run lowers the run count only for the incarnation that it was sent
+    /// to.
     pub tickets: bool,
-    /// A run whose worker has started again may have run.
+    /// A run whose worker has restarted is treated as possibly executed.
     pub in_doubt: bool,
 }
 
 impl Guards {
-    /// All guards, as in the product.
+    /// All guards enabled, as in production.
     #[must_use]
     pub fn all() -> Self {
         Self {
@@ -36,62 +37,69 @@
     }
 }
 
-/// One send of the request.
+/// One send of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Run {
     number: u8,
-    /// The life that the daemon believed in when it sent it.
+    /// The worker's incarnation known to the daemon at the time of the send.
     sent_to: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// The worker's life.
-    life: u8,
-    /// The life that the daemon believes in.
-    believed: u8,
-    /// Sends that have not arrived.
-    on_the_way: BTreeSet<Run>,
-    /// Runs at the worker.
+    /// The worker's current incarnation.
+    incarnation: u8,
+    /// The worker's incarnation as known to the daemon.
+    known_incarnation: u8,
+    /// Sends that have not arrived at the worker.
+    in_flight: BTreeSet<Run>,
+    /// Runs in progress at the worker.
     running: BTreeSet<Run>,
-    /// Runs that the daemon waits for.
-    open: BTreeSet<Run>,
-    /// Runs that it counts at the life that it believes in.
+    /// Runs whose end the daemon waits for.
+    pending: BTreeSet<Run>,
+    /// Number of runs that the daemon counts at the incarnation that it knows.
     counted: u8,
     sends: u8,
-    /// Sends that the worker has begun.
+    /// Sends of the request that the worker has started to run.
     ran: BTreeSet<u8>,
-    /// Sends whose caller was told that they have not run.
+    /// Sends whose caller was told that they had not run.
     refused: BTreeSet<u8>,
 }
 
 /// Explores all states.
 #[must_use]
 pub fn explore(guards: Guards) -> Explored {
-    let begin = State {
-        life: 1,
-        believed: 1,
-        on_the_way: BTreeSet::new(),
+    let initial = State {
+        incarnation: 1,
+        known_incarnation: 1,
+        in_flight: BTreeSet::new(),
         running: BTreeSet::new(),
-        open: BTreeSet::new(),
+        pending: BTreeSet::new(),
         counted: 0,
         sends: 0,
         ran: BTreeSet::new(),
         refused: BTreeSet::new(),
     };
-    explore_all(begin, |state| successors(state, guards), broken)
+    explore_all(
+        initial,
+        |state| successors(state, guards),
+        invariant_violation,
+    )
 }
 
-fn broken(state: &State) -> Option<String> {
+fn invariant_violation(state: &State) -> Option<String> {
     if state.ran.len() > 1 {
         return Some("the request ran twice".into());
     }
     if state.ran.iter().any(|run| state.refused.contains(run)) {
-        return Some("\"not run\" was said of a request that ran".into());
+        return Some("\"not run\" was reported of a request that ran".into());
     }
-    let present = state.open.iter().filter(|r| r.sent_to == state.believed);
-    if usize::from(state.counted) != present.count() {
-        return Some("runs of another life are counted, or too few".into());
+    let current = state
+        .pending
+        .iter()
+        .filter(|r| r.sent_to == state.known_incarnation);
+    if usize::from(state.counted) != current.count() {
+        return Some("runs of another incarnation are counted, or too few runs".into());
     }
     None
 }
@@ -100,13 +108,14 @@
     let mut next = Vec::new();
     send(state, &mut next);
     send_other(state, &mut next);
-    for run in &state.on_the_way {
+    for run in &state.in_flight {
         let mut arrived = state.clone();
-        arrived.on_the_way.remove(run);
-        // One whose daemon has given it up has lost its connection.
-        if state.open.contains(run) {
+        arrived.in_flight.remove(run);
+        // A run that the daemon has given up has lost its connection, so it does not
+        // start.
+        if state.pending.contains(run) {
             arrived.running.insert(*run);
-            if !OTHERS.contains(&run.number) {
+            if !OTHER_REQUESTS.contains(&run.number) {
                 arrived.ran.insert(run.number);
             }
         }
@@ -118,22 +127,22 @@
         end(&mut answered, *run, guards);
         next.push(answered);
     }
-    if state.life < MOST_LIVES {
-        let mut again = state.clone();
-        again.life += 1;
-        again.running.clear();
-        next.push(again);
+    if state.incarnation < MAX_INCARNATIONS {
+        let mut restarted = state.clone();
+        restarted.incarnation += 1;
+        restarted.running.clear();
+        next.push(restarted);
     }
-    if state.believed != state.life {
-        next.push(learn(state, guards));
+    if state.known_incarnation != state.incarnation {
+        next.push(learn_incarnation(state, guards));
     }
     next
 }
 
-/// The request is sent, once more only if it has certainly not run.
+/// Sends the request. It is sent again only if all earlier sends certainly did not run.
 fn send(state: &State, next: &mut Vec<State>) {
     let all_refused = (1..=state.sends).all(|n| state.refused.contains(&n));
-    if state.sends >= MOST_SENDS || !all_refused {
+    if state.sends >= MAX_SENDS || !all_refused {
         return;
     }
     let mut sent = state.clone();
@@ -143,10 +152,10 @@
     next.push(sent);
 }
 
-/// Another request is sent.
+/// Sends another request.
 fn send_other(state: &State, next: &mut Vec<State>) {
-    for number in OTHERS {
-        if state.open.iter().any(|run| run.number == number) {
+    for number in OTHER_REQUESTS {
+        if state.pending.iter().any(|run| run.number == number) {
             continue;
         }
         let mut sent = state.clone();
@@ -158,38 +167,43 @@
 fn start(state: &mut State, number: u8) {
     let run = Run {
         number,
-        sent_to: state.believed,
+        sent_to: state.known_incarnation,
     };
-    state.on_the_way.insert(run);
-    state.open.insert(run);
+    state.in_flight.insert(run);
+    state.pending.insert(run);
     state.counted += 1;
 }
 
-/// The daemon is done with a run.
+/// Ends a run at the daemon.
 fn end(state: &mut State, run: Run, guards: Guards) {
-    if !state.open.remove(&run) {
+    if !state.pending.remove(&run) {
         return;
     }
-    if !guards.tickets || run.sent_to == state.believed {
+    if !guards.tickets || run.sent_to == state.known_incarnation {
         state.counted = state.counted.saturating_sub(1);
     }
 }
 
-/// The daemon learns of a new life: nothing is counted there yet, and what it
-/// waits for is over.
-fn learn(state: &State, guards: Guards) -> State {
-    let mut known = state.clone();
-    known.believed = state.life;
-    known.counted = 0;
+/// The daemon learns of the worker's new incarnation. It resets its run count and ends
+/// all runs that it sent to a former incarnation.
+fn learn_incarnation(state: &State, guards: Guards) -> State {
+    let mut updated = state.clone();
+    updated.known_incarnation = state.incarnation;
+    updated.counted = 0;
     if !guards.tickets {
-        // A run that goes on is counted at whichever life is known.
-        return known;
+        // Without the guard, an unfinished run stays counted, at whichever incarnation
+        // the daemon knows when the run ends.
+        return updated;
     }
-    for run in state.open.iter().filter(|r| r.sent_to != state.life) {
-        known.open.remove(run);
-        if !guards.in_doubt && !OTHERS.contains(&run.number) {
-            known.refused.insert(run.number);
+    for run in state
+        .pending
+        .iter()
+        .filter(|r| r.sent_to != state.incarnation)
+    {
+        updated.pending.remove(run);
+        if !guards.in_doubt && !OTHER_REQUESTS.contains(&run.number) {
+            updated.refused.insert(run.number);
         }
     }
-    known
+    updated
 }
--- a/crates/bluebellreel_model/src/segments.rs
+++ b/crates/bluebellreel_model/src/segments.rs
@@ -1,41 +1,41 @@
-//! Recording a job's results in numbered segments: two daemons, two items,
-//! answers that are lost, and writes that take effect late.
+//! Recording of a job's results in numbered segments: two daemons, two items, lost
+//! responses, and writes that take effect late.
 //!
-//! The owner gathers ended items and writes them as the next segment. A write
-//! may be done and answered, done with its answer lost, or still be on its way;
-//! one on its way is done later if its guards hold then. Readers read from the
-//! store or from the owner's memory, and what they have read must stay.
+//! The owner collects finished items and writes them as the next segment. A write may
+//! be applied and acknowledged, applied with its response lost, or still in flight; one
+//! in flight is applied later if its guards hold then. Readers read from the store or
+//! from the owner's memory, and results that a reader has seen must not change.
 
 use crate::Explored;
 use crate::explored::explore_all;
 use std::collections::BTreeSet;
 
-/// Changes of owner that are explored.
-const MOST_REVISIONS: u8 = 3;
-/// Writes on their way at one time.
-const MOST_LATE: usize = 2;
+/// The record's revision from which no further takeover is explored.
+const MAX_REVISIONS: u8 = 3;
+/// Maximum number of writes in flight at one time.
+const MAX_LATE_WRITES: usize = 2;
 /// Items of the job.
 const ITEMS: [u8; 2] = [0, 1];
 
-/// Guards that may be left out.
+/// Guards of the protocol, each of which can be disabled.
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each guard is there or left out"
+    reason = "each guard is either enabled or disabled"
 )]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// Writes compare the record's revision.
+    /// A write succeeds only if the job record still has the writer's revision.
     pub revision: bool,
-    /// A segment's number must not be taken yet.
+    /// A write succeeds only if no segment with its number exists.
     pub number: bool,
-    /// A write in doubt is repeated unchanged.
+    /// A write whose outcome is unknown is repeated with the same items.
     pub unchanged: bool,
-    /// A daemon that takes a job over reads what is listed.
+    /// A daemon that takes a job over reads the recorded segments first.
     pub read_back: bool,
 }
 
 impl Guards {
-    /// All guards, as in the product.
+    /// All guards enabled, as in production.
     #[must_use]
     pub fn all() -> Self {
         Self {
@@ -47,7 +47,7 @@
     }
 }
 
-/// One segment's write.
+/// The write of one segment.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Write {
     revision: u8,
@@ -55,15 +55,15 @@
     items: Vec<u8>,
 }
 
-/// What an owner knows.
+/// An owner's local view of the job.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Owner {
     revision: u8,
-    /// Segments that it believes recorded.
+    /// Segments that the owner considers recorded.
     listed: Vec<Vec<u8>>,
-    /// Items that ended and are in no segment yet.
+    /// Finished items that are in no segment yet.
     pending: Vec<u8>,
-    /// The write that is not decided.
+    /// The write whose outcome is unknown.
     writing: Option<Write>,
 }
 
@@ -73,7 +73,7 @@
     segments: Vec<Vec<u8>>,
     late: Vec<Write>,
     owners: [Option<Owner>; 2],
-    /// What some reader has read.
+    /// The items that some reader has seen, in order.
     read: Vec<u8>,
 }
 
@@ -93,17 +93,21 @@
         owners: [Some(first), None],
         read: Vec::new(),
     };
-    explore_all(start, |state| successors(state, guards), broken)
+    explore_all(
+        start,
+        |state| successors(state, guards),
+        invariant_violation,
+    )
 }
 
-fn broken(state: &State) -> Option<String> {
+fn invariant_violation(state: &State) -> Option<String> {
     let listed = state.segments.concat();
-    let once: BTreeSet<&u8> = listed.iter().collect();
-    if once.len() < listed.len() {
+    let unique: BTreeSet<&u8> = listed.iter().collect();
+    if unique.len() < listed.len() {
         return Some("an item is listed twice".into());
     }
     if !listed.starts_with(&state.read) {
-        return Some("what was read has changed".into());
+        return Some("a result that was read has changed".into());
     }
     None
 }
@@ -117,10 +121,10 @@
         }
     }
     for at in 0..state.late.len() {
-        let mut landed = state.clone();
-        let write = landed.late.remove(at);
-        apply(&mut landed, &write, guards);
-        next.push(landed);
+        let mut applied = state.clone();
+        let write = applied.late.remove(at);
+        apply(&mut applied, &write, guards);
+        next.push(applied);
     }
     let mut read = state.clone();
     read.read = state.segments.concat();
@@ -128,7 +132,7 @@
     next
 }
 
-/// Does a write if its guards hold; whether it was done.
+/// Applies a write if its guards hold, and returns whether it was applied.
 fn apply(state: &mut State, write: &Write, guards: Guards) -> bool {
     let current = state.revision == write.revision || !guards.revision;
     let free = state.segments.len() == write.number;
@@ -144,7 +148,7 @@
 }
 
 fn take_over(state: &State, at: usize, guards: Guards, next: &mut Vec<State>) {
-    if state.revision >= MOST_REVISIONS {
+    if state.revision >= MAX_REVISIONS {
         return;
     }
     let mut taken = state.clone();
@@ -169,9 +173,9 @@
         changed.owners[at] = owner;
         next.push(changed);
     };
-    // It may die at any time.
+    // The owner may crash at any time.
     with(None);
-    // Its readers read what it believes recorded.
+    // Readers at the owner see the segments that it considers recorded.
     let mut read = state.clone();
     read.read = owner.listed.concat();
     if read.read.len() > state.read.len() {
@@ -209,8 +213,8 @@
     }
 }
 
-/// Sends a write: it is done and answered, done with its answer lost, or on
-/// its way.
+/// Sends a write: it is applied and acknowledged, applied with its response lost, or
+/// left in flight.
 fn send(
     state: &State,
     at: usize,
@@ -232,7 +236,7 @@
         recorded
     });
     next.push(done);
-    if state.late.len() < MOST_LATE {
+    if state.late.len() < MAX_LATE_WRITES {
         let mut late = state.clone();
         late.late.push(write.clone());
         late.owners[at] = Some(in_doubt(owner, write, guards));
@@ -240,8 +244,8 @@
     }
 }
 
-/// The owner after an answer was lost. Without the guard it adds what has
-/// ended meanwhile.
+/// The owner's state after it lost the response to a write. Without the guard it adds
+/// the items that have finished since.
 fn in_doubt(owner: &Owner, write: &Write, guards: Guards) -> Owner {
     let mut owner = owner.clone();
     if !guards.unchanged {
--- a/crates/bluebellreel_model/src/snapshot.rs
+++ b/crates/bluebellreel_model/src/snapshot.rs
@@ -1,64 +1,66 @@
-//! A gateway that starts while the store is away, and lives by a keeper's
-//! snapshot: one gateway, two keepers, one worker's address that is used again by
-//! another service, and versions that operators have acknowledged meanwhile.
+//! A gateway that starts while the store is unavailable and runs on a snapshot from a
+//! keeper. The model has one gateway, two keepers, a worker's address that another
+//! service reuses later, and configuration versions that operators have accepted in the
+//! meantime.
 
 use crate::Explored;
 use crate::explored::explore_all;
 
-/// Versions of the configuration that are explored.
-const MOST_VERSIONS: u8 = 3;
-/// Changes between up and away of the store.
-const MOST_TURNS: u8 = 3;
-/// Starts of the gateway.
-const MOST_STARTS: u8 = 3;
+/// Number of configuration versions that are explored.
+const MAX_VERSIONS: u8 = 3;
+/// Maximum number of times that the store becomes available or unavailable.
+const MAX_STORE_TRANSITIONS: u8 = 3;
+/// Maximum number of starts of the gateway.
+const MAX_STARTS: u8 = 3;
 
-/// Guards that may be left out.
+/// Guards of the protocol, each of which can be disabled.
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each guard is there or left out"
+    reason = "each guard is either enabled or disabled"
 )]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// Work names the worker that it means, and another one refuses it.
+    /// Each request names the worker that it is meant for, and any other worker refuses
+    /// it.
     pub instance: bool,
-    /// A fact replaces none that is newer.
+    /// A fact never replaces a newer one.
     pub revision: bool,
-    /// A snapshot is taken only while the store does not answer.
+    /// The gateway accepts a snapshot only while the store does not respond.
     pub store_first: bool,
-    /// The keeper takes nothing from a gateway that lives by a snapshot, and is
-    /// not confirmed by it.
-    pub store_s_word: bool,
+    /// A keeper neither copies state from a gateway that runs on a snapshot, nor counts
+    /// that gateway's state as a confirmation of its own.
+    pub store_confirmed: bool,
 }
 
 impl Guards {
-    /// All guards, as in the product.
+    /// All guards enabled, as in production.
     #[must_use]
     pub fn all() -> Self {
         Self {
             instance: true,
             revision: true,
             store_first: true,
-            store_s_word: true,
+            store_confirmed: true,
         }
     }
 }
 
-/// Who listens at the one address.
+/// The process that listens at the worker's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Holder {
-    /// The worker that routes go to.
+enum AddressHolder {
+    /// The worker that the routes point to.
     Worker,
-    /// Nobody: it is gone.
+    /// No process: the worker is gone.
     Nobody,
-    /// A worker of a service that no route ever went to.
-    Stranger,
+    /// A worker of another service, to which no route has ever pointed.
+    OtherService,
 }
 
-/// What somebody knows of the store.
+/// A copy of the store's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Known {
     version: u8,
-    /// Whether the worker is listed.
+    /// Whether the store lists the worker.
     worker: bool,
 }
 
@@ -67,21 +69,21 @@
 struct Gateway {
     known: Option<Known>,
     from_store: bool,
-    /// The newest version that was in force in this run.
-    highest: u8,
+    /// The newest version that has been in force since the gateway started.
+    highest_version: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     store: Known,
     store_up: bool,
-    turns: u8,
-    holder: Holder,
+    store_transitions: u8,
+    holder: AddressHolder,
     gateway: Option<Gateway>,
     starts: u8,
     keepers: [Option<Known>; 2],
-    /// What was seen that must not be.
-    wrong: Option<&'static str>,
+    /// The invariant violation that has occurred, if any.
+    violation: Option<&'static str>,
 }
 
 fn start() -> State {
@@ -91,51 +93,55 @@
             worker: true,
         },
         store_up: true,
-        turns: 0,
-        holder: Holder::Worker,
+        store_transitions: 0,
+        holder: AddressHolder::Worker,
         gateway: None,
         starts: 0,
         keepers: [None, None],
-        wrong: None,
+        violation: None,
     }
 }
 
 /// Explores all states.
 #[must_use]
 pub fn explore(guards: Guards) -> Explored {
-    let broken = |state: &State| state.wrong.map(str::to_owned);
-    explore_all(start(), |state| successors(state, guards), broken)
+    let invariant_violation = |state: &State| state.violation.map(str::to_owned);
+    explore_all(
+        start(),
+        |state| successors(state, guards),
+        invariant_violation,
+    )
 }
 
 fn successors(state: &State, guards: Guards) -> Vec<State> {
     let mut next = Vec::new();
-    surroundings(state, &mut next);
+    environment_steps(state, &mut next);
     gateway_steps(state, guards, &mut next);
     keeper_steps(state, guards, &mut next);
     next
 }
 
-/// Operators, the store, and who holds the address.
-fn surroundings(state: &State, next: &mut Vec<State>) {
-    if state.store_up && state.store.version < MOST_VERSIONS {
+/// Steps of the operators, of the store, and of the processes at the worker's address.
+fn environment_steps(state: &State, next: &mut Vec<State>) {
+    if state.store_up && state.store.version < MAX_VERSIONS {
         let mut changed = state.clone();
         changed.store.version += 1;
         next.push(changed);
     }
-    if state.turns < MOST_TURNS {
-        let mut turned = state.clone();
-        turned.store_up = !state.store_up;
-        turned.turns += 1;
-        next.push(turned);
+    if state.store_transitions < MAX_STORE_TRANSITIONS {
+        let mut toggled = state.clone();
+        toggled.store_up = !state.store_up;
+        toggled.store_transitions += 1;
+        next.push(toggled);
     }
     let mut moved = state.clone();
     match state.holder {
-        Holder::Worker => moved.holder = Holder::Nobody,
-        Holder::Nobody => moved.holder = Holder::Stranger,
-        Holder::Stranger => return,
+        AddressHolder::Worker => moved.holder = AddressHolder::Nobody,
+        AddressHolder::Nobody => moved.holder = AddressHolder::OtherService,
+        AddressHolder::OtherService => return,
     }
     next.push(moved);
-    if state.store_up && state.store.worker && state.holder != Holder::Worker {
+    if state.store_up && state.store.worker && state.holder != AddressHolder::Worker {
         let mut delisted = state.clone();
         delisted.store.worker = false;
         next.push(delisted);
@@ -144,13 +150,13 @@
 
 fn gateway_steps(state: &State, guards: Guards, next: &mut Vec<State>) {
     let Some(gateway) = state.gateway else {
-        if state.starts < MOST_STARTS {
+        if state.starts < MAX_STARTS {
             let mut started = state.clone();
             started.starts += 1;
             started.gateway = Some(Gateway {
                 known: None,
                 from_store: false,
-                highest: 0,
+                highest_version: 0,
             });
             next.push(started);
         }
@@ -164,7 +170,7 @@
         read.gateway = Some(Gateway {
             known: Some(state.store),
             from_store: true,
-            highest: gateway.highest.max(state.store.version),
+            highest_version: gateway.highest_version.max(state.store.version),
         });
         next.push(read);
     }
@@ -175,9 +181,9 @@
 
 /// The gateway sends a request to the worker that it knows at the address.
 fn send(state: &State, guards: Guards, next: &mut Vec<State>) {
-    if state.holder == Holder::Stranger && !guards.instance {
+    if state.holder == AddressHolder::OtherService && !guards.instance {
         let mut ran = state.clone();
-        ran.wrong = Some("a service ran what no route ever sent there");
+        ran.violation = Some("a service ran a request that no route ever sent there");
         next.push(ran);
     }
 }
@@ -187,15 +193,22 @@
         return;
     };
     for at in 0..state.keepers.len() {
-        take_over(state, at, gateway, guards, next);
-        offer(state, at, gateway, guards, next);
+        update_keeper(state, at, gateway, guards, next);
+        offer_snapshot(state, at, gateway, guards, next);
     }
 }
 
-/// The keeper visits a gateway that may know more, and is confirmed by it.
-fn take_over(state: &State, at: usize, gateway: Gateway, guards: Guards, next: &mut Vec<State>) {
+/// A keeper reads the state of a gateway that may know more, and counts that state as a
+/// confirmation of its own.
+fn update_keeper(
+    state: &State,
+    at: usize,
+    gateway: Gateway,
+    guards: Guards,
+    next: &mut Vec<State>,
+) {
     let Some(known) = gateway.known else { return };
-    if guards.store_s_word && !gateway.from_store {
+    if guards.store_confirmed && !gateway.from_store {
         return;
     }
     let newer = state.keepers[at].is_none_or(|k| !guards.revision || known.version >= k.version);
@@ -205,13 +218,19 @@
     let mut taken = state.clone();
     taken.keepers[at] = Some(known);
     if !gateway.from_store {
-        taken.wrong = Some("a snapshot was confirmed by itself");
+        taken.violation = Some("a snapshot was confirmed by itself");
     }
     next.push(taken);
 }
 
-/// The keeper brings what it has to a gateway that wants it.
-fn offer(state: &State, at: usize, gateway: Gateway, guards: Guards, next: &mut Vec<State>) {
+/// A keeper offers its snapshot to a gateway that accepts it.
+fn offer_snapshot(
+    state: &State,
+    at: usize,
+    gateway: Gateway,
+    guards: Guards,
+    next: &mut Vec<State>,
+) {
     let Some(keeper) = state.keepers[at] else {
         return;
     };
@@ -226,12 +245,12 @@
     taken.gateway = Some(Gateway {
         known: Some(keeper),
         from_store: false,
-        highest: gateway.highest.max(keeper.version),
+        highest_version: gateway.highest_version.max(keeper.version),
     });
-    if keeper.version < gateway.highest {
-        taken.wrong = Some("a version that was in force has reverted");
+    if keeper.version < gateway.highest_version {
+        taken.violation = Some("a version that was in force has reverted");
     } else if state.store_up && keeper.version < state.store.version {
-        taken.wrong = Some("an older version is in force though the store answers");
+        taken.violation = Some("an older version is in force though the store answers");
     }
     next.push(taken);
 }
