--- a/crates/bluebellreel_faults/examples/fault_matrix.rs
+++ b/crates/bluebellreel_faults/examples/fault_matrix.rs
@@ -9,7 +9,7 @@
         let name = format!("{} at {}", cell.fault.name(), cell.step.name());
         match result {
             CellResult::Held(_) => {}
-            CellResult::Broken(reasons) => println!("broken: {name}: {}", reasons.join("; ")),
+            CellResult::Violated(reasons) => println!("broken: {name}: {}", reasons.join("; ")),
             CellResult::DoesNotApply(reason) => println!("–: {name}: {reason}"),
         }
     }
--- a/crates/bluebellreel_faults/src/backend.rs
+++ b/crates/bluebellreel_faults/src/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers of a world: engines and a plain service.
+//! The backend servers of a simulation: model engines and a plain service.
 
 use bluebellreel_admission::EngineEnd;
 use bluebellreel_standins::word;
@@ -8,16 +8,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time of an engine's step.
-const STEP: Duration = Duration::from_millis(40);
-/// Time of a plain call.
-const CALL: Duration = Duration::from_millis(120);
-/// How long a backend server that died stays away.
-const AWAY: Duration = Duration::from_secs(2);
-/// A prompt with this word can never be answered.
+/// Duration of an engine's step.
+const STEP_DURATION: Duration = Duration::from_millis(40);
+/// Duration of a call to the plain service.
+const CALL_DURATION: Duration = Duration::from_millis(120);
+/// Time until a crashed backend server accepts attempts again.
+const DOWNTIME: Duration = Duration::from_secs(2);
+/// Engines reject prompts that contain this word.
 const IMPOSSIBLE: &str = "impossible";
 
-/// What a backend server is.
+/// The kind of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendKind {
     /// A model engine.
@@ -34,41 +34,41 @@
     due: Moment,
 }
 
-/// What a backend server tells its side process.
+/// An event that a backend server reports to its side process.
 #[derive(Clone, Debug)]
 pub enum BackendEvent {
-    /// Text of an attempt.
+    /// Text generated for an attempt.
     Text(AttemptId, String),
     /// The end of an attempt.
     End(AttemptId, EngineEnd),
 }
 
-/// One backend server.
+/// A backend server.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// What it is.
+    /// The kind of server.
     pub kind: BackendKind,
     running: BTreeMap<AttemptId, Running>,
-    away_until: Moment,
-    /// Runs of each key (plain service).
+    down_until: Moment,
+    /// Number of runs of each key, at the plain service.
     pub runs: BTreeMap<String, u32>,
 }
 
 impl Backend {
-    /// An idle server.
+    /// Creates an idle server.
     #[must_use]
     pub fn new(kind: BackendKind) -> Self {
         Self {
             kind,
             running: BTreeMap::new(),
-            away_until: Moment(0),
+            down_until: Moment(0),
             runs: BTreeMap::new(),
         }
     }
 
-    /// Takes an attempt; its end, if that is known at once.
+    /// Starts an attempt. Returns its end if the server refuses it immediately.
     pub fn start(&mut self, dispatch: &Dispatch, now: Moment) -> Option<EngineEnd> {
-        if !self.away_until.is_past(now) {
+        if !self.down_until.is_past(now) {
             return Some(EngineEnd::Unreachable);
         }
         let running = match &dispatch.work.kind {
@@ -79,7 +79,7 @@
                     prompt: String::new(),
                     next: 0,
                     tokens: 0,
-                    due: now + CALL,
+                    due: now + CALL_DURATION,
                 }
             }
             WorkKind::Chat => {
@@ -96,7 +96,7 @@
                     prompt: prompt.to_owned(),
                     next: u32::try_from(delivered).unwrap_or(0),
                     tokens: dispatch.work.tokens,
-                    due: now + STEP,
+                    due: now + STEP_DURATION,
                 }
             }
         };
@@ -106,7 +106,7 @@
 
     /// Cancels an attempt.
     pub fn cancel(&mut self, attempt: AttemptId) -> Option<BackendEvent> {
-        // A plain call that has been sent cannot be called back.
+        // The plain service cannot cancel a call that it has received.
         if self.kind == BackendKind::Service {
             return None;
         }
@@ -114,38 +114,38 @@
         Some(BackendEvent::End(attempt, EngineEnd::Broken))
     }
 
-    /// Dies with all its attempts.
-    pub fn die(&mut self, now: Moment) -> Vec<BackendEvent> {
-        self.away_until = now + AWAY;
+    /// Crashes, which breaks off all attempts.
+    pub fn crash(&mut self, now: Moment) -> Vec<BackendEvent> {
+        self.down_until = now + DOWNTIME;
         let lost = std::mem::take(&mut self.running);
         let broken = |attempt| BackendEvent::End(attempt, EngineEnd::Broken);
         lost.into_keys().map(broken).collect()
     }
 
-    /// Forgets all attempts: its side process died, and their streams with it.
+    /// Drops all attempts, whose streams were lost in a crash of the side process.
     pub fn drop_streams(&mut self) {
         self.running.clear();
     }
 
-    /// What has come about by now.
+    /// Advances the attempts that are due and returns their events.
     pub fn step(&mut self, now: Moment) -> Vec<BackendEvent> {
         let mut events = Vec::new();
-        let mut over = Vec::new();
+        let mut finished = Vec::new();
         for (attempt, running) in &mut self.running {
             if !running.due.is_past(now) {
                 continue;
             }
-            running.due = now + STEP;
+            running.due = now + STEP_DURATION;
             if running.next < running.tokens {
                 let text = word(&running.prompt, running.next);
                 running.next += 1;
                 events.push(BackendEvent::Text(*attempt, text));
             }
             if running.next >= running.tokens {
-                over.push(*attempt);
+                finished.push(*attempt);
             }
         }
-        for attempt in over {
+        for attempt in finished {
             self.running.remove(&attempt);
             let (status, body) = match self.kind {
                 BackendKind::Engine => (200, Arc::from([])),
--- a/crates/bluebellreel_faults/src/invariants.rs
+++ b/crates/bluebellreel_faults/src/invariants.rs
@@ -1,4 +1,4 @@
-//! What must always hold.
+//! Invariants that must hold in every run.
 
 use crate::items::{BOOKINGS, IMPOSSIBLE_NOTE, NOTES, TOKENS, note_prompt};
 use crate::scenario::{FollowedCall, Scenario};
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Times that results are tried to be read.
-const READINGS: u32 = 20;
+/// Maximum number of attempts to read a job's results.
+const MAX_READ_ATTEMPTS: u32 = 20;
 
-/// Checks everything; gives the bookings that ended in doubt.
+/// Checks all invariants and returns the number of bookings that ended in doubt.
 pub(crate) fn check(scenario: &mut Scenario) -> usize {
     check_notes(scenario);
     check_harps(scenario);
@@ -24,16 +24,16 @@
     in_doubt
 }
 
-/// Reads a job as a caller does: one that fails is tried again later. The
-/// reading is a step, too, and may be struck by a fault.
+/// Reads a job as a caller does, and retries a failed read later. A read is a step too,
+/// at which a fault may be injected.
 fn lines_of(scenario: &mut Scenario, key: &str) -> Option<(JobState, Vec<BenchLine>)> {
     let id = scenario.jobs[key].id.clone();
-    for _ in 0..READINGS {
+    for _ in 0..MAX_READ_ATTEMPTS {
         let index = scenario.world.live_entry(0)?;
         let entry = scenario.world.entry(index)?;
         let state = entry.job_state(&id);
         let lines = entry.results(&id);
-        scenario.world.carry_out_struck();
+        scenario.world.apply_injected();
         if let (Some(state), Some(lines)) = (state, lines) {
             return Some((state, lines));
         }
@@ -42,7 +42,7 @@
     None
 }
 
-/// The job's lines by item, each exactly once.
+/// The job's result lines by item; checks that each item has exactly one line.
 fn by_item(
     scenario: &mut Scenario,
     key: &str,
@@ -50,7 +50,7 @@
 ) -> Option<(JobState, BTreeMap<String, BenchLine>)> {
     let Some((state, lines)) = lines_of(scenario, key) else {
         scenario
-            .broken
+            .violations
             .push(format!("{key}: its results cannot be read"));
         return None;
     };
@@ -60,7 +60,7 @@
         .map(|line| (line.custom_id.clone(), line))
         .collect();
     if count != expected as usize || items.len() != count {
-        scenario.broken.push(format!(
+        scenario.violations.push(format!(
             "{key}: {count} lines for {} items of {expected}",
             items.len()
         ));
@@ -73,7 +73,9 @@
         return;
     };
     if state != JobState::Complete {
-        scenario.broken.push(format!("notes: ended as {state:?}"));
+        scenario
+            .violations
+            .push(format!("notes: ended as {state:?}"));
     }
     for number in 0..NOTES {
         check_note(scenario, "notes", number, &items);
@@ -88,7 +90,7 @@
 ) {
     let id = format!("{job}-{number}");
     let Some(line) = items.get(&id) else {
-        scenario.broken.push(format!("{id}: no result"));
+        scenario.violations.push(format!("{id}: no result"));
         return;
     };
     let expected = expected_answer(&note_prompt(job, number), TOKENS);
@@ -99,11 +101,13 @@
     };
     if line.status != wanted {
         scenario
-            .broken
+            .violations
             .push(format!("{id}: {} instead of {wanted}", line.status));
     }
     if line.status == "succeeded" && line.body.as_deref() != Some(expected.as_str()) {
-        scenario.broken.push(format!("{id}: another item's answer"));
+        scenario
+            .violations
+            .push(format!("{id}: another item's answer"));
     }
 }
 
@@ -111,22 +115,22 @@
     let Some((state, items)) = by_item(scenario, "harps", NOTES) else {
         return;
     };
-    match scenario.cancel_told {
-        None => scenario.broken.push("harps: never cancelled".into()),
-        Some(told) if told != state => scenario
-            .broken
-            .push(format!("harps: told {told:?}, ended as {state:?}")),
+    match scenario.cancel_answer {
+        None => scenario.violations.push("harps: never cancelled".into()),
+        Some(answer) if answer != state => scenario.violations.push(format!(
+            "harps: the cancellation was answered with {answer:?}, but the job ended as {state:?}"
+        )),
         Some(_) => {}
     }
     let ended = items.values().filter(|l| l.status != "cancelled").count();
-    if state == JobState::Cancelled && scenario.lines_at_cancel.is_some_and(|n| n != ended) {
+    if state == JobState::Cancelled && scenario.ended_at_cancel.is_some_and(|n| n != ended) {
         scenario
-            .broken
+            .violations
             .push("harps: results were recorded after the cancel".into());
     }
     if state == JobState::Complete && ended != items.len() {
         scenario
-            .broken
+            .violations
             .push("harps: complete with items left".into());
     }
 }
@@ -137,7 +141,7 @@
     };
     if state != JobState::Complete {
         scenario
-            .broken
+            .violations
             .push(format!("bookings: ended as {state:?}"));
     }
     let job = scenario.jobs["bookings"].id.clone();
@@ -147,7 +151,7 @@
         let count = runs.get(&format!("{job}/{id}")).copied().unwrap_or(0);
         if line.status == "succeeded" && count != 1 {
             scenario
-                .broken
+                .violations
                 .push(format!("{id}: succeeded after {count} runs"));
         }
         if line.status == "failed" {
@@ -160,15 +164,17 @@
 fn check_runs(scenario: &mut Scenario) {
     for (key, count) in scenario.world.service().runs.clone() {
         if count > 1 {
-            scenario.broken.push(format!("{key}: ran {count} times"));
+            scenario
+                .violations
+                .push(format!("{key}: ran {count} times"));
         }
     }
 }
 
 fn check_calls(scenario: &mut Scenario) {
     for index in 0..scenario.calls.len() {
-        let broken = call_faults(scenario, index);
-        scenario.broken.extend(broken);
+        let violations = call_violations(scenario, index);
+        scenario.violations.extend(violations);
     }
     let keys: Vec<String> = scenario
         .calls
@@ -181,22 +187,25 @@
     }
 }
 
-fn call_faults(scenario: &Scenario, index: usize) -> Vec<String> {
+fn call_violations(scenario: &Scenario, index: usize) -> Vec<String> {
     let followed: &FollowedCall = &scenario.calls[index];
     let name = followed.key.clone().unwrap_or(format!("question {index}"));
     let Some(call) = &followed.call else {
         return Vec::new();
     };
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     if !followed.expected.starts_with(&call.text) {
-        broken.push(format!("{name}: got another's answer {:?}", call.text));
+        violations.push(format!(
+            "{name}: got text that is not a prefix of its answer: {:?}",
+            call.text
+        ));
     }
     let completed = matches!(call.end, Some(CallEnd::Outcome(Outcome::Completed { .. })));
     if completed && call.text != followed.expected {
-        broken.push(format!("{name}: only part of its answer"));
+        violations.push(format!("{name}: completed with only part of its answer"));
     }
     if call.end.is_none() && !followed.is_stranded() {
-        broken.push(format!("{name}: never told how it ended"));
+        violations.push(format!("{name}: its caller never received an outcome"));
     }
     let runs = followed
         .key
@@ -205,7 +214,9 @@
         .copied()
         .unwrap_or(0);
     if followed.runs_when_refused.is_some_and(|before| before > 0) {
-        broken.push(format!("{name}: \"not run\" was said though it ran"));
+        violations.push(format!(
+            "{name}: \"not run\" was reported although it had run"
+        ));
     }
     let resent = scenario
         .calls
@@ -214,16 +225,16 @@
         .count()
         > 1;
     if followed.runs_when_refused.is_some() && runs > 0 && !resent {
-        broken.push(format!("{name}: ran after \"not run\" was said"));
+        violations.push(format!("{name}: ran after \"not run\" was reported"));
     }
     let is_slot = name.starts_with("slot");
     if completed && is_slot && runs != 1 {
-        broken.push(format!("{name}: completed with {runs} runs"));
+        violations.push(format!("{name}: completed with {runs} runs"));
     }
-    broken
+    violations
 }
 
-/// What is recorded of a key must agree with what ran.
+/// Checks that the claim recorded for a key agrees with the number of runs.
 fn check_claim(scenario: &mut Scenario, key: &str) {
     scenario.settle(key);
     let team = scenario.team.clone();
@@ -237,28 +248,28 @@
     let is_slot = key.starts_with("slot");
     match claim.state {
         ClaimState::NotRun if runs > 0 => scenario
-            .broken
+            .violations
             .push(format!("{key}: recorded as not run, but it ran")),
         ClaimState::Completed { .. } if is_slot && runs != 1 => scenario
-            .broken
+            .violations
             .push(format!("{key}: recorded as completed with {runs} runs")),
-        ClaimState::Pending => scenario
-            .broken
-            .push(format!("{key}: its outcome can never be told")),
+        ClaimState::Pending => scenario.violations.push(format!(
+            "{key}: its claim is still pending after all retries"
+        )),
         _ => {}
     }
 }
 
-/// A daemon that lives never goes back to an older manifest, and in the end
-/// the last accepted one is in force everywhere.
+/// Checks that an entry daemon never reverts to an older manifest while it runs, and
+/// that finally the last accepted manifest is in force everywhere.
 fn check_generations(scenario: &mut Scenario) {
     let history = scenario.generations.clone();
     for pair in history.windows(2) {
         for (before, after) in pair[0].iter().zip(pair[1]) {
-            // Zero is a daemon that has just come back and serves nothing yet.
+            // A daemon that has just restarted and serves no manifest yet reports zero.
             if after != 0 && after < *before {
                 scenario
-                    .broken
+                    .violations
                     .push(format!("generation {before} reverted to {after}"));
             }
         }
@@ -268,7 +279,7 @@
         if let (Some(entry), Some(last)) = (scenario.world.entry(index), last) {
             let in_force = entry.generation();
             if in_force < last {
-                scenario.broken.push(format!(
+                scenario.violations.push(format!(
                     "entry {index} has {in_force} in force, {last} was accepted"
                 ));
             }
--- a/crates/bluebellreel_faults/src/items.rs
+++ b/crates/bluebellreel_faults/src/items.rs
@@ -1,18 +1,18 @@
-//! What jobs and calls ask for.
+//! The contents of the scenario's jobs and calls.
 
 use crate::world::{DESK, MODEL};
 use serde_json::json;
 
-/// Items of each job of chat completions.
+/// Number of items of each job of chat completions.
 pub(crate) const NOTES: u32 = 24;
-/// The item that can never be done.
+/// Number of the item whose prompt every engine rejects.
 pub(crate) const IMPOSSIBLE_NOTE: u32 = 7;
-/// Tokens of each item.
+/// Number of tokens that each item generates.
 pub(crate) const TOKENS: u32 = 4;
-/// Items of the job of bookings.
+/// Number of items of the bookings job.
 pub(crate) const BOOKINGS: u32 = 8;
 
-/// A note's prompt.
+/// The prompt of a chat item.
 pub(crate) fn note_prompt(job: &str, number: u32) -> String {
     if number == IMPOSSIBLE_NOTE {
         format!("impossible {job} {number}")
--- a/crates/bluebellreel_faults/src/kv.rs
+++ b/crates/bluebellreel_faults/src/kv.rs
@@ -1,6 +1,6 @@
-//! The key-value service of a world: the stand-in's calls, with faults.
+//! The key-value service of a simulation: the stand-in's calls, with injected faults.
 
-use crate::plan::{Fault, Plan, Step, Strike};
+use crate::plan::{Fault, Injection, Plan, Step};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use bluebellreel_kv::{KvError, KvTransport};
@@ -11,38 +11,38 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How much longer a slow call takes.
-const SLOWNESS: Duration = Duration::from_millis(700);
-/// Largest value.
+/// Additional duration of a call while the service is slow.
+const SLOW_CALL_DELAY: Duration = Duration::from_millis(700);
+/// Maximum size of a value, in bytes.
 const VALUE_BYTES: usize = 1 << 20;
 
-/// A call whose sender was paused: it takes effect when the sender wakes.
+/// A call whose sender was paused; it takes effect when the sender resumes.
 struct HeldCall {
     path: String,
     body: Value,
 }
 
-/// The service's state and the faults to come.
+/// The service's state and the faults that have not been injected yet.
 pub struct FakeKv {
     calls: KvCalls,
     clock: Clock,
     down_until: Moment,
     slow_until: Moment,
     lose_answers: u32,
-    strikes: Vec<Strike>,
-    trouble: Duration,
+    injections: Vec<Injection>,
+    kv_fault_duration: Duration,
     reached: BTreeMap<Step, u32>,
-    /// Faults that struck and that the world must carry out, with the entry
-    /// whose step it was.
-    struck: Vec<(Strike, usize)>,
-    /// Entries whose calls go nowhere: dead or paused.
-    silent: BTreeSet<usize>,
-    held: BTreeMap<usize, Vec<HeldCall>>,
+    /// Faults that were injected and that the simulation has not applied yet, each with the
+    /// index of the entry daemon that made the call.
+    injected: Vec<(Injection, usize)>,
+    /// Entry daemons that crashed or are paused; their calls fail.
+    cut_off: BTreeSet<usize>,
+    held_calls: BTreeMap<usize, Vec<HeldCall>>,
     writes: u64,
     reads: u64,
 }
 
-/// A shared handle on the service.
+/// A shared handle to the service.
 #[derive(Clone)]
 pub struct KvHandle(Arc<Mutex<FakeKv>>);
 
@@ -56,163 +56,173 @@
             down_until: Moment(0),
             slow_until: Moment(0),
             lose_answers: 0,
-            strikes: plan.strikes.clone(),
-            trouble: plan.trouble,
+            injections: plan.injections.clone(),
+            kv_fault_duration: plan.kv_fault_duration,
             reached: BTreeMap::new(),
-            struck: Vec::new(),
-            silent: BTreeSet::new(),
-            held: BTreeMap::new(),
+            injected: Vec::new(),
+            cut_off: BTreeSet::new(),
+            held_calls: BTreeMap::new(),
             writes: 0,
             reads: 0,
         })))
     }
 
-    /// The transport of one entry daemon.
+    /// The transport through which one entry daemon calls the service.
     #[must_use]
     pub fn transport(&self, entry: usize) -> KvTransport {
         let handle = self.clone();
         Box::new(move |path, body| handle.with(|kv| kv.receive(entry, path, body)))
     }
 
-    /// Works on the state.
+    /// Runs `work` on the service's state.
     ///
     /// # Panics
     ///
-    /// Ends the test when a thread panicked while it held the state.
+    /// Panics if a thread panicked while it held the state.
     pub fn with<T>(&self, work: impl FnOnce(&mut FakeKv) -> T) -> T {
-        work(&mut self.0.lock().expect("the key-value service's lock"))
+        work(
+            &mut self
+                .0
+                .lock()
+                .expect("no thread panicked while it held the key-value service"),
+        )
     }
 }
 
 impl FakeKv {
-    /// Notes that a step is reached; the faults that strike now.
-    pub fn reach(&mut self, step: Step) -> Vec<Strike> {
+    /// Counts that a step is reached and takes the faults that are to be injected now.
+    pub fn reach_step(&mut self, step: Step) -> Vec<Injection> {
         let reached = self.reached.entry(step).or_default();
         *reached += 1;
         let now = *reached;
-        let (hit, rest) = self
-            .strikes
+        let (due, rest) = self
+            .injections
             .drain(..)
             .partition(|s| s.step == step && s.nth == now);
-        self.strikes = rest;
-        hit
+        self.injections = rest;
+        due
     }
 
-    /// Whether every planned fault has struck.
+    /// Whether every planned fault has been injected.
     #[must_use]
-    pub fn all_struck(&self) -> bool {
-        self.strikes.is_empty()
+    pub fn all_injected(&self) -> bool {
+        self.injections.is_empty()
     }
 
-    /// How often a step was reached.
+    /// The number of times that a step was reached.
     #[must_use]
     pub fn reached(&self, step: Step) -> u32 {
         self.reached.get(&step).copied().unwrap_or(0)
     }
 
-    /// Writes and reads so far.
+    /// The number of writes and of reads so far.
     #[must_use]
     pub fn counts(&self) -> (u64, u64) {
         (self.writes, self.reads)
     }
 
-    /// Takes the faults that the world must carry out.
-    pub fn take_struck(&mut self) -> Vec<(Strike, usize)> {
-        std::mem::take(&mut self.struck)
+    /// Takes the injected faults that the simulation must apply.
+    pub fn take_injected(&mut self) -> Vec<(Injection, usize)> {
+        std::mem::take(&mut self.injected)
     }
 
-    /// Whether a fault struck that the world has not carried out yet.
+    /// Whether an injected fault has not been applied by the simulation yet.
     #[must_use]
-    pub fn has_struck(&self) -> bool {
-        !self.struck.is_empty()
+    pub fn has_injected(&self) -> bool {
+        !self.injected.is_empty()
     }
 
-    /// Starts an outage.
+    /// Makes the service unavailable for the plan's duration.
     pub fn go_down(&mut self) {
-        self.down_until = self.clock.now() + self.trouble;
+        self.down_until = self.clock.now() + self.kv_fault_duration;
     }
 
-    /// Starts a time of slowness.
+    /// Makes calls slow for the plan's duration.
     pub fn go_slow(&mut self) {
-        self.slow_until = self.clock.now() + self.trouble;
+        self.slow_until = self.clock.now() + self.kv_fault_duration;
     }
 
-    /// Loses the answer of the next write.
+    /// Drops the response of the next write.
     pub fn lose_answer(&mut self) {
         self.lose_answers += 1;
     }
 
-    /// Lets an entry's calls go nowhere from now on, or come through again.
-    pub fn set_silent(&mut self, entry: usize, silent: bool) {
-        if silent {
-            self.silent.insert(entry);
+    /// Makes an entry daemon's calls fail from now on, or succeed again.
+    pub fn set_cut_off(&mut self, entry: usize, cut_off: bool) {
+        if cut_off {
+            self.cut_off.insert(entry);
         } else {
-            self.silent.remove(&entry);
+            self.cut_off.remove(&entry);
         }
     }
 
-    /// Lets the calls take effect that a paused entry had sent.
-    pub fn release_held(&mut self, entry: usize) {
+    /// Applies the calls that an entry daemon sent before it was paused.
+    pub fn release_held_calls(&mut self, entry: usize) {
         let now = self.clock.now();
         self.calls.expire(now);
-        for call in self.held.remove(&entry).unwrap_or_default() {
+        for call in self.held_calls.remove(&entry).unwrap_or_default() {
             self.calls.call(&call.path, &call.body, now).ok();
         }
     }
 
-    /// Ends leases whose time is up.
+    /// Expires the leases whose time to live has passed.
     pub fn expire(&mut self) {
         let now = self.clock.now();
         self.calls.expire(now);
     }
 
     fn receive(&mut self, entry: usize, path: &str, body: &Value) -> Result<Value, KvError> {
-        if self.silent.contains(&entry) {
+        if self.cut_off.contains(&entry) {
             return Err(KvError::Unknown("the sender is dead or paused".into()));
         }
-        let mut lose = false;
+        let mut lose_answer_now = false;
         let mut vm_lost = false;
         if let Some(step) = step_of(path, body) {
-            for strike in self.reach(step) {
-                match strike.fault {
+            for injection in self.reach_step(step) {
+                match injection.fault {
                     Fault::KvDown => self.go_down(),
                     Fault::KvSlow => self.go_slow(),
-                    Fault::AnswerLost => lose = true,
-                    Fault::EntryDies => {
-                        self.silent.insert(entry);
-                        self.struck.push((strike, entry));
+                    Fault::AnswerLost => lose_answer_now = true,
+                    Fault::EntryCrashes => {
+                        self.cut_off.insert(entry);
+                        self.injected.push((injection, entry));
                         return Err(KvError::Unknown("the sender died".into()));
                     }
-                    Fault::LeaseLapses => {
-                        self.silent.insert(entry);
-                        self.struck.push((strike, entry));
+                    Fault::LeaseExpires => {
+                        self.cut_off.insert(entry);
+                        self.injected.push((injection, entry));
                         let call = HeldCall {
                             path: path.to_owned(),
                             body: body.clone(),
                         };
-                        self.held.entry(entry).or_default().push(call);
+                        self.held_calls.entry(entry).or_default().push(call);
                         return Err(KvError::Unknown("the sender was paused".into()));
                     }
                     Fault::VmLost => {
                         vm_lost = true;
-                        self.struck.push((strike, entry));
+                        self.injected.push((injection, entry));
                     }
-                    _ => self.struck.push((strike, entry)),
+                    _ => self.injected.push((injection, entry)),
                 }
             }
         }
-        let answer = self.answer(path, body, lose);
+        let answer = self.answer(path, body, lose_answer_now);
         if vm_lost {
-            self.silent.insert(entry);
+            self.cut_off.insert(entry);
             return Err(KvError::Unknown("the sender's VM was lost".into()));
         }
         answer
     }
 
-    fn answer(&mut self, path: &str, body: &Value, lose: bool) -> Result<Value, KvError> {
+    fn answer(
+        &mut self,
+        path: &str,
+        body: &Value,
+        lose_answer_now: bool,
+    ) -> Result<Value, KvError> {
         let now = self.clock.now();
         if !self.slow_until.is_past(now) {
-            self.clock.advance(SLOWNESS);
+            self.clock.advance(SLOW_CALL_DELAY);
         }
         let now = self.clock.now();
         self.calls.expire(now);
@@ -227,7 +237,7 @@
         } else {
             self.reads += 1;
         }
-        if wrote && (lose || self.lose_answers > 0) {
+        if wrote && (lose_answer_now || self.lose_answers > 0) {
             self.lose_answers = self.lose_answers.saturating_sub(1);
             return Err(KvError::Unknown("the answer was lost".into()));
         }
@@ -240,7 +250,7 @@
     String::from_utf8_lossy(&bytes.unwrap_or_default()).into_owned()
 }
 
-/// The step that a call is.
+/// The step to which a call belongs.
 fn step_of(path: &str, body: &Value) -> Option<Step> {
     if path == "/v3/kv/range" {
         let key = text_of(&body["key"]);
--- a/crates/bluebellreel_faults/src/lib.rs
+++ b/crates/bluebellreel_faults/src/lib.rs
@@ -1,19 +1,20 @@
-//! The fault matrix: every fault at every step, against the real code.
+//! The fault matrix: injects every fault at every step and checks the real code's
+//! invariants.
 //!
-//! A [`World`] holds three entry daemons and four side processes without
-//! threads or sockets, a key-value service, engines and a plain service that
-//! counts its runs, under one clock that is set by hand. A [`Plan`] names a
-//! fault and the step at which it strikes. [`run_plan`] lets the main work run
-//! through it and checks what must always hold.
+//! A [`World`] runs three entry daemons and four side processes without threads or
+//! sockets, with a key-value service, model engines, and a plain service that counts
+//! its runs, all under one manually advanced clock. A [`Plan`] names faults and the
+//! steps at which they are injected. [`run_plan`] runs the main workload through a plan
+//! and checks the invariants.
 //!
-//! Each file takes only from those before it: `plan`, `net`, `backend`, `kv`,
-//! `world`, `items`, `scenario`, `invariants`, `run`, `matrix`.
+//! Each module depends only on those before it in this list: `plan`, `net`, `backend`,
+//! `kv`, `world`, `items`, `scenario`, `invariants`, `run`, `matrix`.
 //!
 //! ```
 //! use bluebellreel_faults::{run_plan, Plan};
 //!
-//! let report = run_plan(&Plan::quiet(1));
-//! assert_eq!(report.broken, Vec::<String>::new());
+//! let report = run_plan(&Plan::without_faults(1));
+//! assert_eq!(report.violations, Vec::<String>::new());
 //! ```
 
 mod backend;
@@ -31,6 +32,6 @@
 pub use kv::{FakeKv, KvHandle};
 pub use matrix::{Cell, CellResult, run_matrix, table};
 pub use net::{Envelope, Link, Payload};
-pub use plan::{Fault, Plan, Step, Strike};
+pub use plan::{Fault, Injection, Plan, Step};
 pub use run::{Report, run_plan};
 pub use world::World;
--- a/crates/bluebellreel_faults/src/matrix.rs
+++ b/crates/bluebellreel_faults/src/matrix.rs
@@ -1,15 +1,15 @@
-//! All faults by all steps.
+//! Runs all combinations of a fault and a step.
 
 use crate::plan::{Fault, Plan, Step};
 use crate::run::{Report, run_plan};
 use std::fmt::Write;
 
-/// Times of a step at which a fault strikes, one run each.
-const TIMES: [u32; 4] = [1, 2, 4, 7];
-/// Seed of the matrix.
+/// The occurrences of a step at which a fault is injected, one run each.
+const OCCURRENCES: [u32; 4] = [1, 2, 4, 7];
+/// Seed of the matrix; each run adds its occurrence number.
 const SEED: u64 = 20_261_202;
 
-/// One cell.
+/// One cell of the matrix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cell {
     /// The fault.
@@ -18,24 +18,24 @@
     pub step: Step,
 }
 
-/// What a cell shows.
+/// The result of a cell.
 #[derive(Clone, Debug)]
 pub enum CellResult {
-    /// Everything held in so many runs.
+    /// All invariants held in this number of runs.
     Held(usize),
-    /// Something did not.
-    Broken(Vec<String>),
-    /// The fault cannot meet the step, and why.
+    /// The violations found.
+    Violated(Vec<String>),
+    /// The fault cannot occur at the step, for this reason.
     DoesNotApply(&'static str),
 }
 
-/// Why a fault cannot meet a step; none when it can.
+/// The reason why a fault cannot occur at a step; `None` if it can.
 #[must_use]
 pub fn does_not_apply(cell: Cell) -> Option<&'static str> {
     let Cell { fault, step } = cell;
     let message = matches!(
         fault,
-        Fault::MessageLate | Fault::MessageDoubled | Fault::AnswersCrossed
+        Fault::MessageLate | Fault::MessageDuplicated | Fault::MessagesReordered
     );
     if message && !matches!(step, Step::Dispatch | Step::Result) {
         return Some("no message between entry and side is sent in this step");
@@ -46,39 +46,40 @@
     None
 }
 
-/// Runs one cell.
+/// Runs one cell, once for each occurrence of its step.
 #[must_use]
 pub fn run_cell(cell: Cell) -> CellResult {
     if let Some(reason) = does_not_apply(cell) {
         return CellResult::DoesNotApply(reason);
     }
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let mut runs = 0;
-    for nth in TIMES {
-        let plan = Plan::one(cell.fault, cell.step, nth, SEED + u64::from(nth));
+    for nth in OCCURRENCES {
+        let plan = Plan::single_fault(cell.fault, cell.step, nth, SEED + u64::from(nth));
         let report: Report = run_plan(&plan);
-        if !report.struck {
-            // The step is not reached that often; the first time always is.
-            if nth == TIMES[0] {
-                broken.push(format!("{plan:?}: the step was never reached"));
+        if !report.injected {
+            // A run may not reach the step `nth` times, but must reach it at least
+            // once.
+            if nth == OCCURRENCES[0] {
+                violations.push(format!("{plan:?}: the step was never reached"));
             }
             continue;
         }
         runs += 1;
-        broken.extend(report.broken.iter().map(|b| format!("time {nth}: {b}")));
+        violations.extend(report.violations.iter().map(|v| format!("time {nth}: {v}")));
     }
-    if broken.is_empty() {
+    if violations.is_empty() {
         CellResult::Held(runs)
     } else {
-        CellResult::Broken(broken)
+        CellResult::Violated(violations)
     }
 }
 
-/// Runs all cells.
+/// Runs all cells, each row in a thread of its own.
 ///
 /// # Panics
 ///
-/// When a row did not run to its end.
+/// Panics if a row's thread panics.
 #[must_use]
 pub fn run_matrix() -> Vec<(Cell, CellResult)> {
     let cells: Vec<Cell> = Fault::ALL
@@ -108,7 +109,7 @@
     })
 }
 
-/// The matrix as a table in Markdown.
+/// Formats the matrix as a Markdown table.
 #[must_use]
 pub fn table(cells: &[(Cell, CellResult)]) -> String {
     let mut text = String::from("| fault \\ step |");
@@ -122,7 +123,7 @@
         for (_, result) in row {
             match result {
                 CellResult::Held(runs) => write!(text, " holds ({runs}) |").ok(),
-                CellResult::Broken(_) => write!(text, " **broken** |").ok(),
+                CellResult::Violated(_) => write!(text, " **broken** |").ok(),
                 CellResult::DoesNotApply(_) => write!(text, " – |").ok(),
             };
         }
--- a/crates/bluebellreel_faults/src/net.rs
+++ b/crates/bluebellreel_faults/src/net.rs
@@ -1,43 +1,44 @@
-//! Messages on their way between entry daemons and side processes.
+//! Messages in flight between entry daemons and side processes.
 
 use bluebellreel_rpc::{EntryCommand, SideCommand};
 use bluebellreel_types::{Dispatch, EntryName, Moment};
 use std::collections::VecDeque;
 
-/// One end of a message's way.
+/// The connection between an entry daemon and a side process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Link {
-    /// The entry daemon.
+    /// Index of the entry daemon.
     pub entry: usize,
-    /// The side process.
+    /// Index of the side process.
     pub side: usize,
 }
 
-/// A message.
+/// The contents of a message.
 #[derive(Clone, Debug)]
 pub enum Payload {
-    /// From the entry daemon.
+    /// A command from the entry daemon.
     ToSide(EntryCommand),
-    /// Batch items handed out to a pull.
+    /// Batch items in response to a pull.
     Items(EntryName, Vec<Dispatch>),
-    /// From the side process.
+    /// A command from the side process.
     ToEntry(SideCommand),
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug)]
 pub struct Envelope {
-    /// Between whom.
+    /// The connection on which the message was sent.
     pub link: Link,
-    /// When it arrives.
+    /// Time of arrival.
     pub at: Moment,
-    /// The message.
+    /// The contents.
     pub payload: Payload,
-    /// Whether it outlives its connection: a message that was held up.
+    /// Whether the message is delayed by a fault. A delayed message arrives even after
+    /// its connection was lost.
     pub delayed: bool,
 }
 
-/// All messages on their way.
+/// All messages in flight.
 #[derive(Clone, Debug, Default)]
 pub struct Net {
     queue: VecDeque<Envelope>,
@@ -50,21 +51,21 @@
     }
 
     /// Takes the first message that has arrived.
-    pub fn arrived(&mut self, now: Moment) -> Option<Envelope> {
+    pub fn take_arrived(&mut self, now: Moment) -> Option<Envelope> {
         let index = self.queue.iter().position(|e| e.at.is_past(now))?;
         self.queue.remove(index)
     }
 
-    /// Puts messages back that their receiver has not read yet, before all
-    /// others: a connection keeps its order.
+    /// Puts unread messages back to the front of the queue, so that each connection
+    /// keeps its order.
     pub fn put_back(&mut self, unread: Vec<Envelope>) {
         for envelope in unread.into_iter().rev() {
             self.queue.push_front(envelope);
         }
     }
 
-    /// A connection is gone, and with it all messages on it but delayed ones.
-    pub fn cut(&mut self, link: Link) {
+    /// Drops a lost connection's messages, except for delayed ones.
+    pub fn drop_link(&mut self, link: Link) {
         self.queue.retain(|e| e.link != link || e.delayed);
     }
 }
--- a/crates/bluebellreel_faults/src/plan.rs
+++ b/crates/bluebellreel_faults/src/plan.rs
@@ -1,85 +1,85 @@
-//! Faults, steps and when they meet.
+//! Faults, steps, and plans that combine them.
 
 use std::time::Duration;
 
-/// What goes wrong.
+/// A fault that can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// The side process dies and comes back as another run.
-    SideDies,
-    /// The backend server dies with its attempts and comes back.
-    WorkerDies,
-    /// The entry daemon dies before the step takes effect; it comes back later.
-    EntryDies,
-    /// The entry daemon's VM is lost for good right after the step took effect.
+    /// The side process crashes and restarts as a new incarnation.
+    SideCrashes,
+    /// The backend server crashes, which ends its attempts, and restarts.
+    WorkerCrashes,
+    /// The entry daemon crashes before the step takes effect and restarts later.
+    EntryCrashes,
+    /// The entry daemon's VM is lost permanently right after the step took effect.
     VmLost,
-    /// The key-value service is down for twenty seconds.
+    /// The key-value service is unavailable, for twenty seconds by default.
     KvDown,
-    /// The key-value service is slow for twenty seconds.
+    /// The key-value service is slow, for twenty seconds by default.
     KvSlow,
-    /// A write takes effect, but its answer is lost.
+    /// A write takes effect, but its response is lost.
     AnswerLost,
-    /// The entry daemon is paused until its lease has lapsed, then goes on.
-    LeaseLapses,
+    /// The entry daemon is paused until its lease has expired, then resumes.
+    LeaseExpires,
     /// A message arrives eight seconds late.
     MessageLate,
     /// A message arrives twice.
-    MessageDoubled,
-    /// Two messages arrive in the wrong order.
-    AnswersCrossed,
-    /// The caller sends everything again through another entry daemon.
+    MessageDuplicated,
+    /// Two messages arrive in reverse order.
+    MessagesReordered,
+    /// The caller resends all its jobs and calls through another entry daemon.
     CallerResends,
-    /// Two operators act at the same moment through two entry daemons.
+    /// Two operators act at the same time through two entry daemons.
     OperatorsRace,
 }
 
 impl Fault {
-    /// All faults.
+    /// All faults, in the order of the matrix's rows.
     pub const ALL: [Self; 13] = [
-        Self::SideDies,
-        Self::WorkerDies,
-        Self::EntryDies,
+        Self::SideCrashes,
+        Self::WorkerCrashes,
+        Self::EntryCrashes,
         Self::VmLost,
         Self::KvDown,
         Self::KvSlow,
         Self::AnswerLost,
-        Self::LeaseLapses,
+        Self::LeaseExpires,
         Self::MessageLate,
-        Self::MessageDoubled,
-        Self::AnswersCrossed,
+        Self::MessageDuplicated,
+        Self::MessagesReordered,
         Self::CallerResends,
         Self::OperatorsRace,
     ];
 
-    /// Its name in tables.
+    /// The name in the matrix.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Self::SideDies => "side dies",
-            Self::WorkerDies => "worker dies",
-            Self::EntryDies => "entry dies",
+            Self::SideCrashes => "side dies",
+            Self::WorkerCrashes => "worker dies",
+            Self::EntryCrashes => "entry dies",
             Self::VmLost => "VM lost after acknowledging",
             Self::KvDown => "KV down",
             Self::KvSlow => "KV slow",
             Self::AnswerLost => "answer lost after effect",
-            Self::LeaseLapses => "lease lapses while paused",
+            Self::LeaseExpires => "lease lapses while paused",
             Self::MessageLate => "message late",
-            Self::MessageDoubled => "message doubled",
-            Self::AnswersCrossed => "answers crossed",
+            Self::MessageDuplicated => "message doubled",
+            Self::MessagesReordered => "answers crossed",
             Self::CallerResends => "caller resends elsewhere",
             Self::OperatorsRace => "two operators race",
         }
     }
 }
 
-/// Where it goes wrong.
+/// A step at which faults can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
     /// A job's record is created.
     Accept,
     /// An input chunk is stored.
     ChunkWrite,
-    /// The caller is told that the job is accepted.
+    /// The caller receives the acceptance of its job.
     Acknowledge,
     /// A job is taken over.
     Own,
@@ -89,7 +89,7 @@
     Dispatch,
     /// A backend server starts on an attempt.
     Run,
-    /// A side process tells how an attempt ended.
+    /// A side process reports the end of an attempt.
     Result,
     /// Results are recorded.
     Record,
@@ -100,7 +100,7 @@
 }
 
 impl Step {
-    /// All steps.
+    /// All steps, in the order of the matrix's columns.
     pub const ALL: [Self; 11] = [
         Self::Accept,
         Self::ChunkWrite,
@@ -115,7 +115,7 @@
         Self::ReadBack,
     ];
 
-    /// Its name in tables.
+    /// The name in the matrix.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -149,53 +149,53 @@
     }
 }
 
-/// A fault at a step.
+/// A fault to be injected at a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Strike {
+pub struct Injection {
     /// The fault.
     pub fault: Fault,
     /// The step.
     pub step: Step,
-    /// The time that the step is reached, from 1.
+    /// The occurrence of the step at which the fault is injected, from 1.
     pub nth: u32,
 }
 
-/// What goes wrong in one run.
+/// The faults of one run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// Seed of all ids and choices.
+    /// Seed of all random ids and choices.
     pub seed: u64,
-    /// The faults.
-    pub strikes: Vec<Strike>,
-    /// Whether the first owner dies early, so that jobs are taken over.
-    pub owner_dies: bool,
-    /// How long the key-value service is down or slow.
-    pub trouble: Duration,
+    /// The faults to inject.
+    pub injections: Vec<Injection>,
+    /// Whether the jobs' first owner crashes early, so that jobs are taken over.
+    pub owner_crashes: bool,
+    /// Time for which the key-value service is unavailable or slow after such a fault.
+    pub kv_fault_duration: Duration,
 }
 
-/// How long trouble of the key-value service lasts if nothing else is said.
-const TROUBLE: Duration = Duration::from_secs(20);
+/// Default duration of a fault of the key-value service.
+const KV_FAULT_DURATION: Duration = Duration::from_secs(20);
 
 impl Plan {
-    /// Nothing goes wrong.
+    /// A plan without faults.
     #[must_use]
-    pub fn quiet(seed: u64) -> Self {
+    pub fn without_faults(seed: u64) -> Self {
         Self {
             seed,
-            strikes: Vec::new(),
-            owner_dies: false,
-            trouble: TROUBLE,
+            injections: Vec::new(),
+            owner_crashes: false,
+            kv_fault_duration: KV_FAULT_DURATION,
         }
     }
 
-    /// One fault at one step.
+    /// A plan with one fault at one step.
     #[must_use]
-    pub fn one(fault: Fault, step: Step, nth: u32, seed: u64) -> Self {
+    pub fn single_fault(fault: Fault, step: Step, nth: u32, seed: u64) -> Self {
         Self {
             seed,
-            strikes: vec![Strike { fault, step, nth }],
-            owner_dies: step == Step::Own,
-            trouble: TROUBLE,
+            injections: vec![Injection { fault, step, nth }],
+            owner_crashes: step == Step::Own,
+            kv_fault_duration: KV_FAULT_DURATION,
         }
     }
 }
--- a/crates/bluebellreel_faults/src/scenario.rs
+++ b/crates/bluebellreel_faults/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The work that goes on while faults strike: what callers and operators do.
+//! The workload during which faults are injected: the actions of callers and operators.
 
 use crate::items::{TOKENS, bookings, chat, notes};
 use crate::plan::{Fault, Plan, Step};
@@ -11,12 +11,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause before a caller sends again.
+/// Delay before a caller resends a job.
 const RESEND_PAUSE: Duration = Duration::from_secs(1);
-/// Time that an online caller waits.
+/// Time for which an online caller waits.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A job as its caller follows it.
+/// A job from its caller's point of view.
 #[derive(Clone, Debug)]
 pub(crate) struct FollowedJob {
     pub(crate) key: &'static str,
@@ -26,35 +26,35 @@
     pub(crate) resend_at: Moment,
 }
 
-/// An online call as its caller follows it.
+/// An online call from its caller's point of view.
 pub(crate) struct FollowedCall {
     pub(crate) key: Option<String>,
     pub(crate) work: Work,
     pub(crate) expected: String,
     pub(crate) call: Option<BenchCall>,
-    /// Runs of the key when "not run" was told.
+    /// Number of runs of the key when the caller was told "not run".
     pub(crate) runs_when_refused: Option<u32>,
 }
 
 impl FollowedCall {
-    /// Whether nobody can answer it any more: its daemon died.
+    /// Whether the call can no longer be answered because its daemon crashed.
     pub(crate) fn is_stranded(&self) -> bool {
         self.call.as_ref().is_none_or(BenchCall::is_stranded)
     }
 }
 
-/// Everything that is going on.
+/// The simulation, its callers, and the violations found.
 pub(crate) struct Scenario {
     pub(crate) world: World,
     pub(crate) team: TeamName,
     pub(crate) jobs: BTreeMap<&'static str, FollowedJob>,
     pub(crate) calls: Vec<FollowedCall>,
-    questions: Vec<(usize, BenchQuestion)>,
-    pub(crate) cancel_told: Option<JobState>,
-    pub(crate) lines_at_cancel: Option<usize>,
+    queries: Vec<(usize, BenchQuestion)>,
+    pub(crate) cancel_answer: Option<JobState>,
+    pub(crate) ended_at_cancel: Option<usize>,
     pub(crate) generations: Vec<[u64; 3]>,
     pub(crate) accepted_generations: Vec<u64>,
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
 }
 
 impl Scenario {
@@ -64,12 +64,12 @@
             team: TeamName::from("school"),
             jobs: BTreeMap::new(),
             calls: Vec::new(),
-            questions: Vec::new(),
-            cancel_told: None,
-            lines_at_cancel: None,
+            queries: Vec::new(),
+            cancel_answer: None,
+            ended_at_cancel: None,
             generations: Vec::new(),
             accepted_generations: Vec::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Submits a job through the first live daemon from `from` on.
+    /// Submits a job through the first daemon that is up, from `from` on.
     fn submit(&mut self, key: &'static str, from: usize) {
         let now = self.world.now();
         let deadline = now + Duration::from_hours(1);
@@ -105,16 +105,17 @@
             return;
         };
         let answer = entry.submit(&team, key, body.as_bytes(), deadline);
-        self.world.carry_out_struck();
+        self.world.apply_injected();
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        // An answer of a daemon that died meanwhile reaches nobody.
-        let heard = answer.is_ok() && self.world.entry(index).is_some();
-        if heard {
+        // A response of a daemon that crashed in the meantime does not reach the
+        // caller.
+        let acknowledged = answer.is_ok() && self.world.entry(index).is_some();
+        if acknowledged {
             job.accepted = true;
-            for strike in self.world.kv.with(|kv| kv.reach(Step::Acknowledge)) {
-                self.world.strike(strike, index, 0);
+            for injection in self.world.kv.with(|kv| kv.reach_step(Step::Acknowledge)) {
+                self.world.inject(injection, index, 0);
             }
         } else {
             job.resend_at = self.world.now() + RESEND_PAUSE;
@@ -169,16 +170,16 @@
         });
     }
 
-    /// What callers and operators do as things come about.
+    /// Runs the actions of callers and operators that are due.
     pub(crate) fn react(&mut self) {
         let now = self.world.now();
-        let unheard: Vec<&'static str> = self
+        let unacknowledged: Vec<&'static str> = self
             .jobs
             .values()
             .filter(|job| !job.accepted && job.resend_at.is_past(now))
             .map(|job| job.key)
             .collect();
-        for key in unheard {
+        for key in unacknowledged {
             self.submit(key, 1);
         }
         for call in &mut self.calls {
@@ -186,18 +187,18 @@
                 call.poll();
             }
         }
-        self.note_refusals();
-        self.settle_asked();
-        for fault in std::mem::take(&mut self.world.asked) {
+        self.record_refusals();
+        self.settle_queries();
+        for fault in std::mem::take(&mut self.world.user_faults) {
             match fault {
                 Fault::CallerResends => self.resend_all(),
-                _ => self.race(),
+                _ => self.race_operators(),
             }
         }
     }
 
-    /// Remembers how often a key had run when its caller was told "not run".
-    fn note_refusals(&mut self) {
+    /// Records how often a key had run when its caller was told "not run".
+    fn record_refusals(&mut self) {
         let runs = self.world.service().runs.clone();
         for followed in &mut self.calls {
             let refused = matches!(
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Members ask through another daemon what became of their calls.
+    /// Callers query the outcome of their calls through another daemon.
     pub(crate) fn ask_outcomes(&mut self) {
         let keys: Vec<String> = self.calls.iter().filter_map(|c| c.key.clone()).collect();
         let team = self.team.clone();
@@ -219,25 +220,26 @@
                 return;
             };
             let entry = self.world.entry(index);
-            if let Some(question) = entry.and_then(|entry| entry.ask_claim(&team, &key)) {
-                self.questions.push((index, question));
+            if let Some(query) = entry.and_then(|entry| entry.ask_claim(&team, &key)) {
+                self.queries.push((index, query));
             }
         }
     }
 
-    fn settle_asked(&mut self) {
-        for (index, question) in std::mem::take(&mut self.questions) {
+    fn settle_queries(&mut self) {
+        for (index, query) in std::mem::take(&mut self.queries) {
             let settled = match self.world.entry(index) {
-                Some(entry) => entry.settle(&question),
+                Some(entry) => entry.settle(&query),
                 None => true,
             };
             if !settled {
-                self.questions.push((index, question));
+                self.queries.push((index, query));
             }
         }
     }
 
-    /// The caller takes everything for lost and sends it again elsewhere.
+    /// The caller considers all jobs and calls lost and resends them through another
+    /// daemon.
     fn resend_all(&mut self) {
         for key in ["notes", "bookings", "harps"] {
             if self.jobs.contains_key(key) {
@@ -253,8 +255,9 @@
         }
     }
 
-    /// Two phones act at once.
-    fn race(&mut self) {
+    /// Two operators cancel the same job and replace the same manifest at the same
+    /// time.
+    fn race_operators(&mut self) {
         self.cancel_harps(2);
         self.cancel_harps(1);
         let seen = self.accepted_generations.iter().max().copied();
@@ -269,19 +272,19 @@
             .live_entry(from)
             .and_then(|index| self.world.entry(index))
             .map(|entry| entry.put_manifest(seen, manifest));
-        self.world.carry_out_struck();
+        self.world.apply_injected();
         if let Some(Ok(generation)) = put {
             if self.accepted_generations.contains(&generation) {
-                self.broken
+                self.violations
                     .push(format!("generation {generation} was accepted twice"));
             }
             self.accepted_generations.push(generation);
         }
     }
 
-    /// Cancels the job of harps unless it was cancelled before.
+    /// Cancels the job "harps" unless an earlier cancellation was answered.
     pub(crate) fn cancel_harps(&mut self, from: usize) {
-        let (Some(job), None) = (self.jobs.get("harps"), &self.cancel_told) else {
+        let (Some(job), None) = (self.jobs.get("harps"), &self.cancel_answer) else {
             return;
         };
         if !job.accepted {
@@ -291,25 +294,25 @@
         let Some(index) = self.world.live_entry(from) else {
             return;
         };
-        let told = self.world.entry(index).map(|entry| entry.cancel(&id));
-        self.world.carry_out_struck();
-        if let (Some(Ok(state)), true) = (told, self.world.entry(index).is_some()) {
-            self.cancel_told = Some(state);
-            self.lines_at_cancel = self.recorded("harps");
+        let answer = self.world.entry(index).map(|entry| entry.cancel(&id));
+        self.world.apply_injected();
+        if let (Some(Ok(state)), true) = (answer, self.world.entry(index).is_some()) {
+            self.cancel_answer = Some(state);
+            self.ended_at_cancel = self.recorded("harps");
         }
     }
 
-    /// Results of a job that are recorded as succeeded or failed.
+    /// Number of items of a job whose result is recorded as succeeded or failed.
     pub(crate) fn recorded(&mut self, key: &str) -> Option<usize> {
         let id = self.jobs[key].id.clone();
         let index = self.world.live_entry(0)?;
         let lines = self.world.entry(index)?.results(&id);
-        self.world.carry_out_struck();
+        self.world.apply_injected();
         let ended = |line: &&bluebellreel_entry::bench::BenchLine| line.status != "cancelled";
         Some(lines?.iter().filter(ended).count())
     }
 
-    pub(crate) fn note_generations(&mut self) {
+    pub(crate) fn record_generations(&mut self) {
         let mut all = self.generations.last().copied().unwrap_or_default();
         for (index, known) in all.iter_mut().enumerate() {
             if let Some(entry) = self.world.entry(index) {
@@ -321,14 +324,14 @@
         }
     }
 
-    pub(crate) fn is_over(&mut self) -> bool {
+    pub(crate) fn is_finished(&mut self) -> bool {
         if self.calls.iter().any(|c| {
             let waiting = c.call.as_ref().is_some_and(|call| call.end.is_none());
             waiting && !c.is_stranded()
         }) {
             return false;
         }
-        if self.cancel_told.is_none() {
+        if self.cancel_answer.is_none() {
             return false;
         }
         let ids: Vec<JobId> = self.jobs.values().map(|job| job.id.clone()).collect();
@@ -343,22 +346,23 @@
         })
     }
 
-    /// Asks what became of a key until somebody can tell.
+    /// Queries the outcome of a key until its claim is no longer pending, 40 times at
+    /// most.
     pub(crate) fn settle(&mut self, key: &str) {
         for _ in 0..40 {
             let Some(index) = self.world.live_entry(0) else {
                 return;
             };
             let team = self.team.clone();
-            let question: Option<BenchQuestion> = self
+            let query: Option<BenchQuestion> = self
                 .world
                 .entry(index)
                 .and_then(|entry| entry.ask_claim(&team, key));
             self.world.run_for(Duration::from_millis(500));
-            let (Some(question), Some(entry)) = (question, self.world.entry(index)) else {
+            let (Some(query), Some(entry)) = (query, self.world.entry(index)) else {
                 continue;
             };
-            entry.settle(&question);
+            entry.settle(&query);
             let claim = entry.claim(&team, key);
             let open = claim.is_none_or(|c| c.state == bluebellreel_claim::ClaimState::Pending);
             if !open {
--- a/crates/bluebellreel_faults/src/world.rs
+++ b/crates/bluebellreel_faults/src/world.rs
@@ -1,8 +1,8 @@
-//! Entry daemons, side processes and what lies between, under one clock.
+//! Entry daemons, side processes and the messages between them, under one clock.
 
+mod injections;
 mod messages;
 mod sides;
-mod strikes;
 
 use crate::backend::{Backend, BackendKind};
 use crate::kv::{FakeKv, KvHandle};
@@ -22,55 +22,55 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Entry daemons.
+/// Number of entry daemons.
 pub const ENTRIES: usize = 3;
-/// Side processes; the last one stands beside the plain service.
+/// Number of side processes. The last one is beside the plain service.
 pub const SIDES: usize = 4;
-/// The side process beside the plain service.
+/// Index of the side process beside the plain service.
 pub const SERVICE: usize = SIDES - 1;
-/// The model that the engines serve.
+/// Name of the model that the engines serve.
 pub const MODEL: &str = "rental-assistant";
 /// The plain service.
 pub const DESK: &str = "desk";
 
-/// Time that one turn of the world takes.
-const TURN: Duration = Duration::from_millis(10);
-/// Time of a message on its way.
+/// Simulated time of one tick.
+const TICK: Duration = Duration::from_millis(10);
+/// Delivery time of a message.
 const LATENCY: Duration = Duration::from_millis(1);
-/// Time until a dead side process is back.
-const SIDE_AWAY: Duration = Duration::from_secs(1);
-/// Time until a dead entry daemon is back.
-const ENTRY_AWAY: Duration = Duration::from_secs(10);
-/// Time that a paused entry daemon sleeps.
-const PAUSE: Duration = Duration::from_secs(12);
+/// Time until a crashed side process restarts.
+const SIDE_DOWNTIME: Duration = Duration::from_secs(1);
+/// Time until a crashed entry daemon restarts.
+const ENTRY_DOWNTIME: Duration = Duration::from_secs(10);
+/// Time for which a paused entry daemon does not run.
+const PAUSE_DURATION: Duration = Duration::from_secs(12);
 /// Delay of a late message.
-const DELAY: Duration = Duration::from_secs(8);
-/// Delay of a doubled message's second arrival.
-const SECOND: Duration = Duration::from_secs(1);
-/// Between two renewals of a lease.
-const RENEWAL: Duration = Duration::from_millis(1_600);
-/// Between two readings of leases, jobs and manifest.
-const READING: Duration = Duration::from_millis(400);
-/// Between two load reports.
-const LOADING: Duration = Duration::from_secs(1);
+const MESSAGE_DELAY: Duration = Duration::from_secs(8);
+/// Delay of the second copy of a duplicated message.
+const DUPLICATE_DELAY: Duration = Duration::from_secs(1);
+/// Interval between an entry daemon's lease renewals.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(1_600);
+/// Interval at which an entry daemon reads leases, jobs and the manifest.
+const READ_INTERVAL: Duration = Duration::from_millis(400);
+/// Interval between a side process's load reports.
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 enum EntryState {
     Up,
-    /// Its calls and messages wait.
+    /// Calls and messages wait until this time.
     Paused(Moment),
-    /// Comes back as another run, or never.
+    /// Restarts at this time as a new incarnation, or never.
     Dead(Option<Moment>),
 }
 
 struct EntryNode {
-    bench: Option<EntryBench>,
+    harness: Option<EntryBench>,
     state: EntryState,
     renew_at: Moment,
     read_at: Moment,
 }
 
 struct SideNode {
-    bench: Option<SideBench>,
+    harness: Option<SideBench>,
     incarnation: Incarnation,
     back_at: Moment,
     backend: Backend,
@@ -82,20 +82,20 @@
     rx: oneshot::Receiver<Vec<Dispatch>>,
 }
 
-/// What a message-fault waits for.
+/// Message faults that have not been applied yet, as counts of messages.
 #[derive(Default)]
 struct MessageFaults {
     late: u32,
-    doubled: u32,
-    crossed: u32,
+    duplicated: u32,
+    reordered: u32,
     held: Option<Envelope>,
 }
 
-/// The world.
+/// A simulated deployment.
 pub struct World {
-    /// Its clock.
+    /// The simulation's clock.
     pub clock: Clock,
-    /// Its key-value service.
+    /// The key-value service.
     pub kv: KvHandle,
     entries: Vec<EntryNode>,
     sides: Vec<SideNode>,
@@ -104,14 +104,14 @@
     message_faults: MessageFaults,
     pulls: Vec<Pull>,
     senders: BTreeMap<AttemptId, usize>,
-    /// Faults that the scenario must carry out: resends and races.
-    pub asked: Vec<Fault>,
-    /// Attempts handed to backend servers, by job, with the time.
+    /// Faults that the scenario must apply: resends by callers and races of operators.
+    pub user_faults: Vec<Fault>,
+    /// Attempts that were handed to backend servers, with the time.
     pub started: Vec<(Moment, Dispatch)>,
 }
 
 impl World {
-    /// A world in which the plan's faults will strike.
+    /// Creates a simulation into which the plan's faults are injected.
     #[must_use]
     pub fn new(plan: &Plan) -> Self {
         bluebellreel_types::seed_ids(plan.seed);
@@ -125,7 +125,7 @@
             message_faults: MessageFaults::default(),
             pulls: Vec::new(),
             senders: BTreeMap::new(),
-            asked: Vec::new(),
+            user_faults: Vec::new(),
             started: Vec::new(),
             clock,
             kv,
@@ -137,7 +137,7 @@
                 BackendKind::Engine
             };
             world.sides.push(SideNode {
-                bench: None,
+                harness: None,
                 incarnation: Incarnation(0),
                 back_at: Moment(0),
                 backend: Backend::new(kind),
@@ -145,9 +145,9 @@
             });
         }
         for index in 0..ENTRIES {
-            let bench = world.new_entry(index);
+            let harness = world.new_entry(index);
             world.entries.push(EntryNode {
-                bench: Some(bench),
+                harness: Some(harness),
                 state: EntryState::Up,
                 renew_at: Moment(0),
                 read_at: Moment(0),
@@ -156,7 +156,7 @@
         world
     }
 
-    /// The present.
+    /// The current simulated time.
     #[must_use]
     pub fn now(&self) -> Moment {
         self.clock.now()
@@ -178,21 +178,21 @@
         );
         let settings = parse_entry("world", &settings).expect("valid settings");
         let send = self.kv.transport(index);
-        let mut bench = EntryBench::new(settings, send, self.clock.clone());
-        bench.list(&workers());
-        bench
+        let mut harness = EntryBench::new(settings, send, self.clock.clone());
+        harness.list(&workers());
+        harness
     }
 
-    /// An entry daemon that can be talked to now.
+    /// An entry daemon, if it is up.
     pub fn entry(&mut self, index: usize) -> Option<&mut EntryBench> {
         let node = &mut self.entries[index];
         match node.state {
-            EntryState::Up => node.bench.as_mut(),
+            EntryState::Up => node.harness.as_mut(),
             EntryState::Paused(_) | EntryState::Dead(_) => None,
         }
     }
 
-    /// The first entry daemon, from `from` on, that can be talked to.
+    /// The first entry daemon that is up, in cyclic order from `from`.
     #[must_use]
     pub fn live_entry(&self, from: usize) -> Option<usize> {
         (0..ENTRIES)
@@ -200,19 +200,19 @@
             .find(|index| matches!(self.entries[*index].state, EntryState::Up))
     }
 
-    /// Lets the world run for a while.
+    /// Runs the simulation for `span`.
     pub fn run_for(&mut self, span: Duration) {
         let until = self.now() + span;
         while !until.is_past(self.now()) {
-            self.turn();
+            self.run_tick();
         }
     }
 
-    /// One turn: everybody does what is due.
-    pub fn turn(&mut self) {
-        self.clock.advance(TURN);
+    /// Advances the clock by one tick and runs all processes and messages that are due.
+    pub fn run_tick(&mut self) {
+        self.clock.advance(TICK);
         self.kv.with(FakeKv::expire);
-        self.revive();
+        self.restart_due();
         self.connect_all();
         for index in 0..ENTRIES {
             self.run_entry(index);
@@ -222,25 +222,25 @@
         }
         self.answer_pulls();
         self.deliver_arrived();
-        self.carry_out_struck();
+        self.apply_injected();
     }
 
-    fn revive(&mut self) {
+    fn restart_due(&mut self) {
         let now = self.now();
         for index in 0..ENTRIES {
             match self.entries[index].state {
                 EntryState::Paused(until) if until.is_past(now) => {
                     self.entries[index].state = EntryState::Up;
                     self.kv.with(|kv| {
-                        kv.set_silent(index, false);
-                        kv.release_held(index);
+                        kv.set_cut_off(index, false);
+                        kv.release_held_calls(index);
                     });
                 }
                 EntryState::Dead(Some(back)) if back.is_past(now) => {
-                    self.kv.with(|kv| kv.set_silent(index, false));
-                    let bench = self.new_entry(index);
+                    self.kv.with(|kv| kv.set_cut_off(index, false));
+                    let harness = self.new_entry(index);
                     let node = &mut self.entries[index];
-                    node.bench = Some(bench);
+                    node.harness = Some(harness);
                     node.state = EntryState::Up;
                     node.renew_at = now;
                     node.read_at = now;
@@ -249,15 +249,15 @@
             }
         }
         for side in &mut self.sides {
-            if side.bench.is_none() && side.back_at.is_past(now) {
+            if side.harness.is_none() && side.back_at.is_past(now) {
                 side.incarnation = Incarnation::random();
                 let limits = AdmissionLimits {
                     window: 6,
                     ..AdmissionLimits::default()
                 };
-                let mut bench = SideBench::new(side.incarnation, limits, self.clock.clone());
-                bench.serve(vec![model_of(side.backend.kind)]);
-                side.bench = Some(bench);
+                let mut harness = SideBench::new(side.incarnation, limits, self.clock.clone());
+                harness.serve(vec![model_of(side.backend.kind)]);
+                side.harness = Some(harness);
             }
         }
     }
@@ -276,13 +276,13 @@
     fn connect(&mut self, link: Link) {
         let up = matches!(self.entries[link.entry].state, EntryState::Up);
         let side = &mut self.sides[link.side];
-        let (true, Some(bench)) = (up, side.bench.as_mut()) else {
+        let (true, Some(harness)) = (up, side.harness.as_mut()) else {
             return;
         };
-        let Some(entry) = self.entries[link.entry].bench.as_mut() else {
+        let Some(entry) = self.entries[link.entry].harness.as_mut() else {
             return;
         };
-        bench.notice(SideNotice::Connected(entry.name.clone()));
+        harness.notice(SideNotice::Connected(entry.name.clone()));
         entry.notice(EntryNotice::Connected(SideHello {
             worker: worker_name(link.side),
             incarnation: side.incarnation,
@@ -296,12 +296,12 @@
         if !self.connected.remove(&link) {
             return;
         }
-        self.net.cut(link);
+        self.net.drop_link(link);
         self.pulls.retain(|pull| pull.link != link);
-        if let Some(entry) = self.entries[link.entry].bench.as_mut() {
+        if let Some(entry) = self.entries[link.entry].harness.as_mut() {
             entry.notice(EntryNotice::Lost(worker_name(link.side)));
         }
-        if let Some(side) = self.sides[link.side].bench.as_mut() {
+        if let Some(side) = self.sides[link.side].harness.as_mut() {
             side.notice(SideNotice::Lost(entry_name(link.entry)));
         }
     }
@@ -309,31 +309,32 @@
     fn run_entry(&mut self, index: usize) {
         let now = self.now();
         let node = &mut self.entries[index];
-        let (EntryState::Up, Some(bench)) = (&node.state, node.bench.as_mut()) else {
+        let (EntryState::Up, Some(harness)) = (&node.state, node.harness.as_mut()) else {
             return;
         };
         if node.renew_at.is_past(now) {
-            node.renew_at = now + RENEWAL;
-            bench.renew_lease();
+            node.renew_at = now + RENEWAL_INTERVAL;
+            harness.renew_lease();
         }
         if node.read_at.is_past(now) {
-            node.read_at = now + READING;
-            bench.read_all();
+            node.read_at = now + READ_INTERVAL;
+            harness.read_all();
         }
-        bench.handle_messages();
-        bench.tick();
-        // A task that strikes a fault is the entry's last one for now.
-        while bench.run_kv_task() {
-            if self.kv.with(|kv| kv.has_struck()) {
+        harness.handle_messages();
+        harness.tick();
+        // If a task triggers a fault, the entry daemon runs no further tasks in this
+        // tick.
+        while harness.run_kv_task() {
+            if self.kv.with(|kv| kv.has_injected()) {
                 break;
             }
-            bench.handle_messages();
+            harness.handle_messages();
         }
         let mut commands = Vec::new();
-        while let Some(command) = bench.command() {
+        while let Some(command) = harness.command() {
             commands.push(command);
         }
-        self.carry_out_struck();
+        self.apply_injected();
         if !matches!(self.entries[index].state, EntryState::Up) {
             return;
         }
--- a/crates/bluebellreel_faults/src/world/messages.rs
+++ b/crates/bluebellreel_faults/src/world/messages.rs
@@ -1,8 +1,8 @@
-//! Messages of a world on their way.
+//! Delivery of messages between entry daemons and side processes.
 
 use super::{
-    DELAY, EntryState, LATENCY, Pull, SECOND, World, entry_index, entry_name, side_index,
-    worker_name,
+    DUPLICATE_DELAY, EntryState, LATENCY, MESSAGE_DELAY, Pull, World, entry_index, entry_name,
+    side_index, worker_name,
 };
 use crate::net::{Envelope, Link, Payload};
 use crate::plan::Step;
@@ -32,11 +32,11 @@
         self.send(link, Payload::ToSide(command), step);
     }
 
-    /// Sends a message; the step that it is may be struck by a fault.
+    /// Sends a message. Faults planned for `step` are injected first.
     pub(super) fn send(&mut self, link: Link, payload: Payload, step: Option<Step>) {
-        let strikes = step.map(|step| self.kv.with(|kv| kv.reach(step)));
-        for strike in strikes.unwrap_or_default() {
-            self.strike(strike, link.entry, link.side);
+        let injections = step.map(|step| self.kv.with(|kv| kv.reach_step(step)));
+        for injection in injections.unwrap_or_default() {
+            self.inject(injection, link.entry, link.side);
         }
         if !self.connected.contains(&link) {
             return;
@@ -48,22 +48,22 @@
             payload,
             delayed: false,
         };
-        // Only steps are struck by faults of messages; the chatter between
-        // them is resent anyway.
+        // Message faults apply only to messages that belong to a step. The periodic
+        // messages in between are sent again anyway.
         if step.is_some() {
             let faults = &mut self.message_faults;
             if faults.late > 0 {
                 faults.late -= 1;
-                envelope.at = now + DELAY;
+                envelope.at = now + MESSAGE_DELAY;
                 envelope.delayed = true;
-            } else if faults.doubled > 0 {
-                faults.doubled -= 1;
+            } else if faults.duplicated > 0 {
+                faults.duplicated -= 1;
                 let mut second = envelope.clone();
-                second.at = now + SECOND;
+                second.at = now + DUPLICATE_DELAY;
                 second.delayed = true;
                 self.net.send(second);
-            } else if faults.crossed > 0 {
-                faults.crossed -= 1;
+            } else if faults.reordered > 0 {
+                faults.reordered -= 1;
                 faults.held = Some(envelope);
                 return;
             }
@@ -78,7 +78,7 @@
 
     pub(super) fn send_from_side(&mut self, index: usize) {
         while let Some(command) = self.sides[index]
-            .bench
+            .harness
             .as_mut()
             .and_then(SideBench::command)
         {
@@ -93,7 +93,7 @@
             let Some(entry) = entry else { continue };
             let link = Link { entry, side: index };
             self.send(link, Payload::ToEntry(command), step);
-            if self.sides[index].bench.is_none() {
+            if self.sides[index].harness.is_none() {
                 return;
             }
         }
@@ -121,7 +121,7 @@
 
     pub(super) fn deliver_arrived(&mut self) {
         let mut waiting = Vec::new();
-        while let Some(envelope) = self.net.arrived(self.now()) {
+        while let Some(envelope) = self.net.take_arrived(self.now()) {
             let entry_paused = matches!(
                 self.entries[envelope.link.entry].state,
                 EntryState::Paused(_)
@@ -129,11 +129,11 @@
             match envelope.payload {
                 Payload::ToSide(command) => self.deliver_to_side(envelope.link, command),
                 Payload::Items(entry, items) => {
-                    if let Some(side) = self.sides[envelope.link.side].bench.as_mut() {
+                    if let Some(side) = self.sides[envelope.link.side].harness.as_mut() {
                         side.notice(SideNotice::Pulled { entry, items });
                     }
                 }
-                // A paused process reads its sockets when it wakes.
+                // A paused process reads its sockets after it resumes.
                 Payload::ToEntry(command) if entry_paused => waiting.push(Envelope {
                     payload: Payload::ToEntry(command),
                     ..envelope
@@ -146,7 +146,7 @@
 
     pub(super) fn deliver_to_side(&mut self, link: Link, command: EntryCommand) {
         let entry = entry_name(link.entry);
-        let Some(side) = self.sides[link.side].bench.as_mut() else {
+        let Some(side) = self.sides[link.side].harness.as_mut() else {
             return;
         };
         match command {
@@ -157,8 +157,8 @@
                 let (answer, mut rx) = oneshot::channel();
                 side.notice(SideNotice::CancelAsked { attempt, answer });
                 let verdict = rx.try_recv().expect("a verdict is given at once");
-                if let Some(bench) = self.entries[link.entry].bench.as_mut() {
-                    bench.notice(EntryNotice::Verdict { attempt, verdict });
+                if let Some(harness) = self.entries[link.entry].harness.as_mut() {
+                    harness.notice(EntryNotice::Verdict { attempt, verdict });
                 }
             }
             EntryCommand::Offer { waiting, .. } => {
@@ -178,11 +178,11 @@
                     manifest,
                     answer,
                 });
-                if let (Ok(generation), Some(bench)) =
-                    (rx.try_recv(), self.entries[link.entry].bench.as_mut())
+                if let (Ok(generation), Some(harness)) =
+                    (rx.try_recv(), self.entries[link.entry].harness.as_mut())
                 {
                     let worker = worker_name(link.side);
-                    bench.notice(EntryNotice::Applied { worker, generation });
+                    harness.notice(EntryNotice::Applied { worker, generation });
                 }
             }
             EntryCommand::Drain(_) => side.notice(SideNotice::DrainAsked),
@@ -194,16 +194,16 @@
 
     pub(super) fn deliver_to_entry(&mut self, link: Link, command: SideCommand) {
         let worker = worker_name(link.side);
-        let Some(bench) = self.entries[link.entry].bench.as_mut() else {
+        let Some(harness) = self.entries[link.entry].harness.as_mut() else {
             return;
         };
         match command {
             SideCommand::Part { attempt, text } => {
-                bench.notice(EntryNotice::Part { attempt, text });
+                harness.notice(EntryNotice::Part { attempt, text });
             }
             SideCommand::End { attempt, end, load } => {
                 let load = Some(load);
-                bench.notice(EntryNotice::Ended {
+                harness.notice(EntryNotice::Ended {
                     worker,
                     attempt,
                     end,
@@ -213,7 +213,7 @@
             SideCommand::Pull { room, .. } => {
                 let (tx, rx) = oneshot::channel();
                 let answer = PullAnswer(tx);
-                bench.notice(EntryNotice::Pull {
+                harness.notice(EntryNotice::Pull {
                     worker,
                     room,
                     answer,
@@ -221,7 +221,7 @@
                 self.pulls.push(Pull { link, rx });
             }
             SideCommand::Report { reports, .. } => {
-                bench.notice(EntryNotice::Reports { worker, reports });
+                harness.notice(EntryNotice::Reports { worker, reports });
             }
         }
     }
--- a/crates/bluebellreel_faults/src/world/sides.rs
+++ b/crates/bluebellreel_faults/src/world/sides.rs
@@ -1,6 +1,6 @@
-//! Side processes of a world and their backend servers.
+//! The side processes of a simulation and their backend servers.
 
-use super::{ENTRIES, EntryState, LOADING, World, worker_name};
+use super::{ENTRIES, EntryState, LOAD_REPORT_INTERVAL, World, worker_name};
 use crate::backend::BackendEvent;
 use crate::net::Link;
 use crate::plan::Step;
@@ -15,38 +15,38 @@
         let now = self.now();
         let side = &mut self.sides[index];
         let events = side.backend.step(now);
-        self.hand_in(index, events);
+        self.deliver_backend_events(index, events);
         let side = &mut self.sides[index];
-        let Some(bench) = side.bench.as_mut() else {
+        let Some(harness) = side.harness.as_mut() else {
             return;
         };
-        bench.tick();
+        harness.tick();
         if side.load_at.is_past(now) {
-            side.load_at = now + LOADING;
+            side.load_at = now + LOAD_REPORT_INTERVAL;
             self.report_load(index);
         }
-        self.carry_out_orders(index);
+        self.execute_orders(index);
         self.send_from_side(index);
     }
 
-    pub(super) fn hand_in(&mut self, index: usize, events: Vec<BackendEvent>) {
-        let Some(bench) = self.sides[index].bench.as_mut() else {
+    pub(super) fn deliver_backend_events(&mut self, index: usize, events: Vec<BackendEvent>) {
+        let Some(harness) = self.sides[index].harness.as_mut() else {
             return;
         };
         for event in events {
             match event {
-                BackendEvent::Text(attempt, text) => bench.text(attempt, &text, 1),
-                BackendEvent::End(attempt, end) => bench.end(attempt, end),
+                BackendEvent::Text(attempt, text) => harness.text(attempt, &text, 1),
+                BackendEvent::End(attempt, end) => harness.end(attempt, end),
             }
         }
     }
 
     fn report_load(&mut self, index: usize) {
-        let Some(bench) = self.sides[index].bench.as_mut() else {
+        let Some(harness) = self.sides[index].harness.as_mut() else {
             return;
         };
         let (answer, mut rx) = oneshot::channel();
-        bench.notice(SideNotice::LoadAsked(answer));
+        harness.notice(SideNotice::LoadAsked(answer));
         let Ok(load): Result<LoadReport, _> = rx.try_recv() else {
             return;
         };
@@ -55,37 +55,41 @@
             let up = matches!(self.entries[entry].state, EntryState::Up);
             if up
                 && self.connected.contains(&link)
-                && let Some(bench) = self.entries[entry].bench.as_mut()
+                && let Some(harness) = self.entries[entry].harness.as_mut()
             {
                 let worker = worker_name(index);
                 let load = load.clone();
-                bench.notice(EntryNotice::Load { worker, load });
+                harness.notice(EntryNotice::Load { worker, load });
             }
         }
     }
 
-    fn carry_out_orders(&mut self, index: usize) {
+    fn execute_orders(&mut self, index: usize) {
         let now = self.now();
-        while let Some(order) = self.sides[index].bench.as_mut().and_then(SideBench::order) {
+        while let Some(order) = self.sides[index]
+            .harness
+            .as_mut()
+            .and_then(SideBench::order)
+        {
             match order {
                 BackendOrder::Start(dispatch) => {
-                    for strike in self.kv.with(|kv| kv.reach(Step::Run)) {
+                    for injection in self.kv.with(|kv| kv.reach_step(Step::Run)) {
                         let entry = self.entry_of(&dispatch);
-                        self.strike(strike, entry, index);
+                        self.inject(injection, entry, index);
                     }
-                    if self.sides[index].bench.is_none() {
+                    if self.sides[index].harness.is_none() {
                         return;
                     }
                     self.started.push((now, (*dispatch).clone()));
                     let attempt = dispatch.attempt;
                     if let Some(end) = self.sides[index].backend.start(&dispatch, now) {
-                        self.hand_in(index, vec![BackendEvent::End(attempt, end)]);
+                        self.deliver_backend_events(index, vec![BackendEvent::End(attempt, end)]);
                     }
                 }
                 BackendOrder::Load(..) => {}
                 BackendOrder::Cancel(attempt) => {
                     let event = self.sides[index].backend.cancel(attempt);
-                    self.hand_in(index, event.into_iter().collect());
+                    self.deliver_backend_events(index, event.into_iter().collect());
                 }
             }
         }
--- a/crates/bluebellreel_faults/tests/claims.rs
+++ b/crates/bluebellreel_faults/tests/claims.rs
@@ -1,4 +1,4 @@
-//! A call that may not be repeated, sent again while the first one is under way.
+//! Resends of a call that may not be repeated while the first send is in progress.
 
 use bluebellreel_claim::ClaimState;
 use bluebellreel_entry::bench::EntryBench;
@@ -14,10 +14,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Room of the key-value stand-in's values.
+/// Maximum size of a value in the key-value stand-in, in bytes.
 const VALUE_BYTES: usize = 1 << 20;
-/// Longer than a daemon's lease lasts, shorter than the call.
-const LEASE_ENDS: Duration = Duration::from_secs(30);
+/// Longer than a daemon's lease, shorter than the call's timeout.
+const LEASE_EXPIRY: Duration = Duration::from_secs(30);
 const CALL_TIMEOUT: Duration = Duration::from_mins(2);
 
 /// Two daemons that reach the same side process and key-value service.
@@ -43,7 +43,8 @@
         two
     }
 
-    /// The first daemon claims a booking and sends it; its message is under way.
+    /// Claims and sends a booking through the first daemon, and leaves its message in
+    /// flight.
     fn book(&mut self) -> bluebellreel_entry::bench::BenchCall {
         let call = self.first.call(booking(), self.clock.now() + CALL_TIMEOUT);
         while self.first.run_kv_task() {
@@ -55,9 +56,9 @@
         call
     }
 
-    /// Whether a resend through the other daemon puts an end to the booking, if
-    /// its side process has not seen it yet.
-    fn resend_ends_it(&mut self) -> bool {
+    /// Whether a resend through the other daemon cancels the booking if the side
+    /// process has not received it yet.
+    fn resend_cancels_call(&mut self) -> bool {
         let question = self.other.ask_claim(&team(), "slot").expect("a claim");
         self.other.settle(&question);
         let claim = self.other.claim(&team(), "slot").expect("a claim");
@@ -88,22 +89,22 @@
         "0".repeat(64)
     );
     let settings = parse_entry("test", &settings).expect("valid settings");
-    let mut bench = EntryBench::new(settings, send, clock.clone());
+    let mut harness = EntryBench::new(settings, send, clock.clone());
     let (worker, data_centre) = (WorkerName::from("desk-0"), DataCentre::from("Sligo"));
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
-    bench.list(&[(worker.clone(), address, data_centre.clone())]);
-    bench.notice(EntryNotice::Connected(SideHello {
+    harness.list(&[(worker.clone(), address, data_centre.clone())]);
+    harness.notice(EntryNotice::Connected(SideHello {
         worker,
         incarnation: Incarnation(7),
         data_centre,
         models: vec![ModelName::from("desk")],
     }));
-    commands(&mut bench);
-    bench
+    commands(&mut harness);
+    harness
 }
 
-fn commands(bench: &mut EntryBench) -> Vec<EntryCommand> {
-    std::iter::from_fn(|| bench.command()).collect()
+fn commands(harness: &mut EntryBench) -> Vec<EntryCommand> {
+    std::iter::from_fn(|| harness.command()).collect()
 }
 
 fn team() -> TeamName {
@@ -126,36 +127,36 @@
     }
 }
 
-/// A member sends a confirmation through two daemons at once. The second one
-/// asked the side process what became of the first, and its question came
-/// before the call itself: the side process refused the call from then on, and
-/// both members' windows said "not run" though nothing was wrong.
+/// A caller sends the same call through two daemons at once. The second daemon must not
+/// query the first call's outcome: the query can reach the side process before the call
+/// itself. The side process then refuses the call, and both callers are told "not run"
+/// although nothing failed.
 #[test]
-fn a_resend_does_not_end_a_call_under_way() {
+fn a_resend_does_not_cancel_a_call_in_progress() {
     let mut two = TwoDaemons::new();
     let _call = two.book();
-    assert!(!two.resend_ends_it());
+    assert!(!two.resend_cancels_call());
 }
 
-/// The daemon that claimed a call is gone. Nobody but its side process can tell
-/// what became of it, so it is asked.
+/// The daemon that claimed a call has crashed. Only the side process knows the outcome,
+/// so the other daemon queries it.
 #[test]
-fn a_call_of_a_daemon_that_is_gone_is_asked_for() {
+fn a_call_of_a_crashed_daemon_is_queried() {
     let mut two = TwoDaemons::new();
     let _call = two.book();
-    two.clock.advance(LEASE_ENDS);
+    two.clock.advance(LEASE_EXPIRY);
     two.other.read_all();
-    assert!(two.resend_ends_it());
+    assert!(two.resend_cancels_call());
 }
 
-/// The daemon lives, but the time of its call is over and its end not recorded.
-/// Members do not wait for that daemon any longer.
+/// The daemon is up, but its call's deadline has passed and no outcome is recorded. The
+/// other daemon queries the side process instead of waiting for the first daemon.
 #[test]
-fn a_call_whose_time_is_over_is_asked_for() {
+fn a_call_past_its_deadline_is_queried() {
     let mut two = TwoDaemons::new();
     let _call = two.book();
     two.clock.advance(CALL_TIMEOUT * 2);
     two.first.renew_lease();
     two.other.read_all();
-    assert!(two.resend_ends_it());
+    assert!(two.resend_cancels_call());
 }
