--- a/crates/bluebellreel_experiment/src/engine.rs
+++ b/crates/bluebellreel_experiment/src/engine.rs
@@ -1,23 +1,23 @@
-//! An engine of an experiment: the stand-in's model and its trouble.
+//! An engine of a simulation: the stand-in's model and its faults.
 
 use bluebellreel_standins::{EngineCosts, EngineModel, Sequence, Step};
 use bluebellreel_types::{AttemptId, Dispatch};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// One engine.
+/// A simulated engine.
 pub(crate) struct Engine {
     model: EngineModel,
     ids: HashMap<String, AttemptId>,
-    /// Whether a step is under way.
+    /// Whether a step is in progress.
     pub(crate) stepping: bool,
-    /// Whether it is dead.
+    /// Whether the engine is down.
     pub(crate) dead: bool,
-    /// Steps take so much longer, in percent.
+    /// Duration of a step in percent of the normal duration.
     pub(crate) slow_percent: u32,
 }
 
-/// What a step brought.
+/// The result of an engine's step.
 pub(crate) struct StepResult {
     pub(crate) span: Duration,
     pub(crate) tokens: Vec<AttemptId>,
@@ -55,7 +55,7 @@
         self.ids.remove(&id);
     }
 
-    /// Drops everything: the engine died.
+    /// Drops all attempts after the engine went down, and returns them.
     pub(crate) fn drop_all(&mut self) -> Vec<AttemptId> {
         let mut lost: Vec<AttemptId> = self.ids.drain().map(|(_, attempt)| attempt).collect();
         lost.sort_unstable();
@@ -69,7 +69,7 @@
         self.model.is_idle()
     }
 
-    /// Sequences at the engine, running or waiting.
+    /// Number of sequences at the engine, running or waiting.
     pub(crate) fn load(&self) -> usize {
         self.model.running() + self.model.waiting()
     }
--- a/crates/bluebellreel_experiment/src/lib.rs
+++ b/crates/bluebellreel_experiment/src/lib.rs
@@ -1,10 +1,10 @@
-//! The experiment tool: the real decision functions of one entry daemon and one
-//! site's side processes against the engine stand-in's model, under a clock
-//! that is set, with a seed.
+//! The experiment tool: simulates one entry daemon and one site's side processes with
+//! the real decision functions and the engine stand-in's model, under a simulated clock
+//! and with a seed.
 //!
-//! It models no network, VM, data centre or store. The same scenario gives the
-//! same figures every time. Each run is set beside three baselines: no batch at
-//! all, batch alone, and first come first served into the engine.
+//! The simulation has no network, VMs, data centres or store. A scenario gives the same
+//! figures every time. Each run is compared with three baselines: no batch, batch
+//! alone, and first come first served into the engine.
 //!
 //! ```
 //! use bluebellreel_experiment::{Mode, Scenario, simulate};
--- a/crates/bluebellreel_experiment/src/load.rs
+++ b/crates/bluebellreel_experiment/src/load.rs
@@ -1,4 +1,4 @@
-//! Online load: when requests arrive and what they ask.
+//! Online load: the requests and their arrival times.
 
 use crate::Scenario;
 use bluebellreel_types::{Moment, TeamName, Work, WorkKind};
@@ -7,17 +7,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One request to come.
+/// A request of the scenario.
 #[derive(Clone, Debug)]
 pub(crate) struct Arrival {
     pub(crate) at: Moment,
     pub(crate) work: Arc<Work>,
     pub(crate) prompt_tokens: u32,
-    /// Times that its caller has asked before.
+    /// Number of times that its caller has sent it before.
     pub(crate) tries: u32,
 }
 
-/// All requests of a scenario, the same for every mode.
+/// All requests of a scenario, which are the same for every mode.
 pub(crate) fn arrivals(scenario: &Scenario) -> Vec<Arrival> {
     let mut rng = SmallRng::seed_from_u64(scenario.seed);
     let mut all = Vec::new();
@@ -28,13 +28,14 @@
     let mut at = 0.0;
     let end = scenario.length.as_secs_f64();
     loop {
-        // Thinning: draw at the peak's rate, keep the share that is due.
+        // Thinning: draws arrivals at the peak rate and keeps the share of the current
+        // rate.
         at += -(1.0 - rng.random::<f64>()).ln() / peak;
         if at >= end {
             return all;
         }
-        let kept = rng.random::<f64>() * peak < scenario.online_rate * factor(scenario, at);
-        if kept {
+        let accepted = rng.random::<f64>() * peak < scenario.online_rate * factor(scenario, at);
+        if accepted {
             all.push(Arrival {
                 at: Moment(0) + Duration::from_secs_f64(at),
                 work: Arc::new(work(scenario, &mut rng)),
@@ -78,6 +79,6 @@
     }
 }
 
-pub(crate) fn pick(rng: &mut SmallRng, [least, most]: [u32; 2]) -> u32 {
-    rng.random_range(least..=most.max(least))
+pub(crate) fn pick(rng: &mut SmallRng, [min, max]: [u32; 2]) -> u32 {
+    rng.random_range(min..=max.max(min))
 }
--- a/crates/bluebellreel_experiment/src/measure.rs
+++ b/crates/bluebellreel_experiment/src/measure.rs
@@ -1,26 +1,26 @@
-//! Figures of a run.
+//! Figures of a simulation.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest latency that is told apart, in µs.
-const LONGEST: u64 = 600_000_000;
+/// Maximum latency that is recorded, in µs; longer ones count as this.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// Latencies while they are gathered, in µs.
+/// A histogram of latencies in µs.
 #[derive(Clone, Debug)]
 pub(crate) struct Latencies(Histogram<u64>);
 
 impl Latencies {
     pub(crate) fn new() -> Self {
-        let histogram = Histogram::new_with_bounds(1, LONGEST, 3);
+        let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3);
         Self(histogram.expect("the bounds are valid"))
     }
 
-    pub(crate) fn note(&mut self, span: Duration) {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(LONGEST);
-        self.0.saturating_record(micros.clamp(1, LONGEST));
+    pub(crate) fn record(&mut self, span: Duration) {
+        let micros = u64::try_from(span.as_micros()).unwrap_or(MAX_LATENCY_US);
+        self.0.saturating_record(micros.clamp(1, MAX_LATENCY_US));
     }
 
     pub(crate) fn figures(&self) -> LatencyFigures {
@@ -43,94 +43,96 @@
     micros / 1_000.0
 }
 
-/// Latencies in ms.
+/// Percentiles of a latency, in ms.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LatencyFigures {
-    /// Half are below.
+    /// Median.
     pub p50_ms: f64,
-    /// 95 in 100 are below.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 in 100 are below.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// Samples.
+    /// Number of samples.
     pub count: u64,
 }
 
-/// What online callers saw.
+/// Figures of online requests.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct OnlineFigures {
-    /// Requests that arrived, repetitions by callers left out.
+    /// Requests that arrived, without resends by callers.
     pub arrived: u64,
-    /// Requests answered whole.
+    /// Requests that completed.
     pub completed: u64,
-    /// Requests whose first token came in time and whose answer was whole.
+    /// Requests that completed and whose first token arrived in time.
     pub in_time: u64,
-    /// Refusals.
+    /// Requests that were refused without having run, counting each resend.
     pub refused: u64,
-    /// Requests given up after they had run.
+    /// Requests that failed after they had started to run.
     pub failed: u64,
-    /// Attempts sent beyond the first of each request.
+    /// Attempts sent after the first one of each request.
     pub retries: u64,
     /// First attempts sent.
     pub first_attempts: u64,
-    /// Arrival to first token.
+    /// Time from arrival to first token.
     pub first_token: LatencyFigures,
-    /// Between two tokens of a request.
+    /// Time between two tokens of a request.
     pub inter_token: LatencyFigures,
-    /// Longest gap between tokens of a request whose stream broke.
+    /// Maximum time between two tokens, for requests whose stream broke and was
+    /// resumed.
     pub broken_gap: LatencyFigures,
-    /// From an arrival that needed a batch place to that place being free.
+    /// Time from the arrival of a request that needed a batch attempt's slot until the
+    /// slot is free.
     pub preemption: LatencyFigures,
 }
 
-/// What batch got.
+/// Figures of batch work.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct BatchFigures {
     /// Items recorded.
     pub items: u64,
     /// Items recorded as failed.
     pub failed: u64,
-    /// Items a second.
+    /// Items per second, estimated from the tokens and the mean item length.
     pub items_per_second: f64,
-    /// Tokens a second, those that were thrown away left out.
+    /// Tokens per second, without discarded ones.
     pub tokens_per_second: f64,
-    /// Tokens generated again or thrown away, in percent of all of batch's.
+    /// Tokens that were discarded or generated again, in percent of all batch tokens.
     pub wasted_percent: f64,
     /// Items that started after the end of their job was acknowledged.
     pub started_late: u64,
-    /// The latest of them, in ms after it.
+    /// Maximum time from that acknowledgement to the start of an item, in ms.
     pub latest_start_ms: f64,
-    /// Attempts that gave way.
+    /// Attempts that were preempted.
     pub preemptions: u64,
-    /// Tokens served by team while all had work.
+    /// Tokens of leased items by team, while all teams had waiting items.
     pub served: BTreeMap<String, u64>,
 }
 
 /// One point of the plot.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Sample {
-    /// Time, in seconds.
+    /// Time since the start, in seconds.
     pub at: f64,
-    /// 95th percentile of first tokens since the last point, in ms.
+    /// 95th percentile of the time to first token since the last point, in ms.
     pub first_token_ms: f64,
-    /// Batch tokens a second since the last point.
+    /// Batch tokens per second since the last point.
     pub batch_tokens: f64,
 }
 
-/// What a run measured.
+/// The figures of one run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
-    /// The mode's name.
+    /// Name of the mode.
     pub mode: &'static str,
-    /// What online callers saw.
+    /// Figures of online requests.
     pub online: OnlineFigures,
-    /// What batch got.
+    /// Figures of batch work.
     pub batch: BatchFigures,
-    /// Tokens a second generated for online callers.
+    /// Tokens per second generated for online requests.
     pub online_tokens_per_second: f64,
-    /// Engines that crashed under requests.
+    /// Number of engine crashes that requests caused.
     pub engines_crashed: u64,
-    /// Most bytes queued at one side process.
+    /// Maximum number of bytes queued at one side process.
     pub most_queued_bytes: usize,
     /// Points of the plot.
     pub samples: Vec<Sample>,
--- a/crates/bluebellreel_experiment/src/report.rs
+++ b/crates/bluebellreel_experiment/src/report.rs
@@ -1,4 +1,4 @@
-//! Tables, JSON and plots.
+//! Comparison of the four runs, as a table and as a plot.
 
 use crate::simulation::to_f64;
 use crate::{Mode, Outcome, Scenario, simulate};
@@ -11,42 +11,44 @@
 /// The four runs of a scenario and their ratios.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The runs.
+    /// The runs, one for each mode.
     pub outcomes: Vec<Outcome>,
-    /// First token, 99th percentile: with batch over without.
+    /// 99th percentile of the time to first token, with batch relative to without.
     pub first_token_p99: f64,
-    /// Between tokens, 95th percentile: with batch over without.
+    /// 95th percentile of the time between tokens, with batch relative to without.
     pub inter_token_p95: f64,
-    /// Batch tokens, in percent of the capacity that online leaves.
+    /// Batch tokens, in percent of the capacity that online requests leave.
     pub batch_of_left_percent: f64,
     /// Retries, in percent of first attempts.
     pub retry_percent: f64,
-    /// Requests in time, in percent of those that arrived.
+    /// Requests that completed in time, in percent of those that arrived.
     pub in_time_percent: f64,
-    /// The most served team's share over the fair one.
+    /// Share of the most served team, relative to a fair share.
     pub most_over_fair: f64,
-    /// The least served team's share over the fair one.
+    /// Share of the least served team, relative to a fair share.
     pub least_over_fair: f64,
 }
 
-/// Runs a scenario in all modes, side by side.
+/// Runs a scenario in all modes in parallel.
 ///
 /// # Panics
 ///
-/// When a run panics.
+/// Panics if a run panics.
 #[must_use]
 pub fn compare(scenario: &Scenario) -> Comparison {
     let modes = [Mode::Full, Mode::NoBatch, Mode::BatchAlone, Mode::FirstCome];
     let outcomes: Vec<Outcome> = thread::scope(|scope| {
         let run = |mode| scope.spawn(move || simulate(scenario, mode));
         let threads: Vec<_> = modes.into_iter().map(run).collect();
-        let done = threads.into_iter().map(|t| t.join().expect("a run ended"));
+        let done = threads
+            .into_iter()
+            .map(|t| t.join().expect("a run does not panic"));
         done.collect()
     });
     let (full, none, alone) = (&outcomes[0], &outcomes[1], &outcomes[2]);
-    let left = alone.batch.tokens_per_second - full.online_tokens_per_second;
+    let remaining = alone.batch.tokens_per_second - full.online_tokens_per_second;
     let served: Vec<f64> = full.batch.served.values().map(|s| to_f64(*s)).collect();
     let fair = served.iter().sum::<f64>() / to_f64(served.len().max(1) as u64);
     let share = |pick: fn(f64, f64) -> f64, from: f64| {
@@ -62,7 +64,7 @@
             full.online.inter_token.p95_ms,
             none.online.inter_token.p95_ms,
         ),
-        batch_of_left_percent: 100.0 * ratio(full.batch.tokens_per_second, left),
+        batch_of_left_percent: 100.0 * ratio(full.batch.tokens_per_second, remaining),
         retry_percent: 100.0
             * ratio(
                 to_f64(full.online.retries),
@@ -79,7 +81,7 @@
     if to > 0.0 { of / to } else { 0.0 }
 }
 
-/// The comparison as a table.
+/// Formats the comparison as a table.
 #[must_use]
 pub fn table(comparison: &Comparison) -> String {
     let mut text = format!(
@@ -140,31 +142,31 @@
     text
 }
 
-/// Picks what is drawn of a point.
+/// Selects the value of a point that is drawn.
 type PickFn = fn(&crate::Sample) -> f64;
 
-/// Draws first-token latency and batch throughput over time.
+/// Draws time to first token and batch throughput over time as an SVG file.
 ///
 /// # Errors
 ///
-/// Gives the reason when the file cannot be written.
+/// Returns an error if the file cannot be written.
 pub fn draw(comparison: &Comparison, path: &Path) -> eyre::Result<()> {
     let full = &comparison.outcomes[0];
     let end = full.samples.last().map_or(1.0, |s| s.at);
-    let most =
+    let axis_max =
         |of: fn(&crate::Sample) -> f64| full.samples.iter().map(of).fold(1.0, f64::max) * 1.1;
     let root = SVGBackend::new(path, (900, 560)).into_drawing_area();
     root.fill(&WHITE)?;
     let (upper, lower) = root.split_vertically(280);
     let parts: [(&str, f64, PickFn); 2] = [
-        ("first token p95, ms", most(|s| s.first_token_ms), |s| {
+        ("first token p95, ms", axis_max(|s| s.first_token_ms), |s| {
             s.first_token_ms
         }),
-        ("batch tokens/s", most(|s| s.batch_tokens), |s| {
+        ("batch tokens/s", axis_max(|s| s.batch_tokens), |s| {
             s.batch_tokens
         }),
     ];
-    for (area, (title, most, of)) in [upper, lower].iter().zip(parts) {
+    for (area, (title, axis_max, of)) in [upper, lower].iter().zip(parts) {
         let mut chart = ChartBuilder::on(area)
             .caption(
                 format!("{}: {title}", comparison.scenario),
@@ -173,7 +175,7 @@
             .margin(8)
             .x_label_area_size(24)
             .y_label_area_size(60)
-            .build_cartesian_2d(0.0..end, 0.0..most)?;
+            .build_cartesian_2d(0.0..end, 0.0..axis_max)?;
         chart.configure_mesh().draw()?;
         let points = full.samples.iter().map(|s| (s.at, of(s)));
         chart.draw_series(LineSeries::new(points, &BLUE))?;
--- a/crates/bluebellreel_experiment/src/scenario.rs
+++ b/crates/bluebellreel_experiment/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What an experiment does.
+//! Scenarios of the experiment tool.
 
 use bluebellreel_admission::Lean;
 use bluebellreel_standins::EngineCosts;
@@ -6,24 +6,24 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Longest scenario, in seconds.
-const LONGEST_S: f64 = 3_600.0;
+/// Maximum length of a scenario and latest time of an event, in seconds.
+const MAX_SECONDS: f64 = 3_600.0;
 
-/// Which of the four runs of a scenario.
+/// The mode of a run; each scenario runs in all four.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// Online and batch, with all decisions.
     Full,
-    /// Online only: the tail's limit.
+    /// Online only: the lower bound of tail latency.
     NoBatch,
-    /// Batch only: throughput's limit.
+    /// Batch only: the upper bound of batch throughput.
     BatchAlone,
     /// Online and batch, first come first served into the engine.
     FirstCome,
 }
 
 impl Mode {
-    /// Its name in tables.
+    /// The mode's name in tables.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -35,15 +35,15 @@
     }
 }
 
-/// Times at which online load is higher.
+/// A period of higher online load.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// When it begins, in seconds.
+    /// Start, in seconds.
     pub at: f64,
-    /// How long it lasts, in seconds.
+    /// Duration, in seconds.
     pub seconds: f64,
-    /// How much higher.
+    /// Factor by which the load is multiplied.
     pub factor: f64,
 }
 
@@ -53,45 +53,47 @@
 pub struct BatchTeam {
     /// Its name.
     pub name: String,
-    /// Items of its job.
+    /// Number of items of the team's job.
     pub items: u32,
-    /// When it submits the job, in seconds.
+    /// Time at which the team submits the job, in seconds.
     #[serde(default)]
     pub at: f64,
-    /// Seconds until the job is due.
+    /// Time from submission to the job's deadline, in seconds.
     #[serde(default = "default_due")]
     pub due: f64,
-    /// When the end of its job is acknowledged, in seconds; without it the job is not ended.
+    /// Time at which the job's end is acknowledged, in seconds. If absent, the job is
+    /// not ended.
     pub ends: Option<f64>,
-    /// Seconds from then on until the job's owner hears of it.
+    /// Time from that acknowledgement until the job's owner receives the end, in
+    /// seconds.
     #[serde(default)]
     pub heard_after: f64,
 }
 
 impl BatchTeam {
-    /// Its job's id.
+    /// The job's id.
     pub(crate) fn job(&self) -> String {
         format!("job-{}", self.name)
     }
 
-    /// When the end of its job is acknowledged.
+    /// The time at which the job's end is acknowledged.
     pub(crate) fn ended_at(&self) -> Option<Moment> {
         let ends = Duration::from_secs_f64(self.ends?);
         Some(Moment(0) + ends)
     }
 
-    /// When the job's owner hears of it.
-    pub(crate) fn end_heard_at(&self) -> Option<Moment> {
+    /// The time at which the job's owner receives the job's end.
+    pub(crate) fn end_received_at(&self) -> Option<Moment> {
         Some(self.ended_at()? + Duration::from_secs_f64(self.heard_after))
     }
 
     fn check(&self) -> Result<(), String> {
         let times = [self.at, self.ends.unwrap_or(0.0), self.heard_after];
-        if times.iter().all(|t| (0.0..=LONGEST_S).contains(t)) {
+        if times.iter().all(|t| (0.0..=MAX_SECONDS).contains(t)) {
             return Ok(());
         }
         Err(format!(
-            "team {:?}: times must be from 0 to 3600",
+            "team {:?}: times must be from 0 to 3600 seconds",
             self.name
         ))
     }
@@ -101,17 +103,18 @@
     86_400.0
 }
 
-/// A worker's trouble.
+/// A fault of a worker.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
-    /// The worker.
+pub struct WorkerFault {
+    /// Index of the worker.
     pub worker: usize,
-    /// When it begins, in seconds.
+    /// Start, in seconds.
     pub at: f64,
-    /// How long it lasts, in seconds.
+    /// Duration, in seconds.
     pub seconds: f64,
-    /// Steps take so much longer, in percent; zero for a worker that is dead.
+    /// Duration of the engine's steps in percent of the normal duration; zero for a
+    /// worker that is down.
     #[serde(default)]
     pub slow_percent: u32,
 }
@@ -143,7 +146,7 @@
     poison_every: u32,
     crash_every: u32,
     crash_seconds: f64,
-    troubles: Vec<Trouble>,
+    troubles: Vec<WorkerFault>,
     client_retries: u32,
     client_pause_ms: u64,
 }
@@ -182,58 +185,59 @@
     }
 }
 
-/// A checked scenario.
+/// A validated scenario.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Its name.
     pub name: String,
-    /// Which measure goes first.
+    /// Whether the deployment puts tail latency or throughput first.
     pub lean: Lean,
-    /// How long it lasts.
+    /// Duration of the scenario.
     pub length: Duration,
-    /// Seed of all that is random.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Attempts at an engine at one time.
+    /// Maximum number of attempts at an engine.
     pub window: u32,
-    /// Online requests that a worker takes before the next one is used.
+    /// Number of online requests at a worker from which the router uses the next
+    /// worker.
     pub online_per_worker: u32,
     /// Costs of an engine's step.
     pub costs: EngineCosts,
-    /// Online requests a second.
+    /// Online requests per second.
     pub online_rate: f64,
-    /// Tokens of an online answer, least and most.
+    /// Minimum and maximum number of tokens of an online response.
     pub online_tokens: [u32; 2],
-    /// Tokens of a prompt, least and most.
+    /// Minimum and maximum number of tokens of a prompt.
     pub prompt_tokens: [u32; 2],
-    /// Different prompt prefixes.
+    /// Number of different prompt prefixes.
     pub prefixes: u32,
-    /// Time for an online answer.
+    /// Time limit of an online request.
     pub deadline: Duration,
-    /// Time for a first token that counts as in time.
+    /// Maximum time to first token of a request that counts as in time.
     pub first_token: Duration,
-    /// Time between tokens that the side processes keep to.
+    /// The side processes' target for the time between two tokens.
     pub inter_token: Duration,
-    /// Period of the day's swing; zero for none.
+    /// Period of the diurnal variation of the load; zero for none.
     pub diurnal: Duration,
-    /// Times of higher load.
+    /// Periods of higher load.
     pub bursts: Vec<Burst>,
-    /// Tokens of a batch item, least and most.
+    /// Minimum and maximum number of tokens of a batch item.
     pub batch_tokens: [u32; 2],
     /// Teams with batch work.
     pub teams: Vec<BatchTeam>,
-    /// Every so many batch items takes its engine's streams down; zero for none.
+    /// One batch item in this many breaks all streams of its engine; zero for none.
     pub poison_every: u32,
-    /// Every so many online requests crashes its engine; zero for none.
+    /// One online request in this many crashes its engine; zero for none.
     pub crash_every: u32,
-    /// How long a crashed engine is away.
-    pub crash_span: Duration,
-    /// Troubles of workers.
-    pub troubles: Vec<Trouble>,
-    /// Times that a refused caller asks again.
+    /// Time until a crashed engine restarts.
+    pub crash_duration: Duration,
+    /// Faults of workers.
+    pub worker_faults: Vec<WorkerFault>,
+    /// Maximum number of times that a refused caller sends its request again.
     pub client_retries: u32,
-    /// Pause before it does.
+    /// Maximum time that a refused caller waits before it sends its request again.
     pub client_pause: Duration,
 }
 
@@ -245,9 +249,9 @@
         let (lean, workers, online_per_worker) = match raw.deployment.as_str() {
             "rental" => (Lean::Throughput, 12, 48),
             "booking-desk" => (Lean::Tail, 9, 32),
-            other => return Err(format!("deployment: {other:?} is none of ours")),
+            other => return Err(format!("deployment: {other:?} is not supported")),
         };
-        if raw.seconds <= 0.0 || raw.seconds > LONGEST_S {
+        if raw.seconds <= 0.0 || raw.seconds > MAX_SECONDS {
             return Err("seconds: must be more than 0 and at most 3600".into());
         }
         raw.teams.iter().try_for_each(BatchTeam::check)?;
@@ -292,8 +296,8 @@
             teams: raw.teams,
             poison_every: raw.poison_every,
             crash_every: raw.crash_every,
-            crash_span: Duration::from_secs_f64(raw.crash_seconds.max(0.0)),
-            troubles: raw.troubles,
+            crash_duration: Duration::from_secs_f64(raw.crash_seconds.max(0.0)),
+            worker_faults: raw.troubles,
             client_retries: raw.client_retries,
             client_pause: Duration::from_millis(raw.client_pause_ms),
         })
--- a/crates/bluebellreel_experiment/src/simulation.rs
+++ b/crates/bluebellreel_experiment/src/simulation.rs
@@ -1,10 +1,10 @@
-//! One run of a scenario: its clock, its events in order of time, its figures.
+//! One run of a scenario: its clock, its event queue and its figures.
 
 mod batch;
 mod ends;
 mod online;
 mod sides;
-mod troubles;
+mod worker_faults;
 
 use crate::engine::{Engine, StepResult};
 use crate::jobs::Jobs;
@@ -24,32 +24,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Between two looks at deadlines.
-const TICK: Duration = Duration::from_millis(20);
-/// Between two load reports of a side process.
-const REPORT: Duration = Duration::from_secs(1);
-/// Between two points of the plot.
-const SAMPLE: Duration = Duration::from_millis(500);
-/// Time after the scenario's end for requests to finish.
-const DRAIN: Duration = Duration::from_secs(12);
-/// A window that holds nothing back.
-const OPEN_WINDOW: u32 = 1 << 20;
-/// Batch attempts kept at an engine that takes all as they come.
+/// Interval at which deadlines are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between a side process's load reports.
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between two points of the plot.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
+/// Time after the scenario's end for which requests may still finish.
+const DRAIN_TIME: Duration = Duration::from_secs(12);
+/// A window so large that it never limits the attempts at an engine.
+const UNLIMITED_WINDOW: u32 = 1 << 20;
+/// Number of attempts up to which batch work fills an engine in first-come mode.
 const FIRST_COME_DEPTH: usize = 96;
 
-/// What happens, in order of time.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum SimEvent {
     Arrive(usize),
     StepDone(usize, u64),
     Tick,
     Report(usize),
     Sample,
     Submit(usize),
-    EndHeard(usize),
-    TroubleBegins(usize),
-    TroubleEnds(usize),
-    EngineBack(usize),
+    EndReceived(usize),
+    FaultBegins(usize),
+    FaultEnds(usize),
+    EngineRestarted(usize),
 }
 
 struct Side {
@@ -58,21 +58,21 @@
     steps: HashMap<u64, StepResult>,
 }
 
-/// A request as its caller follows it.
+/// A request from its caller's point of view.
 struct Followed {
     arrival: usize,
     arrived_at: Moment,
-    heard_at: Option<Moment>,
+    first_token_at: Option<Moment>,
     last_at: Option<Moment>,
     longest_gap: Duration,
-    broke: bool,
+    stream_broke: bool,
 }
 
 struct Simulation<'a> {
     scenario: &'a Scenario,
     mode: Mode,
     now: Moment,
-    queue: BinaryHeap<Reverse<(Moment, u64, What)>>,
+    queue: BinaryHeap<Reverse<(Moment, u64, SimEvent)>>,
     next_event: u64,
     next_step: u64,
     next_request: u64,
@@ -83,7 +83,7 @@
     arrivals: Vec<Arrival>,
     followed: HashMap<RequestId, Followed>,
     prompts: HashMap<RequestId, u32>,
-    freeing: HashMap<AttemptId, Moment>,
+    cancelled_at: HashMap<AttemptId, Moment>,
     first_token: Latencies,
     inter_token: Latencies,
     broken_gap: Latencies,
@@ -112,7 +112,9 @@
 }
 
 fn worker_index(name: &WorkerName) -> usize {
-    name.as_str()[1..].parse().expect("a worker of the run")
+    name.as_str()[1..]
+        .parse()
+        .expect("a worker name of this simulation")
 }
 
 fn entry() -> EntryName {
@@ -129,7 +131,7 @@
         };
         let limits = match mode {
             Mode::FirstCome => AdmissionLimits {
-                window: OPEN_WINDOW,
+                window: UNLIMITED_WINDOW,
                 ..limits
             },
             _ => limits,
@@ -158,7 +160,7 @@
             arrivals: Vec::new(),
             followed: HashMap::new(),
             prompts: HashMap::new(),
-            freeing: HashMap::new(),
+            cancelled_at: HashMap::new(),
             first_token: Latencies::new(),
             inter_token: Latencies::new(),
             broken_gap: Latencies::new(),
@@ -176,9 +178,9 @@
         }
     }
 
-    fn at(&mut self, at: Moment, what: What) {
+    fn schedule(&mut self, at: Moment, event: SimEvent) {
         self.next_event += 1;
-        self.queue.push(Reverse((at, self.next_event, what)));
+        self.queue.push(Reverse((at, self.next_event, event)));
     }
 
     fn prepare(&mut self) {
@@ -195,66 +197,66 @@
                 data_centre: DataCentre::from("Sligo"),
                 models: vec!["m".into()],
             }));
-            // Reports do not all come at the same moment.
-            let offset = REPORT * u32::try_from(index).unwrap_or(0) / 16;
-            self.at(Moment(0) + offset, What::Report(index));
+            // The side processes' reports are spread over time.
+            let offset = LOAD_REPORT_INTERVAL * u32::try_from(index).unwrap_or(0) / 16;
+            self.schedule(Moment(0) + offset, SimEvent::Report(index));
         }
         if self.mode != Mode::BatchAlone {
             self.arrivals = arrivals(self.scenario);
             for index in 0..self.arrivals.len() {
-                self.at(self.arrivals[index].at, What::Arrive(index));
+                self.schedule(self.arrivals[index].at, SimEvent::Arrive(index));
             }
             self.outcome.online.arrived = self.arrivals.len() as u64;
         }
         if self.mode != Mode::NoBatch {
             for (index, team) in self.scenario.teams.iter().enumerate() {
                 let at = Moment(0) + Duration::from_secs_f64(team.at);
-                self.at(at, What::Submit(index));
-                if let Some(heard_at) = team.end_heard_at() {
-                    self.at(heard_at, What::EndHeard(index));
+                self.schedule(at, SimEvent::Submit(index));
+                if let Some(received_at) = team.end_received_at() {
+                    self.schedule(received_at, SimEvent::EndReceived(index));
                 }
             }
         }
-        for (index, trouble) in self.scenario.troubles.iter().enumerate() {
-            let at = Moment(0) + Duration::from_secs_f64(trouble.at);
-            let end = at + Duration::from_secs_f64(trouble.seconds);
-            self.at(at, What::TroubleBegins(index));
-            self.at(end, What::TroubleEnds(index));
+        for (index, fault) in self.scenario.worker_faults.iter().enumerate() {
+            let at = Moment(0) + Duration::from_secs_f64(fault.at);
+            let end = at + Duration::from_secs_f64(fault.seconds);
+            self.schedule(at, SimEvent::FaultBegins(index));
+            self.schedule(end, SimEvent::FaultEnds(index));
         }
-        self.at(Moment(0), What::Tick);
-        self.at(Moment(0) + SAMPLE, What::Sample);
+        self.schedule(Moment(0), SimEvent::Tick);
+        self.schedule(Moment(0) + SAMPLE_INTERVAL, SimEvent::Sample);
     }
 
     fn run(&mut self) {
-        let end = Moment(0) + self.scenario.length + DRAIN;
-        while let Some(Reverse((at, _, what))) = self.queue.pop() {
+        let end = Moment(0) + self.scenario.length + DRAIN_TIME;
+        while let Some(Reverse((at, _, event))) = self.queue.pop() {
             if end.is_past(at) {
                 return;
             }
             self.now = at;
-            self.happen(what);
+            self.handle(event);
         }
     }
 
-    /// Whether the scenario's own time is running.
-    fn counts(&self) -> bool {
+    /// Whether the simulated time is within the scenario, and not after its end.
+    fn is_measuring(&self) -> bool {
         !(Moment(0) + self.scenario.length).is_past(self.now)
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Arrive(index) => self.arrive(index),
-            What::StepDone(side, step) => self.step_done(side, step),
-            What::Tick => {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Arrive(index) => self.arrive(index),
+            SimEvent::StepDone(side, step) => self.step_done(side, step),
+            SimEvent::Tick => {
                 self.route(routing::Event::Ticked);
                 for index in 0..self.sides.len() {
                     self.admit(index, admission::Event::Ticked);
                 }
                 self.jobs.poll(self.now);
-                self.feed_batch();
-                self.at(self.now + TICK, What::Tick);
+                self.offer_batch();
+                self.schedule(self.now + TICK_INTERVAL, SimEvent::Tick);
             }
-            What::Report(index) => {
+            SimEvent::Report(index) => {
                 let load = self.sides[index].admission.load(self.now);
                 let bytes = self.sides[index].admission.queue.bytes();
                 self.outcome.most_queued_bytes = self.outcome.most_queued_bytes.max(bytes);
@@ -262,36 +264,36 @@
                 if !self.sides[index].engine.dead {
                     self.route(routing::Event::LoadArrived { worker, load });
                 }
-                self.at(self.now + REPORT, What::Report(index));
+                self.schedule(self.now + LOAD_REPORT_INTERVAL, SimEvent::Report(index));
             }
-            What::Sample => self.sample(),
-            What::Submit(index) => {
+            SimEvent::Sample => self.sample(),
+            SimEvent::Submit(index) => {
                 let team = self.scenario.teams[index].clone();
                 self.jobs.submit(&team, self.now);
                 self.jobs.poll(self.now);
-                self.feed_batch();
+                self.offer_batch();
             }
-            What::TroubleBegins(index) => self.begin_trouble(index),
-            What::TroubleEnds(index) => self.end_trouble(index),
-            What::EndHeard(index) => self.hear_end(index),
-            What::EngineBack(index) => self.sides[index].engine.dead = false,
+            SimEvent::FaultBegins(index) => self.begin_fault(index),
+            SimEvent::FaultEnds(index) => self.end_fault(index),
+            SimEvent::EndReceived(index) => self.receive_job_end(index),
+            SimEvent::EngineRestarted(index) => self.sides[index].engine.dead = false,
         }
     }
 
     fn sample(&mut self) {
-        let seconds = SAMPLE.as_secs_f64();
+        let seconds = SAMPLE_INTERVAL.as_secs_f64();
         let tokens = self.batch_tokens - self.batch_at_sample;
         self.batch_at_sample = self.batch_tokens;
         let figures = self.recent.figures();
         self.recent = Latencies::new();
-        if self.counts() {
+        if self.is_measuring() {
             self.outcome.samples.push(Sample {
                 at: self.now.since(Moment(0)).as_secs_f64(),
                 first_token_ms: figures.p95_ms,
                 batch_tokens: to_f64(tokens) / seconds,
             });
         }
-        self.at(self.now + SAMPLE, What::Sample);
+        self.schedule(self.now + SAMPLE_INTERVAL, SimEvent::Sample);
     }
 
     fn finish(mut self) -> Outcome {
--- a/crates/bluebellreel_experiment/src/simulation/batch.rs
+++ b/crates/bluebellreel_experiment/src/simulation/batch.rs
@@ -1,4 +1,4 @@
-//! Batch work of a run.
+//! Batch work of a simulation.
 
 use super::{FIRST_COME_DEPTH, Simulation, entry, worker_name};
 use crate::Mode;
@@ -9,7 +9,7 @@
 };
 
 impl Simulation<'_> {
-    pub(super) fn note_report(&mut self, end: &AttemptEnd, attempt: AttemptId) {
+    pub(super) fn record_report(&mut self, end: &AttemptEnd, attempt: AttemptId) {
         if let AttemptEnd::Broken { reason, partial } = end {
             if *reason == BrokenReason::Preempted {
                 self.outcome.batch.preemptions += 1;
@@ -50,12 +50,13 @@
         with_work.count() == self.scenario.teams.len()
     }
 
-    /// Offers batch work to all side processes, or stuffs the engines.
-    pub(super) fn feed_batch(&mut self) {
+    /// Offers batch work to all side processes, or fills the engines directly in
+    /// first-come mode.
+    pub(super) fn offer_batch(&mut self) {
         let waiting = self.jobs.board.waiting(&self.models);
         for index in 0..self.sides.len() {
             if self.mode == Mode::FirstCome {
-                self.stuff(index);
+                self.fill_engine(index);
             } else {
                 let entry = entry();
                 self.admit(index, admission::Event::Offered { entry, waiting });
@@ -63,7 +64,7 @@
         }
     }
 
-    pub(super) fn stuff(&mut self, index: usize) {
+    pub(super) fn fill_engine(&mut self, index: usize) {
         if self.sides[index].engine.dead {
             return;
         }
@@ -92,7 +93,7 @@
     }
 }
 
-/// The message that hands a leased item to a side process.
+/// The message that sends a leased item to a side process.
 fn dispatch_of(lease: ItemLease, side: Incarnation) -> Dispatch {
     Dispatch {
         attempt: lease.attempt,
--- a/crates/bluebellreel_experiment/src/simulation/ends.rs
+++ b/crates/bluebellreel_experiment/src/simulation/ends.rs
@@ -1,4 +1,4 @@
-//! Jobs that their teams end during a run.
+//! Jobs that their teams end during a simulation.
 
 use super::{Simulation, worker_index};
 use crate::BatchTeam;
@@ -6,8 +6,9 @@
 use bluebellreel_types::{Class, Dispatch};
 
 impl Simulation<'_> {
-    /// A job's owner hears of its end: what is out is withdrawn, and nothing follows.
-    pub(super) fn hear_end(&mut self, index: usize) {
+    /// The job's owner receives the job's end: it withdraws the leased items and leases
+    /// no more.
+    pub(super) fn receive_job_end(&mut self, index: usize) {
         for (worker, attempts) in self.jobs.end(&self.scenario.teams[index]) {
             let withdrawn = admission::Event::Withdrawn(attempts);
             self.admit(worker_index(&worker), withdrawn);
@@ -15,7 +16,7 @@
     }
 
     /// Counts an item that starts after the end of its job was acknowledged.
-    pub(super) fn note_start(&mut self, dispatch: &Dispatch) {
+    pub(super) fn count_late_start(&mut self, dispatch: &Dispatch) {
         if dispatch.class != Class::Batch {
             return;
         }
--- a/crates/bluebellreel_experiment/src/simulation/online.rs
+++ b/crates/bluebellreel_experiment/src/simulation/online.rs
@@ -1,6 +1,6 @@
-//! Online requests of a run.
+//! Online requests of a simulation.
 
-use super::What;
+use super::SimEvent;
 use super::{Followed, Simulation, entry, worker_index};
 use crate::load::Arrival;
 use bluebellreel_admission as admission;
@@ -17,10 +17,10 @@
         let followed = Followed {
             arrival: index,
             arrived_at: self.now,
-            heard_at: None,
+            first_token_at: None,
             last_at: None,
             longest_gap: Duration::ZERO,
-            broke: false,
+            stream_broke: false,
         };
         self.followed.insert(id, followed);
         self.route(routing::Event::Arrived(NewRequest {
@@ -34,7 +34,7 @@
         }));
     }
 
-    /// Whether an attempt is of a request that crashes its engine.
+    /// Whether the attempt's request crashes its engine.
     pub(super) fn crashes_engine(&self, attempt: AttemptId) -> bool {
         let every = self.scenario.crash_every as usize;
         let followed = self.followed.get(&attempt.request);
@@ -44,11 +44,11 @@
     pub(super) fn route(&mut self, event: routing::Event) {
         let effects = routing::step(&mut self.router, event, self.now, &mut self.rng);
         for effect in effects {
-            self.carry_out(effect);
+            self.apply_routing_effect(effect);
         }
     }
 
-    pub(super) fn carry_out(&mut self, effect: routing::Effect) {
+    pub(super) fn apply_routing_effect(&mut self, effect: routing::Effect) {
         match effect {
             routing::Effect::Dispatch { worker, dispatch } => {
                 if dispatch.attempt.number == 1 {
@@ -56,7 +56,7 @@
                 } else {
                     self.outcome.online.retries += 1;
                     if let Some(followed) = self.followed.get_mut(&dispatch.attempt.request) {
-                        followed.broke = followed.heard_at.is_some();
+                        followed.stream_broke = followed.first_token_at.is_some();
                     }
                 }
                 let entry = entry();
@@ -84,12 +84,12 @@
         if let Some(last) = followed.last_at.replace(now) {
             let gap = now.since(last);
             followed.longest_gap = followed.longest_gap.max(gap);
-            self.inter_token.note(gap);
+            self.inter_token.record(gap);
         } else {
-            followed.heard_at = Some(now);
+            followed.first_token_at = Some(now);
             let waited = now.since(followed.arrived_at);
-            self.first_token.note(waited);
-            self.recent.note(waited);
+            self.first_token.record(waited);
+            self.recent.record(waited);
         }
     }
 
@@ -103,26 +103,26 @@
             routing::Outcome::Completed { .. } => {
                 online.completed += 1;
                 let waited = followed
-                    .heard_at
+                    .first_token_at
                     .unwrap_or(self.now)
                     .since(followed.arrived_at);
                 if waited <= self.scenario.first_token {
                     online.in_time += 1;
                 }
-                if followed.broke {
-                    self.broken_gap.note(followed.longest_gap);
+                if followed.stream_broke {
+                    self.broken_gap.record(followed.longest_gap);
                 }
             }
             routing::Outcome::NotRun { retry_at, .. } => {
                 online.refused += 1;
-                self.ask_again(followed.arrival, *retry_at);
+                self.resend(followed.arrival, *retry_at);
             }
             _ => online.failed += 1,
         }
     }
 
-    /// A refused caller asks again, as a client library does.
-    pub(super) fn ask_again(&mut self, index: usize, retry_at: Moment) {
+    /// A refused caller sends its request again, as a client library does.
+    pub(super) fn resend(&mut self, index: usize, retry_at: Moment) {
         let arrival = &self.arrivals[index];
         if arrival.tries >= self.scenario.client_retries {
             return;
@@ -131,10 +131,11 @@
             tries: arrival.tries + 1,
             ..arrival.clone()
         };
-        // An impatient client keeps to its own pause.
+        // The client waits for its own pause if that is shorter than the server's retry
+        // time.
         let pause = self.scenario.client_pause.min(retry_at.since(self.now));
         self.arrivals.push(again);
         let index = self.arrivals.len() - 1;
-        self.at(self.now + pause, What::Arrive(index));
+        self.schedule(self.now + pause, SimEvent::Arrive(index));
     }
 }
--- a/crates/bluebellreel_experiment/src/simulation/sides.rs
+++ b/crates/bluebellreel_experiment/src/simulation/sides.rs
@@ -1,6 +1,6 @@
-//! Side processes of a run, and their engines' steps.
+//! Side processes of a simulation and the steps of their engines.
 
-use super::{OPEN_WINDOW, Simulation, What, entry, worker_name};
+use super::{SimEvent, Simulation, UNLIMITED_WINDOW, entry, worker_name};
 use crate::Mode;
 use bluebellreel_admission::{self as admission, BatchWindow, EngineEnd};
 use bluebellreel_routing as routing;
@@ -27,16 +27,17 @@
             return;
         }
         if self.mode == Mode::FirstCome {
-            let open = BatchWindow::new(OPEN_WINDOW, self.scenario.lean);
+            let open = BatchWindow::new(UNLIMITED_WINDOW, self.scenario.lean);
             self.sides[index].admission.batch_window = open;
         }
         let effects = admission::step(&mut self.sides[index].admission, event, self.now);
         for effect in effects {
-            self.side_effect(index, effect);
+            self.apply_admission_effect(index, effect);
         }
     }
 
-    /// Without admission, attempts still have to be known to the side.
+    /// First-come mode bypasses admission, so the attempt is entered into the side
+    /// process's running attempts directly.
     pub(super) fn track(&mut self, index: usize, attempt: AttemptId, dispatch: Box<Dispatch>) {
         let running = admission::Running {
             entry: entry(),
@@ -51,12 +52,12 @@
         self.sides[index].admission.running.insert(attempt, running);
     }
 
-    fn side_effect(&mut self, index: usize, effect: admission::Effect) {
+    fn apply_admission_effect(&mut self, index: usize, effect: admission::Effect) {
         match effect {
             admission::Effect::StartEngine(dispatch) => self.start(index, &dispatch),
             admission::Effect::CancelEngine(attempt) => {
                 self.sides[index].engine.cancel(attempt);
-                self.freeing.insert(attempt, self.now);
+                self.cancelled_at.insert(attempt, self.now);
                 let end = EngineEnd::Broken;
                 self.admit(index, admission::Event::EngineEnded { attempt, end });
             }
@@ -74,7 +75,7 @@
             }
             admission::Effect::Pull { entry, room } => self.pull(index, entry, room),
             admission::Effect::Report { report, .. } => {
-                self.note_report(&report.end, report.attempt);
+                self.record_report(&report.end, report.attempt);
             }
             admission::Effect::SendVerdict { .. } => {}
         }
@@ -87,7 +88,7 @@
             self.admit(index, admission::Event::EngineEnded { attempt, end });
             return;
         }
-        self.note_start(dispatch);
+        self.count_late_start(dispatch);
         let request = dispatch.attempt.request;
         let prompt = self.prompts.get(&request).copied().unwrap_or(60);
         self.sides[index].engine.admit(dispatch, prompt);
@@ -104,15 +105,16 @@
         self.next_step += 1;
         let at = self.now + result.span;
         side.steps.insert(self.next_step, result);
-        self.at(at, What::StepDone(index, self.next_step));
+        self.schedule(at, SimEvent::StepDone(index, self.next_step));
     }
 
     pub(super) fn step_done(&mut self, index: usize, step: u64) {
         self.sides[index].engine.stepping = false;
-        // A place given up during the step is free from the next one on.
-        let freed: Vec<Moment> = self.freeing.drain().map(|(_, at)| at).collect();
+        // A slot whose attempt is cancelled during a step becomes free at the step's
+        // end.
+        let freed: Vec<Moment> = self.cancelled_at.drain().map(|(_, at)| at).collect();
         for at in freed {
-            self.preemption.note(self.now.since(at));
+            self.preemption.record(self.now.since(at));
         }
         let Some(result) = self.sides[index].steps.remove(&step) else {
             return;
@@ -135,7 +137,7 @@
             return;
         };
         if running.dispatch.class == Class::Batch {
-            if self.counts() {
+            if self.is_measuring() {
                 self.batch_tokens += 1;
             }
             if self.is_poison(&running.dispatch.clone()) {
--- a/crates/bluebellreel_experiment/tests/crashes.rs
+++ b/crates/bluebellreel_experiment/tests/crashes.rs
@@ -2,8 +2,8 @@
 
 use bluebellreel_experiment::{Mode, Scenario, simulate};
 
-/// One online request in twenty crashes its engine: the crash is counted, cuts what runs
-/// there, and the engine is back after its time.
+/// One online request in twenty crashes its engine. Each crash is counted and breaks
+/// the streams at the engine, and the engine restarts after its crash duration.
 #[test]
 fn engines_crash_under_requests_and_come_back() {
     let with = |crash_every: u32| {
@@ -14,9 +14,9 @@
         let scenario = Scenario::try_from(text.as_str()).expect("a scenario");
         simulate(&scenario, Mode::NoBatch)
     };
-    let (calm, crashing) = (with(0), with(20));
-    assert_eq!(calm.engines_crashed, 0);
+    let (without, crashing) = (with(0), with(20));
+    assert_eq!(without.engines_crashed, 0);
     assert!(crashing.engines_crashed > 0);
-    assert!(crashing.online.in_time > calm.online.in_time / 2);
-    assert!(crashing.online.in_time < calm.online.in_time);
+    assert!(crashing.online.in_time > without.online.in_time / 2);
+    assert!(crashing.online.in_time < without.online.in_time);
 }
--- a/crates/bluebellreel_experiment/tests/ends.rs
+++ b/crates/bluebellreel_experiment/tests/ends.rs
@@ -11,25 +11,26 @@
     simulate(&scenario, Mode::Full).batch
 }
 
-/// An owner that hears of its job's end at once starts nothing of it afterwards.
+/// An owner that receives its job's end immediately starts no item of the job
+/// afterwards.
 #[test]
-fn nothing_starts_once_the_end_is_heard() {
+fn no_item_starts_after_the_end_is_received() {
     let (whole, ended) = (batch(""), batch("ends = 2.0\n"));
     assert_eq!(ended.started_late, 0);
     assert!(ended.items > 0 && ended.items < whole.items);
 }
 
-/// One that hears of it late starts items until then, and none later.
+/// An owner that receives the end late starts items until then, and none after it.
 #[test]
-fn starts_after_an_unheard_end_are_counted() {
+fn late_starts_before_the_end_is_received_are_counted() {
     let ended = batch("ends = 2.0\nheard_after = 1.5\n");
     assert!(ended.started_late > 0);
     assert!(ended.latest_start_ms > 1_000.0 && ended.latest_start_ms <= 1_500.0);
 }
 
-/// A mistyped time is refused and its team named.
+/// An invalid time is refused with an error that names its team.
 #[test]
-fn times_that_cannot_be_are_named() {
+fn an_invalid_time_is_refused_with_its_team() {
     let text = "[[teams]]\nname = 'sligo'\nitems = 1\nends = -1.0\n";
     let refusal = Scenario::try_from(text).expect_err("a time before the begin");
     assert!(refusal.contains("sligo"), "{refusal}");
