--- a/crates/bluebellreel_experiment/src/jobs.rs
+++ b/crates/bluebellreel_experiment/src/jobs.rs
@@ -2,8 +2,8 @@
 
 use crate::{BatchTeam, Scenario};
 use bluebellreel_job::{
-    Board, BoardLimits, ChunkRef, JobCounts, JobEffect, JobLimits, JobRecord, JobState, JobTarget,
-    OwnedJob,
+    ChunkRef, JobCounts, JobEffect, JobLimits, JobRecord, JobScheduler, JobState, JobTarget,
+    OwnedJob, SchedulerLimits,
 };
 use bluebellreel_types::{AttemptId, EntryName, Incarnation, JobId, Moment, TeamName, WorkerName};
 use rand::SeedableRng;
@@ -16,7 +16,7 @@
 
 /// The job scheduler and counts of the items that it has recorded.
 pub(crate) struct Jobs {
-    pub(crate) board: Board,
+    pub(crate) scheduler: JobScheduler,
     pub(crate) recorded: u64,
     pub(crate) failed: u64,
     seed: u64,
@@ -26,7 +26,7 @@
 impl Jobs {
     pub(crate) fn new(scenario: &Scenario) -> Self {
         Self {
-            board: Board::new(BoardLimits::default()),
+            scheduler: JobScheduler::new(SchedulerLimits::default()),
             recorded: 0,
             failed: 0,
             seed: scenario.seed,
@@ -62,12 +62,12 @@
         };
         let id = record.id.clone();
         let job = OwnedJob::open(record, 1, true, JobLimits::default(), &[], &[]);
-        self.board.jobs.insert(id, job);
+        self.scheduler.jobs.insert(id, job);
     }
 
     /// Ends a team's job and returns its leased attempts by worker.
     pub(crate) fn end(&mut self, team: &BatchTeam) -> Vec<(WorkerName, Vec<AttemptId>)> {
-        let Some(mut job) = self.board.jobs.remove(&JobId::from(team.job())) else {
+        let Some(mut job) = self.scheduler.jobs.remove(&JobId::from(team.job())) else {
             return Vec::new();
         };
         let mut effects = Vec::new();
@@ -82,7 +82,7 @@
     /// Applies the effects that the jobs request. The store responds immediately.
     pub(crate) fn poll(&mut self, now: Moment) {
         let mut ended = Vec::new();
-        for (id, job) in &mut self.board.jobs {
+        for (id, job) in &mut self.scheduler.jobs {
             for effect in job.poll(now) {
                 match effect {
                     JobEffect::LoadChunk(chunk) => {
@@ -99,12 +99,12 @@
                         self.failed += u64::from(counts.failed);
                         ended.push(id.clone());
                     }
-                    JobEffect::Withdraw { .. } | JobEffect::Ask { .. } => {}
+                    JobEffect::Withdraw { .. } | JobEffect::QueryAttempt { .. } => {}
                 }
             }
         }
         for id in ended {
-            self.board.jobs.remove(&id);
+            self.scheduler.jobs.remove(&id);
         }
     }
 }
--- a/crates/bluebellreel_experiment/src/scenario.rs
+++ b/crates/bluebellreel_experiment/src/scenario.rs
@@ -1,6 +1,6 @@
 //! Scenarios of the experiment tool.
 
-use bluebellreel_admission::Lean;
+use bluebellreel_admission::Priority;
 use bluebellreel_standins::EngineCosts;
 use bluebellreel_types::Moment;
 use serde::Deserialize;
@@ -191,7 +191,7 @@
     /// Its name.
     pub name: String,
     /// Whether the deployment puts tail latency or throughput first.
-    pub lean: Lean,
+    pub priority: Priority,
     /// Duration of the scenario.
     pub length: Duration,
     /// Seed of all random choices.
@@ -246,9 +246,9 @@
 
     fn try_from(text: &str) -> Result<Self, String> {
         let raw: RawScenario = toml::from_str(text).map_err(|e| e.message().to_owned())?;
-        let (lean, workers, online_per_worker) = match raw.deployment.as_str() {
-            "rental" => (Lean::Throughput, 12, 48),
-            "booking-desk" => (Lean::Tail, 9, 32),
+        let (priority, workers, online_per_worker) = match raw.deployment.as_str() {
+            "rental" => (Priority::Throughput, 12, 48),
+            "booking-desk" => (Priority::Tail, 9, 32),
             other => return Err(format!("deployment: {other:?} is not supported")),
         };
         if raw.seconds <= 0.0 || raw.seconds > MAX_SECONDS {
@@ -268,7 +268,7 @@
         };
         Ok(Self {
             name: raw.name,
-            lean,
+            priority,
             length: Duration::from_secs_f64(raw.seconds),
             seed: raw.seed,
             workers: if raw.workers == 0 {
--- a/crates/bluebellreel_experiment/src/simulation.rs
+++ b/crates/bluebellreel_experiment/src/simulation.rs
@@ -125,7 +125,7 @@
     fn new(scenario: &'a Scenario, mode: Mode) -> Self {
         let limits = AdmissionLimits {
             window: scenario.window,
-            lean: scenario.lean,
+            priority: scenario.priority,
             inter_token_target: scenario.inter_token,
             ..AdmissionLimits::default()
         };
--- a/crates/bluebellreel_experiment/src/simulation/batch.rs
+++ b/crates/bluebellreel_experiment/src/simulation/batch.rs
@@ -18,12 +18,12 @@
                 self.batch_wasted += lost;
             }
         }
-        self.jobs.board.report(attempt, end.clone(), self.now);
+        self.jobs.scheduler.report(attempt, end.clone(), self.now);
     }
 
     pub(super) fn pull(&mut self, index: usize, entry: EntryName, room: u32) {
         let incarnation = self.sides[index].admission.incarnation;
-        let handouts = self.jobs.board.pull(
+        let leased_jobs = self.jobs.scheduler.pull(
             room as usize,
             &worker_name(index),
             incarnation,
@@ -32,8 +32,11 @@
         );
         self.jobs.poll(self.now);
         let mut items = Vec::new();
-        for handout in handouts {
-            let team = self.jobs.board.jobs[&handout.job].record.team.to_string();
+        for handout in leased_jobs {
+            let team = self.jobs.scheduler.jobs[&handout.job]
+                .record
+                .team
+                .to_string();
             for lease in handout.leases {
                 if self.all_teams_have_work() {
                     let served = self.outcome.batch.served.entry(team.clone()).or_default();
@@ -46,14 +49,19 @@
     }
 
     pub(super) fn all_teams_have_work(&self) -> bool {
-        let with_work = self.jobs.board.jobs.values().filter(|j| j.waiting() > 0);
+        let with_work = self
+            .jobs
+            .scheduler
+            .jobs
+            .values()
+            .filter(|j| j.waiting() > 0);
         with_work.count() == self.scenario.teams.len()
     }
 
     /// Offers batch work to all side processes, or fills the engines directly in
     /// first-come mode.
     pub(super) fn offer_batch(&mut self) {
-        let waiting = self.jobs.board.waiting(&self.models);
+        let waiting = self.jobs.scheduler.waiting(&self.models);
         for index in 0..self.sides.len() {
             if self.mode == Mode::FirstCome {
                 self.fill_engine(index);
@@ -71,9 +79,9 @@
         let room = FIRST_COME_DEPTH.saturating_sub(self.sides[index].engine.load());
         let incarnation = self.sides[index].admission.incarnation;
         let worker = worker_name(index);
-        let board = &mut self.jobs.board;
-        let handouts = board.pull(room, &worker, incarnation, &self.models, self.now);
-        let leases = handouts.into_iter().flat_map(|handout| handout.leases);
+        let scheduler = &mut self.jobs.scheduler;
+        let leased_jobs = scheduler.pull(room, &worker, incarnation, &self.models, self.now);
+        let leases = leased_jobs.into_iter().flat_map(|handout| handout.leases);
         for lease in leases.collect::<Vec<_>>() {
             let attempt = lease.attempt;
             let dispatch = Box::new(dispatch_of(lease, incarnation));
--- a/crates/bluebellreel_experiment/src/simulation/sides.rs
+++ b/crates/bluebellreel_experiment/src/simulation/sides.rs
@@ -27,7 +27,7 @@
             return;
         }
         if self.mode == Mode::FirstCome {
-            let open = BatchWindow::new(UNLIMITED_WINDOW, self.scenario.lean);
+            let open = BatchWindow::new(UNLIMITED_WINDOW, self.scenario.priority);
             self.sides[index].admission.batch_window = open;
         }
         let effects = admission::step(&mut self.sides[index].admission, event, self.now);
--- a/crates/bluebellreel_faults/src/invariants.rs
+++ b/crates/bluebellreel_faults/src/invariants.rs
@@ -3,7 +3,7 @@
 use crate::items::{BOOKINGS, IMPOSSIBLE_NOTE, NOTES, TOKENS, note_prompt};
 use crate::scenario::{FollowedCall, Scenario};
 use bluebellreel_claim::ClaimState;
-use bluebellreel_entry::bench::{BenchLine, CallEnd};
+use bluebellreel_entry::bench::{CallEnd, HarnessResult};
 use bluebellreel_job::JobState;
 use bluebellreel_routing::Outcome;
 use bluebellreel_standins::expected_answer;
@@ -26,7 +26,7 @@
 
 /// Reads a job as a caller does, and retries a failed read later. A read is a step too,
 /// at which a fault may be injected.
-fn lines_of(scenario: &mut Scenario, key: &str) -> Option<(JobState, Vec<BenchLine>)> {
+fn lines_of(scenario: &mut Scenario, key: &str) -> Option<(JobState, Vec<HarnessResult>)> {
     let id = scenario.jobs[key].id.clone();
     for _ in 0..MAX_READ_ATTEMPTS {
         let index = scenario.world.live_entry(0)?;
@@ -47,7 +47,7 @@
     scenario: &mut Scenario,
     key: &str,
     expected: u32,
-) -> Option<(JobState, BTreeMap<String, BenchLine>)> {
+) -> Option<(JobState, BTreeMap<String, HarnessResult>)> {
     let Some((state, lines)) = lines_of(scenario, key) else {
         scenario
             .violations
@@ -55,7 +55,7 @@
         return None;
     };
     let count = lines.len();
-    let items: BTreeMap<String, BenchLine> = lines
+    let items: BTreeMap<String, HarnessResult> = lines
         .into_iter()
         .map(|line| (line.custom_id.clone(), line))
         .collect();
@@ -86,7 +86,7 @@
     scenario: &mut Scenario,
     job: &str,
     number: u32,
-    items: &BTreeMap<String, BenchLine>,
+    items: &BTreeMap<String, HarnessResult>,
 ) {
     let id = format!("{job}-{number}");
     let Some(line) = items.get(&id) else {
--- a/crates/bluebellreel_faults/src/scenario.rs
+++ b/crates/bluebellreel_faults/src/scenario.rs
@@ -3,7 +3,7 @@
 use crate::items::{TOKENS, bookings, chat, notes};
 use crate::plan::{Fault, Plan, Step};
 use crate::world::{DESK, World};
-use bluebellreel_entry::bench::{BenchCall, BenchQuestion, CallEnd};
+use bluebellreel_entry::bench::{CallEnd, ClaimQuery, HarnessCall};
 use bluebellreel_job::JobState;
 use bluebellreel_routing::Outcome;
 use bluebellreel_types::{ChatBody, JobId, ModelName, Moment, TeamName, Work, WorkKind};
@@ -31,7 +31,7 @@
     pub(crate) key: Option<String>,
     pub(crate) work: Work,
     pub(crate) expected: String,
-    pub(crate) call: Option<BenchCall>,
+    pub(crate) call: Option<HarnessCall>,
     /// Number of runs of the key when the caller was told "not run".
     pub(crate) runs_when_refused: Option<u32>,
 }
@@ -39,7 +39,7 @@
 impl FollowedCall {
     /// Whether the call can no longer be answered because its daemon crashed.
     pub(crate) fn is_stranded(&self) -> bool {
-        self.call.as_ref().is_none_or(BenchCall::is_stranded)
+        self.call.as_ref().is_none_or(HarnessCall::is_stranded)
     }
 }
 
@@ -49,7 +49,7 @@
     pub(crate) team: TeamName,
     pub(crate) jobs: BTreeMap<&'static str, FollowedJob>,
     pub(crate) calls: Vec<FollowedCall>,
-    queries: Vec<(usize, BenchQuestion)>,
+    queries: Vec<(usize, ClaimQuery)>,
     pub(crate) cancel_answer: Option<JobState>,
     pub(crate) ended_at_cancel: Option<usize>,
     pub(crate) generations: Vec<[u64; 3]>,
@@ -220,7 +220,7 @@
                 return;
             };
             let entry = self.world.entry(index);
-            if let Some(query) = entry.and_then(|entry| entry.ask_claim(&team, &key)) {
+            if let Some(query) = entry.and_then(|entry| entry.query_claim(&team, &key)) {
                 self.queries.push((index, query));
             }
         }
@@ -308,7 +308,7 @@
         let index = self.world.live_entry(0)?;
         let lines = self.world.entry(index)?.results(&id);
         self.world.apply_injected();
-        let ended = |line: &&bluebellreel_entry::bench::BenchLine| line.status != "cancelled";
+        let ended = |line: &&bluebellreel_entry::bench::HarnessResult| line.status != "cancelled";
         Some(lines?.iter().filter(ended).count())
     }
 
@@ -354,10 +354,10 @@
                 return;
             };
             let team = self.team.clone();
-            let query: Option<BenchQuestion> = self
+            let query: Option<ClaimQuery> = self
                 .world
                 .entry(index)
-                .and_then(|entry| entry.ask_claim(&team, key));
+                .and_then(|entry| entry.query_claim(&team, key));
             self.world.run_for(Duration::from_millis(500));
             let (Some(query), Some(entry)) = (query, self.world.entry(index)) else {
                 continue;
--- a/crates/bluebellreel_faults/src/world.rs
+++ b/crates/bluebellreel_faults/src/world.rs
@@ -9,10 +9,10 @@
 use crate::net::{Envelope, Link, Net};
 use crate::plan::{Fault, Plan};
 use bluebellreel_admission::AdmissionLimits;
-use bluebellreel_entry::bench::EntryBench;
+use bluebellreel_entry::bench::EntryHarness;
 use bluebellreel_rpc::{EntryNotice, SideNotice};
 use bluebellreel_settings::parse_entry;
-use bluebellreel_side::bench::SideBench;
+use bluebellreel_side::bench::SideHarness;
 use bluebellreel_types::{
     AttemptId, Clock, DataCentre, Dispatch, EntryName, Incarnation, ModelName, Moment, SideHello,
     WorkerName,
@@ -63,14 +63,14 @@
 }
 
 struct EntryNode {
-    harness: Option<EntryBench>,
+    harness: Option<EntryHarness>,
     state: EntryState,
     renew_at: Moment,
     read_at: Moment,
 }
 
 struct SideNode {
-    harness: Option<SideBench>,
+    harness: Option<SideHarness>,
     incarnation: Incarnation,
     back_at: Moment,
     backend: Backend,
@@ -115,7 +115,7 @@
     #[must_use]
     pub fn new(plan: &Plan) -> Self {
         bluebellreel_types::seed_ids(plan.seed);
-        let clock = Clock::standing_at(Moment(1_700_000_000_000_000));
+        let clock = Clock::manual_at(Moment(1_700_000_000_000_000));
         let kv = KvHandle::new(clock.clone(), plan);
         let mut world = Self {
             entries: Vec::new(),
@@ -168,7 +168,7 @@
         &self.sides[SERVICE].backend
     }
 
-    fn new_entry(&self, index: usize) -> EntryBench {
+    fn new_entry(&self, index: usize) -> EntryHarness {
         let hash = "0".repeat(64);
         let settings = format!(
             "name = \"entry-{index}\"\ndata_centre = \"Sligo\"\nlisten = \"127.0.0.1:0\"\n\
@@ -178,13 +178,13 @@
         );
         let settings = parse_entry("world", &settings).expect("valid settings");
         let send = self.kv.transport(index);
-        let mut harness = EntryBench::new(settings, send, self.clock.clone());
+        let mut harness = EntryHarness::new(settings, send, self.clock.clone());
         harness.list(&workers());
         harness
     }
 
     /// An entry daemon, if it is up.
-    pub fn entry(&mut self, index: usize) -> Option<&mut EntryBench> {
+    pub fn entry(&mut self, index: usize) -> Option<&mut EntryHarness> {
         let node = &mut self.entries[index];
         match node.state {
             EntryState::Up => node.harness.as_mut(),
@@ -255,7 +255,7 @@
                     window: 6,
                     ..AdmissionLimits::default()
                 };
-                let mut harness = SideBench::new(side.incarnation, limits, self.clock.clone());
+                let mut harness = SideHarness::new(side.incarnation, limits, self.clock.clone());
                 harness.serve(vec![model_of(side.backend.kind)]);
                 side.harness = Some(harness);
             }
--- a/crates/bluebellreel_faults/src/world/messages.rs
+++ b/crates/bluebellreel_faults/src/world/messages.rs
@@ -7,7 +7,7 @@
 use crate::net::{Envelope, Link, Payload};
 use crate::plan::Step;
 use bluebellreel_rpc::{EntryCommand, EntryNotice, PullAnswer, SideCommand, SideNotice};
-use bluebellreel_side::bench::SideBench;
+use bluebellreel_side::bench::SideHarness;
 use tokio::sync::oneshot;
 
 impl World {
@@ -21,7 +21,7 @@
             | EntryCommand::Order { worker, .. }
             | EntryCommand::Fence { worker, .. }
             | EntryCommand::Drain(worker) => side_index(worker),
-            EntryCommand::Connect { .. } | EntryCommand::Forget(_) => return,
+            EntryCommand::Connect { .. } | EntryCommand::Disconnect(_) => return,
         };
         let is_dispatch = matches!(command, EntryCommand::Submit { .. });
         if let EntryCommand::Submit { dispatch, .. } = &command {
@@ -80,7 +80,7 @@
         while let Some(command) = self.sides[index]
             .harness
             .as_mut()
-            .and_then(SideBench::command)
+            .and_then(SideHarness::command)
         {
             let (entry, step) = match &command {
                 SideCommand::Part { attempt, .. } => (self.senders.get(attempt).copied(), None),
@@ -155,7 +155,7 @@
             }
             EntryCommand::Cancel { attempt, .. } => {
                 let (answer, mut rx) = oneshot::channel();
-                side.notice(SideNotice::CancelAsked { attempt, answer });
+                side.notice(SideNotice::CancelRequested { attempt, answer });
                 let verdict = rx.try_recv().expect("a verdict is given at once");
                 if let Some(harness) = self.entries[link.entry].harness.as_mut() {
                     harness.notice(EntryNotice::Verdict { attempt, verdict });
@@ -185,10 +185,11 @@
                     harness.notice(EntryNotice::Applied { worker, generation });
                 }
             }
-            EntryCommand::Drain(_) => side.notice(SideNotice::DrainAsked),
-            EntryCommand::Fence { fence, .. } => side.notice(SideNotice::FenceTold(fence)),
-            EntryCommand::Order { .. } | EntryCommand::Connect { .. } | EntryCommand::Forget(_) => {
-            }
+            EntryCommand::Drain(_) => side.notice(SideNotice::DrainRequested),
+            EntryCommand::Fence { fence, .. } => side.notice(SideNotice::FenceAnnounced(fence)),
+            EntryCommand::Order { .. }
+            | EntryCommand::Connect { .. }
+            | EntryCommand::Disconnect(_) => {}
         }
     }
 
--- a/crates/bluebellreel_faults/src/world/sides.rs
+++ b/crates/bluebellreel_faults/src/world/sides.rs
@@ -6,7 +6,7 @@
 use crate::plan::Step;
 use bluebellreel_rpc::{EntryNotice, SideNotice};
 use bluebellreel_side::BackendOrder;
-use bluebellreel_side::bench::SideBench;
+use bluebellreel_side::bench::SideHarness;
 use bluebellreel_types::{Dispatch, LoadReport};
 use tokio::sync::oneshot;
 
@@ -46,7 +46,7 @@
             return;
         };
         let (answer, mut rx) = oneshot::channel();
-        harness.notice(SideNotice::LoadAsked(answer));
+        harness.notice(SideNotice::LoadRequested(answer));
         let Ok(load): Result<LoadReport, _> = rx.try_recv() else {
             return;
         };
@@ -69,7 +69,7 @@
         while let Some(order) = self.sides[index]
             .harness
             .as_mut()
-            .and_then(SideBench::order)
+            .and_then(SideHarness::order)
         {
             match order {
                 BackendOrder::Start(dispatch) => {
--- a/crates/bluebellreel_faults/tests/claims.rs
+++ b/crates/bluebellreel_faults/tests/claims.rs
@@ -1,7 +1,7 @@
 //! Resends of a call that may not be repeated while the first send is in progress.
 
 use bluebellreel_claim::ClaimState;
-use bluebellreel_entry::bench::EntryBench;
+use bluebellreel_entry::bench::EntryHarness;
 use bluebellreel_kv::{KvError, KvTransport};
 use bluebellreel_rpc::{EntryCommand, EntryNotice};
 use bluebellreel_settings::parse_entry;
@@ -23,13 +23,13 @@
 /// Two daemons that reach the same side process and key-value service.
 struct TwoDaemons {
     clock: Clock,
-    first: EntryBench,
-    other: EntryBench,
+    first: EntryHarness,
+    other: EntryHarness,
 }
 
 impl TwoDaemons {
     fn new() -> Self {
-        let clock = Clock::standing_at(Moment(1_700_000_000_000_000));
+        let clock = Clock::manual_at(Moment(1_700_000_000_000_000));
         let calls = Arc::new(Mutex::new(KvCalls::new(VALUE_BYTES)));
         let mut two = Self {
             first: entry("entry-0", transport(&calls, &clock), &clock),
@@ -45,7 +45,7 @@
 
     /// Claims and sends a booking through the first daemon, and leaves its message in
     /// flight.
-    fn book(&mut self) -> bluebellreel_entry::bench::BenchCall {
+    fn book(&mut self) -> bluebellreel_entry::bench::HarnessCall {
         let call = self.first.call(booking(), self.clock.now() + CALL_TIMEOUT);
         while self.first.run_kv_task() {
             self.first.handle_messages();
@@ -59,7 +59,7 @@
     /// Whether a resend through the other daemon cancels the booking if the side
     /// process has not received it yet.
     fn resend_cancels_call(&mut self) -> bool {
-        let question = self.other.ask_claim(&team(), "slot").expect("a claim");
+        let question = self.other.query_claim(&team(), "slot").expect("a claim");
         self.other.settle(&question);
         let claim = self.other.claim(&team(), "slot").expect("a claim");
         assert_eq!(claim.state, ClaimState::Pending);
@@ -80,7 +80,7 @@
     })
 }
 
-fn entry(name: &str, send: KvTransport, clock: &Clock) -> EntryBench {
+fn entry(name: &str, send: KvTransport, clock: &Clock) -> EntryHarness {
     let settings = format!(
         "name = \"{name}\"\ndata_centre = \"Sligo\"\nlisten = \"127.0.0.1:0\"\n\
          [platform]\nkv = \"http://127.0.0.1:1\"\nvm_list = \"http://127.0.0.1:1\"\n\
@@ -89,7 +89,7 @@
         "0".repeat(64)
     );
     let settings = parse_entry("test", &settings).expect("valid settings");
-    let mut harness = EntryBench::new(settings, send, clock.clone());
+    let mut harness = EntryHarness::new(settings, send, clock.clone());
     let (worker, data_centre) = (WorkerName::from("desk-0"), DataCentre::from("Sligo"));
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     harness.list(&[(worker.clone(), address, data_centre.clone())]);
@@ -103,7 +103,7 @@
     harness
 }
 
-fn commands(harness: &mut EntryBench) -> Vec<EntryCommand> {
+fn commands(harness: &mut EntryHarness) -> Vec<EntryCommand> {
     std::iter::from_fn(|| harness.command()).collect()
 }
 
--- a/crates/bluebellreel_model/src/call.rs
+++ b/crates/bluebellreel_model/src/call.rs
@@ -7,7 +7,7 @@
 use crate::Explored;
 use crate::explored::explore_all;
 use bluebellreel_admission::{Admission, AdmissionLimits, Effect, EngineEnd, Event, step};
-use bluebellreel_claim::{ClaimState, Resend, decide, state_after_verdict};
+use bluebellreel_claim::{ClaimState, ResendAction, resend_action, state_after_verdict};
 use bluebellreel_types::{
     AttemptEnd, AttemptId, AttemptVerdict, Class, Dispatch, EntryName, Incarnation, Moment,
     RequestId, TraceContext, Work, WorkKind,
@@ -180,7 +180,7 @@
     let incarnation = state.side.incarnation.0;
     let free = match &state.claim {
         None => true,
-        Some(claim) => decide(&claim.state) == Resend::MayRun,
+        Some(claim) => resend_action(&claim.state) == ResendAction::MayRun,
     };
     if guards.claim && !free {
         return;
@@ -238,7 +238,7 @@
             key: Arc::from("slot"),
             team: "member".into(),
         }),
-        deadline: Moment::FAR,
+        deadline: Moment::DISTANT_FUTURE,
         resume: Arc::from(""),
         trace: TraceContext {
             trace: 1,
--- a/crates/bluebellreel_model/src/owner_reads.rs
+++ b/crates/bluebellreel_model/src/owner_reads.rs
@@ -1,6 +1,6 @@
 //! Results that two daemons report to the readers of one job. The model drives the real
-//! functions that decide which daemon runs the job ([`custody`]) and for how long an
-//! owner may answer from memory ([`Tenure`]).
+//! functions that decide which daemon runs the job ([`decide_takeover`]) and for how long an
+//! owner may answer from memory ([`RegistrationSpan`]).
 //!
 //! Registry entries expire, VMs are suspended or disconnected from the store, responses
 //! are lost, and the job moves from one daemon to the other and back. The invariant:
@@ -13,7 +13,9 @@
 
 use crate::Explored;
 use crate::explored::explore_all;
-use bluebellreel_batch::{Custody, OwnerSign, Stamp, Tenure, custody};
+use bluebellreel_batch::{
+    OwnerPresence, RegistrationSpan, Stamp, TakeoverDecision, decide_takeover,
+};
 use bluebellreel_types::Moment;
 use std::time::Duration;
 
@@ -106,7 +108,7 @@
     health: Health,
     /// Number of ticks that the daemon's steady clock has missed while suspended.
     missed: u8,
-    registration_span: Tenure,
+    registration_span: RegistrationSpan,
     /// Send time of a renewal that the store has applied and whose response the daemon
     /// has not read yet.
     renewing: Option<Stamp>,
@@ -172,7 +174,7 @@
         at: Moment(1),
         suspended: Duration::ZERO,
     };
-    let mut registration_span = Tenure::default();
+    let mut registration_span = RegistrationSpan::default();
     registration_span.renewed(asked, asked);
     let daemon = Daemon {
         health: Health::Healthy,
@@ -343,22 +345,24 @@
     }
     let owner_is_well = state.reaches_store(state.owner);
     let sign = match state.owner {
-        owner if owner == at => OwnerSign::Me,
-        owner if guards.entry_expiry && state.has_live_entry(owner) => OwnerSign::Silent,
+        owner if owner == at => OwnerPresence::ThisDaemon,
+        owner if guards.entry_expiry && state.has_live_entry(owner) => OwnerPresence::Silent,
         // Without the guard, the daemon relies on messages from the owner alone.
-        _ if !guards.entry_expiry && owner_is_well => OwnerSign::Heard,
-        _ => OwnerSign::Gone,
+        _ if !guards.entry_expiry && owner_is_well => OwnerPresence::Reporting,
+        _ => OwnerPresence::Gone,
     };
     let mut changed = state.clone();
     let asked = state.stamp(at, guards);
-    match custody(sign, true) {
-        Custody::Run => changed.daemons[at].loading = Some((state.revision, asked)),
-        Custody::TakeOver if state.revision < MAX_REVISIONS => {
+    match decide_takeover(sign, true) {
+        TakeoverDecision::Run => changed.daemons[at].loading = Some((state.revision, asked)),
+        TakeoverDecision::TakeOver if state.revision < MAX_REVISIONS => {
             changed.owner = at;
             changed.revision += 1;
             changed.daemons[at].loading = Some((changed.revision, asked));
         }
-        Custody::Settled | Custody::LookAgain | Custody::TakeOver => return,
+        TakeoverDecision::LeaveToOwner
+        | TakeoverDecision::RecheckSoon
+        | TakeoverDecision::TakeOver => return,
     }
     next.push(changed);
 }
