--- a/examples/soak.rs
+++ b/examples/soak.rs
@@ -44,7 +44,7 @@
         let callers = if seed >= ENDS_FROM {
             Callers::SomeEndJobs
         } else if seed >= CRASHES_FROM {
-            Callers::SomeInVain
+            Callers::SomeCrashWorkers
         } else {
             Callers::Usual
         };
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -38,7 +38,7 @@
     faults: false,
     changes: true,
     stops: false,
-    callers: Callers::SomeInVain,
+    callers: Callers::SomeCrashWorkers,
 };
 
 fn play(seed: u64, seconds: u64, brings: &Brings) {
