--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Online calls that may not be repeated.
+//! Online calls that must not run more than once.
 
 use bluebellreel_site::{Site, SitePlan};
 use bluebellreel_standins::{KvFaults, ServiceFaults};
@@ -22,11 +22,10 @@
     body["outcome"].as_str().unwrap_or_default().to_owned()
 }
 
-/// A member confirms a slot, hears nothing for a while and sends the same
-/// confirmation through both daemons at once. The antenna is booked once, and
-/// everyone is told the same.
+/// A client gets no answer to its booking for a while and resends it through both daemons
+/// at once. The slot must be booked once, and each answer must be 201 or 409.
 #[test]
-fn confirmation_sent_many_times_runs_once() {
+fn booking_sent_many_times_runs_once() {
     let site = Site::start(&SitePlan::default()).expect("site");
     let answers: Vec<(u16, String)> = thread::scope(|scope| {
         let send = |n: usize| {
@@ -50,8 +49,8 @@
     assert_eq!(site.service_runs().expect("runs")["slot-9"], 1);
 }
 
-/// The service books the slot, but its answer is lost. Nobody may say "not
-/// run", and a resend must not book a second time.
+/// The service books the slot, but its answer is lost. No daemon may report "not run", and
+/// a resend must not book a second time.
 #[test]
 fn lost_answer_is_unknown_and_never_run_again() {
     let site = Site::start(&SitePlan::default()).expect("site");
@@ -72,10 +71,10 @@
     assert_eq!(site.service_runs().expect("runs")["slot-1"], 1);
 }
 
-/// The key-value service is down, so no claim can be recorded. The member is
-/// told "not run" at once, and it is true; questions are answered as ever.
+/// The key-value service is down, so no claim can be recorded. The daemon must answer "not
+/// run" at once and must not run the call. Chat requests are still answered.
 #[test]
-fn no_claim_no_run() {
+fn call_without_recorded_claim_does_not_run() {
     let site = Site::start(&SitePlan::default()).expect("site");
     let down = KvFaults {
         down: true,
@@ -95,8 +94,8 @@
     assert!(text.contains("\"ran\":\"no\""), "{text}");
     site.set_kv_faults(&KvFaults::default()).expect("faults");
     assert_eq!(site.service_runs().expect("runs").len(), 0);
-    // The daemon finds out soon that the service is back; until then it goes
-    // on saying "not run", as Retry-After tells.
+    // The daemon soon detects that the key-value service has recovered; until then it
+    // answers "not run" with a Retry-After header.
     while book(&site, 1, "slot-3").0 == 503 {
         thread::sleep(Duration::from_millis(100));
     }
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -1,11 +1,11 @@
-//! Changes of the configuration under load, as a test.
+//! Runs the `changes` example: configuration changes under load.
 
 mod common;
 
-/// A change, two operators at once, an outage, a daemon killed in the middle
-/// and a drain, with people asking all the time. Each change is in force
-/// everywhere and stays, and nobody's request fails.
+/// A change, two concurrent operators, an outage, a daemon killed during a change and a
+/// drain, all under a constant load of requests. Each accepted change must be applied
+/// everywhere and not reverted, and no request may fail.
 #[test]
-fn changes_hold_everywhere_and_harm_nobody() {
+fn changes_apply_everywhere_without_failed_requests() {
     common::run_example("changes", &[]);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! What tests over example programs share.
+//! Helpers shared by the tests that run example programs.
 
 use std::path::Path;
 use std::process::Command;
 
-/// Builds an example and runs it to its end; it must pass.
+/// Builds an example, runs it and requires a successful exit.
 pub fn run_example(name: &str, arguments: &[&str]) {
     let daemon = Path::new(env!("CARGO_BIN_EXE_bluebellreel"));
     let built = Command::new(env!("CARGO"))
--- a/tests/disks.rs
+++ b/tests/disks.rs
@@ -1,4 +1,4 @@
-//! Large jobs on the disks of VMs that are lost, damaged and full.
+//! Large jobs whose chunks are on disks of VMs that are lost, damaged or full.
 
 use bluebellreel_site::{DiskPlan, Site, SitePlan, chat_line, wait_until};
 use bluebellreel_standins::{EngineCosts, expected_answer};
@@ -10,16 +10,16 @@
 use std::time::Duration;
 
 const MODEL: &str = "rental-assistant";
-/// Two volumes' worth of holders each, for three disks.
+/// Volumes of a site with three disks; each volume is held by two disks.
 const VOLUMES: u64 = 24;
 
-/// Variable that makes a test write the daemons' logs.
+/// Environment variable that makes a test print the daemons' logs.
 const LOG_VARIABLE: &str = "BLUEBELLREEL_TEST_LOG";
 
-/// Three daemons with disks in three data centres, a fourth without one.
+/// Starts three daemons with disks in three data centres, and a fourth without a disk.
 fn start_site(max_mb: u64) -> Site {
     if std::env::var_os(LOG_VARIABLE).is_some() {
-        // A second test of the process finds logging started already.
+        // Fails if an earlier test of this process has started logging.
         let _ = bluebellreel_telemetry::start_json_logging(
             log::LevelFilter::Info,
             &["data", "jobs", "kv", "router", "rpc", "side", "http"],
@@ -42,7 +42,7 @@
         ..SitePlan::default()
     })
     .expect("a site");
-    // A daemon that does not know the disks yet writes to the key-value service.
+    // Until a daemon has discovered the disks it writes chunks to the key-value service.
     wait_until(|| {
         let seen = volumes(&site, 3);
         seen["volumes"] == VOLUMES && seen["on_one_disk"] == 0 && seen["unreadable"] == 0
@@ -68,14 +68,14 @@
     (0..items).map(line).collect()
 }
 
-/// Bytes in the key-value service by the first part of their keys.
+/// Bytes stored in the key-value service, by the first segment of the key.
 fn kv_space(site: &Site) -> BTreeMap<String, u64> {
     let url = format!("{}/stand-in/space", site.kv.url());
     let mut answer = ureq::get(&url).call().expect("an answer");
     answer.body_mut().read_json().expect("JSON")
 }
 
-fn assert_whole(site: &Site, entry: usize, job: &str, items: u32) {
+fn assert_all_results(site: &Site, entry: usize, job: &str, items: u32) {
     let results = site.caller(entry).results(job).expect("results");
     let by_name: BTreeMap<&str, &str> = results
         .iter()
@@ -93,36 +93,37 @@
     }
 }
 
-/// The VM with a disk is lost while a job runs whose notes lie there, and some
-/// seconds later another one. Each time the other holder has every chunk, and
-/// what lay on one disk only is copied in between. Nothing accepted is lost.
+/// A VM is lost with its disk, which holds notes of a running job, and a second one some
+/// seconds later. Each time the other holder has every chunk, and chunks left with one
+/// holder are replicated in between. No accepted item may be lost.
 #[test]
-fn jobs_outlive_two_disks_lost_one_after_the_other() {
+fn jobs_survive_two_disks_lost_one_after_the_other() {
     let items = 4_000;
     let mut site = start_site(64);
-    let waiting = cancelled_job(&site, items);
+    let cancelled = cancelled_job(&site, items);
     let job = submit(&site, "disks", items);
     assert_eq!(kv_space(&site).get("in"), None, "the notes are on disks");
-    lose(&mut site, 0);
-    // What follows must rest on a copy, so the loss is to be seen first.
+    lose_disk(&mut site, 0);
+    // Wait until the loss is detected and then until every chunk has two holders again, so
+    // that the second loss leaves a copy.
     wait_until(|| volumes(&site, 3)["on_one_disk"] != 0);
     wait_until(|| volumes(&site, 3)["on_one_disk"] == 0);
     let over = site.caller(3).wait(&job, Duration::from_mins(1));
-    let over = over.unwrap_or_else(|e| panic!("{e}: {}", story(&site, &job, items)));
+    let over = over.unwrap_or_else(|e| panic!("{e}: {}", job_report(&site, &job, items)));
     assert_eq!(over.request_counts.completed, items);
     let space = kv_space(&site);
     assert!(
         space["out"] < u64::from(items) * 20,
         "results are on disks: {space:?}"
     );
-    lose(&mut site, 1);
-    assert_whole(&site, 3, &job, items);
-    assert_whole(&site, 2, &job, items);
-    assert_names(&site, &waiting, items);
+    lose_disk(&mut site, 1);
+    assert_all_results(&site, 3, &job, items);
+    assert_all_results(&site, 2, &job, items);
+    assert_all_ids(&site, &cancelled, items);
 }
 
-/// A disk fails while jobs come in. A chunk that only the other holder has
-/// must not count as kept: that VM may be the next to go.
+/// A disk fails while jobs are submitted. A chunk stored only by the other holder must not
+/// be acknowledged, as that VM may be lost next.
 #[test]
 fn chunk_on_one_disk_only_is_not_acknowledged() {
     let items = 4_000;
@@ -130,25 +131,25 @@
     let broken = site.disk_folder(1);
     fs::remove_dir_all(&broken).expect("it had a folder");
     fs::write(&broken, b"not a folder").expect("written");
-    let waiting = cancelled_job(&site, items);
-    lose(&mut site, 0);
-    assert_names(&site, &waiting, items);
+    let cancelled = cancelled_job(&site, items);
+    lose_disk(&mut site, 0);
+    assert_all_ids(&site, &cancelled, items);
 }
 
-/// Where a job stands that should be over, as its caller and each daemon that
-/// is up see it.
-fn story(site: &Site, job: &str, items: u32) -> String {
+/// Describes a job that did not finish in time, as its caller and each running daemon see
+/// it, for the failure message.
+fn job_report(site: &Site, job: &str, items: u32) -> String {
     let view = site.caller(3).job(job);
     let results = site.caller(3).results(job).unwrap_or_default();
     let recorded: BTreeSet<&str> = results.iter().map(|l| l.custom_id.as_str()).collect();
     let names = (0..items).map(|n| format!("note-{n}"));
     let missing: Vec<String> = names.filter(|n| !recorded.contains(n.as_str())).collect();
-    let mut story = format!("{view:?}\n{} not recorded: {missing:?}\n", missing.len());
+    let mut report = format!("{view:?}\n{} not recorded: {missing:?}\n", missing.len());
     for entry in (0..site.entries.len()).filter(|at| site.entries[*at].is_some()) {
         let outcomes = site.outcomes(entry).unwrap_or_default();
-        let _ = writeln!(story, "entry-{entry}: {outcomes}");
+        let _ = writeln!(report, "entry-{entry}: {outcomes}");
     }
-    story
+    report
 }
 
 fn submit(site: &Site, key: &str, items: u32) -> String {
@@ -156,7 +157,8 @@
     job.expect("accepted").id
 }
 
-/// A job that is cancelled at once: its notes' names are read from its input.
+/// Submits a job and cancels it at once. Its results then list the ids of the items, which
+/// the daemon reads from the stored input.
 fn cancelled_job(site: &Site, items: u32) -> String {
     let job = submit(site, "cancelled", items);
     let path = format!("/v1/batches/{job}/cancel");
@@ -168,42 +170,45 @@
     job
 }
 
-fn assert_names(site: &Site, job: &str, items: u32) {
+fn assert_all_ids(site: &Site, job: &str, items: u32) {
     let results = site.caller(3).results(job).expect("results");
     let names: BTreeSet<&str> = results.iter().map(|line| line.custom_id.as_str()).collect();
     assert_eq!(results.len(), items as usize, "each item once");
     assert_eq!(names.len(), items as usize, "each by its name");
 }
 
-/// A VM is lost with its disk.
-fn lose(site: &mut Site, entry: usize) {
+/// Stops a daemon and deletes its disk folder.
+fn lose_disk(site: &mut Site, entry: usize) {
     site.stop_entry(entry).expect("it was up");
     fs::remove_dir_all(site.disk_folder(entry)).expect("it had a folder");
 }
 
-/// A disk gives back other bytes than were written. Nobody may get them: they
-/// are read from the other holder, and put back.
+/// A disk returns other bytes than were written. The daemon must not deliver them: it reads
+/// the chunk from the other holder and restores the local copy.
 #[test]
 fn damaged_chunks_are_read_from_the_other_holder() {
     let items = 300;
     let site = start_site(64);
     let job = job_with_results_on(&site, 0, items);
     let damaged = chunk_files(&site.disk_folder(0));
-    assert!(!damaged.is_empty(), "some chunks lie here");
+    assert!(!damaged.is_empty(), "the disk holds some chunks");
     for path in &damaged {
         fs::write(path, b"rubbish").expect("written");
     }
-    assert_whole(&site, 0, &job, items);
-    // The job's results are put back; its notes are not read any more.
-    let whole = damaged
+    assert_all_results(&site, 0, &job, items);
+    // The job's result chunks are restored; its input chunks are not read any more.
+    let restored = damaged
         .iter()
         .filter(|path| fs::read(path).is_ok_and(|b| b != b"rubbish"));
-    assert!(whole.count() > 0, "what was read was put back");
+    assert!(
+        restored.count() > 0,
+        "the result chunks that were read are restored"
+    );
 }
 
-/// A job that is over and some of whose results lie on a daemon's disk. A
-/// chunk's two holders are drawn from three disks, so those of one job may all
-/// be others; nothing on this disk is read then.
+/// Runs jobs until one has result chunks on a given daemon's disk, and returns it. The two
+/// holders of a chunk are picked from three disks, so a job may have no chunk on this disk,
+/// and then nothing on it would be read.
 fn job_with_results_on(site: &Site, entry: usize, items: u32) -> String {
     for n in 0..20 {
         let key = format!("damage-{n}");
@@ -217,7 +222,7 @@
             return job;
         }
     }
-    panic!("no job's results came to that disk");
+    panic!("none of 20 jobs stored results on the disk of entry-{entry}");
 }
 
 fn chunk_files(folder: &Path) -> Vec<PathBuf> {
@@ -233,10 +238,10 @@
     files
 }
 
-/// The disks are full. A large job is refused with a clear reason, and nothing
-/// of it runs; it is accepted once there is room.
+/// The disks are full. A large job must be refused with a clear reason, and none of its
+/// items may run. The job can be accepted once there is room.
 #[test]
-fn full_disks_refuse_a_job_truthfully() {
+fn full_disks_refuse_a_job_with_a_clear_reason() {
     let site = start_site(1);
     let caller = site.caller(3);
     let refused = caller
@@ -250,7 +255,7 @@
     );
 }
 
-/// Chunks are for daemons only: callers' and operators' tokens open nothing.
+/// The chunk API is for daemons only and rejects the tokens of callers and operators.
 #[test]
 fn chunks_are_for_peers_only() {
     let site = start_site(64);
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From a request's id to its story.
+//! `explain`: collects the log lines that concern one request.
 
 use bluebellreel::cli::{LogLine, explain};
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_story_holds_its_lines_and_what_was_believed() {
+fn explanation_lists_a_requests_lines_and_known_facts() {
     let story = explain("r1", &lines("entry-1", ENTRY));
     let events: Vec<&str> = story.lines().map(|l| &l[39..]).collect();
     assert_eq!(
@@ -48,9 +48,9 @@
     assert_eq!(explain("nobody", &all), "");
 }
 
-/// A process is killed between a request and its answer. Its log shows a
-/// request that was sent and nothing after: whoever read it looked for the
-/// cause at the worker.
+/// A process is killed between a request and its answer. Its log shows a request that was
+/// sent and nothing afterwards, which suggests a fault of the worker. `explain` must name
+/// the killed process instead.
 #[test]
 fn a_process_that_was_killed_is_named() {
     let killed = r#"
@@ -72,9 +72,10 @@
     assert!(story.contains("=> entry-1 says nothing more"), "{story}");
 }
 
-/// An item that runs after its job's end: the story says who ended the job, and who was not notified.
+/// An item runs after its job has ended. `explain` must show which process ended the job
+/// and that the owner was not notified.
 #[test]
-fn an_items_story_tells_of_its_jobs_end() {
+fn explanation_of_an_item_shows_the_end_of_its_job() {
     let owner = r#"
 {"at":"2026-12-02T10:00:01.000Z","event":"job owned","job":"j1","revision":7}
 {"at":"2026-12-02T10:00:05.000Z","event":"item sent","job":"j1","request":"i1","worker":"w-1","confirmed_ms":4000}
--- a/tests/gateway_process.rs
+++ b/tests/gateway_process.rs
@@ -1,4 +1,4 @@
-//! A gateway as a process: its start, its signals, its end.
+//! Start, signals and exit of a gateway process.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -9,10 +9,10 @@
 use std::process::{Child, ChildStdout, Command, Stdio};
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// Gateways that this test process has started.
-static STARTED: AtomicU8 = AtomicU8::new(2);
+/// Number of the next gateway that this test process starts; part of its loopback address.
+static NEXT_GATEWAY: AtomicU8 = AtomicU8::new(2);
 
-/// A gateway whose store nobody serves.
+/// A gateway process whose store address does not answer.
 struct Process {
     child: Child,
     lines: BufReader<ChildStdout>,
@@ -21,7 +21,7 @@
 
 impl Process {
     fn start() -> Self {
-        let number = STARTED.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_GATEWAY.fetch_add(1, Ordering::Relaxed);
         let name = format!("gateway-{}-{number}.toml", std::process::id());
         let settings = std::env::temp_dir().join(name);
         std::fs::write(&settings, settings_text(number)).expect("a file of ours");
@@ -41,16 +41,19 @@
 
     fn signal(&self, signal: Signal) {
         let id = i32::try_from(self.child.id()).expect("ids are small");
-        kill(Pid::from_raw(id), signal).expect("it lives");
+        kill(Pid::from_raw(id), signal).expect("the process runs");
     }
 
-    /// Reads its log up to an event; the line of that event.
-    fn until(&mut self, event: &str) -> Value {
+    /// Reads the log up to an event and returns the line of that event.
+    fn read_until(&mut self, event: &str) -> Value {
         let mut seen = Vec::new();
         loop {
             let mut line = String::new();
             let read = self.lines.read_line(&mut line).expect("UTF-8");
-            assert!(read > 0, "never: {event}; seen: {seen:?}");
+            assert!(
+                read > 0,
+                "the log ended without {event:?}; events: {seen:?}"
+            );
             let line: Value = serde_json::from_str(&line).expect("JSON");
             if line["event"] == event {
                 return line;
@@ -59,8 +62,8 @@
         }
     }
 
-    /// The exit code, and the events of the rest of its log.
-    fn end(mut self) -> (Option<i32>, Vec<String>) {
+    /// Waits for the process to exit and returns its exit code and the remaining log events.
+    fn wait_for_exit(mut self) -> (Option<i32>, Vec<String>) {
         let rest = (&mut self.lines).lines().map_while(Result::ok);
         let events = rest
             .filter_map(|l| serde_json::from_str::<Value>(&l).ok())
@@ -73,7 +76,7 @@
 }
 
 fn settings_text(number: u8) -> String {
-    // An address of its own, as on its VM.
+    // Each gateway has its own loopback address, as it would have on its own VM.
     let ip = Ipv4Addr::new(127, 9, 0, number);
     let bound = || TcpListener::bind((ip, 0)).expect("a free port");
     let held = [bound(), bound(), bound(), bound(), bound()];
@@ -95,16 +98,16 @@
     )
 }
 
-/// A gateway was stopped and a request was lost. Its log ended in the midst of
-/// the stop: the last lines waited for the thread that writes them when the
-/// process ended, so nobody could tell whether it had cut the request.
+/// Guards against losing the last log lines of a stop: they were queued for the logging
+/// thread when the process exited, so that an operator could not tell whether a lost
+/// request had been cut by the gateway.
 #[test]
-fn the_last_lines_of_a_stop_are_written() {
+fn last_log_lines_of_a_stop_are_written() {
     let mut process = Process::start();
-    process.until("started");
+    process.read_until("started");
     process.signal(Signal::SIGTERM);
-    process.until("stopping");
-    let (code, events) = process.end();
+    process.read_until("stopping");
+    let (code, events) = process.wait_for_exit();
     assert_eq!(code, Some(0));
     assert_eq!(events.last().map(String::as_str), Some("stopped"));
 }
--- a/tests/http_limits.rs
+++ b/tests/http_limits.rs
@@ -1,4 +1,5 @@
-//! Bad input at the entry daemon: refused clearly, and harming nobody else.
+//! Invalid input at the entry daemon is refused with a clear error and does not affect
+//! other callers.
 
 use bluebellreel_site::{Site, SitePlan, TEAM_TOKEN, chat_line};
 use bluebellreel_standins::expected_answer;
@@ -83,14 +84,14 @@
     assert_eq!(team.expect("answer").0, 403);
 }
 
-/// A school's upload is cut off half-way, at the end of a line. Half a job must
-/// never be accepted as a whole one.
+/// The upload of a job is truncated at the end of a line. A truncated job must not be
+/// accepted as a complete one.
 #[test]
 fn truncated_job_is_not_accepted() {
     let site = site();
     let model = site.plan.deployment.model();
-    // The HTTP library itself closes the connection of a shorter body that is
-    // cut; longer ones reach the daemon.
+    // The HTTP library closes the connection of a truncated short body by itself; a long
+    // one reaches the daemon.
     let prompt = "x".repeat(1_500);
     let line = format!("{}\n", chat_line("a", model, &prompt, 1));
     let text = head("/v1/batches", line.len() * 2) + &line;
@@ -105,8 +106,8 @@
     assert_eq!(job.request_counts.total, 1);
 }
 
-/// Forty callers send the start of a body and then nothing, or a byte now and
-/// then. Others are answered meanwhile, and a trickled body is refused.
+/// Forty callers send the start of a body and then nothing, or a byte now and then. Other
+/// callers must still be answered, and a body that trickles in must be refused with 408.
 #[test]
 fn slow_callers_harm_nobody_else() {
     let site = site();
@@ -119,7 +120,7 @@
     );
     let trickler = &mut slow[0];
     let refused = loop {
-        // Writing fails once the daemon has closed the connection.
+        // A write error means that the daemon has closed the connection.
         if trickler.write_all(b" ").is_err() {
             break true;
         }
--- a/tests/jobs.rs
+++ b/tests/jobs.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-const LONG: Duration = Duration::from_mins(1);
+const MAX_WAIT: Duration = Duration::from_mins(1);
 
 fn lines(site: &Site, count: u32, tokens: u32) -> Vec<String> {
     let model = site.plan.deployment.model();
@@ -14,18 +14,21 @@
     (0..count).map(line).collect()
 }
 
-fn ends(site: &Site, id: &str) -> BTreeMap<String, Vec<String>> {
-    let mut ends: BTreeMap<String, Vec<String>> = BTreeMap::new();
+fn statuses(site: &Site, id: &str) -> BTreeMap<String, Vec<String>> {
+    let mut statuses: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for item in site.caller(1).results(id).expect("results") {
-        ends.entry(item.custom_id).or_default().push(item.status);
+        statuses
+            .entry(item.custom_id)
+            .or_default()
+            .push(item.status);
     }
-    ends
+    statuses
 }
 
-/// A school's client thinks that its booking was lost and sends it again,
-/// through both daemons and at the same moment. There must be one job.
+/// A client assumes that its submission was lost and resends it through both daemons at the
+/// same moment. Only one job must be created.
 #[test]
-fn resends_at_the_same_moment_find_one_job() {
+fn concurrent_resends_create_one_job() {
     let site = Site::start(&SitePlan::default()).expect("site");
     let body = lines(&site, 40, 4);
     let ids: Vec<String> = thread::scope(|scope| {
@@ -40,11 +43,11 @@
             .collect()
     });
     assert!(ids.iter().all(|id| *id == ids[0]), "{ids:?}");
-    let job = site.caller(1).wait(&ids[0], LONG).expect("over");
+    let job = site.caller(1).wait(&ids[0], MAX_WAIT).expect("over");
     assert_eq!(job.request_counts.completed, 40);
-    let ends = ends(&site, &ids[0]);
-    assert_eq!(ends.len(), 40);
-    assert!(ends.values().all(|e| *e == ["succeeded"]));
+    let statuses = statuses(&site, &ids[0]);
+    assert_eq!(statuses.len(), 40);
+    assert!(statuses.values().all(|e| *e == ["succeeded"]));
     let other = site.caller(0).submit("term", &lines(&site, 39, 4));
     let error = other.expect_err("another body").to_string();
     assert!(
@@ -59,8 +62,8 @@
     );
 }
 
-/// A bulk booking is cancelled through the other daemon while it runs. It must
-/// stop, keep what had finished, and show every other item as cancelled.
+/// A job is cancelled through the other daemon while it runs. It must stop, keep the
+/// results of finished items, and show every other item as cancelled.
 #[test]
 fn cancelled_job_stops_and_keeps_what_had_finished() {
     let costs = EngineCosts {
@@ -86,22 +89,25 @@
         .send("POST", &path, &[], b"")
         .expect("answer");
     assert_eq!(status, 200, "{text}");
-    let ends = ends(&site, &job.id);
-    assert_eq!(ends.len(), 400);
-    let count = |status: &str| ends.values().filter(|e| *e == &[status]).count();
-    assert!(count("succeeded") > 0 && count("cancelled") > 0, "{ends:?}");
+    let statuses = statuses(&site, &job.id);
+    assert_eq!(statuses.len(), 400);
+    let count = |status: &str| statuses.values().filter(|e| *e == &[status]).count();
+    assert!(
+        count("succeeded") > 0 && count("cancelled") > 0,
+        "{statuses:?}"
+    );
     assert_eq!(count("succeeded") + count("cancelled"), 400);
     thread::sleep(Duration::from_millis(300));
-    let later = site.caller(0).wait(&job.id, LONG).expect("over");
+    let later = site.caller(0).wait(&job.id, MAX_WAIT).expect("over");
     assert_eq!(later.status, "cancelled");
     let again = site.caller(0).results(&job.id).expect("results");
     assert_eq!(again.len(), 400, "nothing is recorded after the cancel");
 }
 
-/// A job books harps at a plain service that must not book one twice, while
-/// answers of the key-value service are lost. Each booking runs once.
+/// A job sends bookings to a plain service while answers of the key-value service are lost.
+/// Each booking must run once.
 #[test]
-fn bookings_of_a_job_run_once_each() {
+fn each_booking_of_a_job_runs_once() {
     let site = Site::start(&SitePlan::default()).expect("site");
     let lose_answers = 2;
     let faults = KvFaults {
@@ -112,18 +118,18 @@
     let line = |n: u32| service_line(&format!("harp-{n}"), "desk", "/bookings");
     let body: Vec<String> = (0..30).map(line).collect();
     let job = site.caller(0).submit("harps", &body).expect("job");
-    let over = site.caller(1).wait(&job.id, LONG).expect("over");
+    let over = site.caller(1).wait(&job.id, MAX_WAIT).expect("over");
     assert_eq!(over.request_counts.completed, 30);
     let runs = site.service_runs().expect("runs");
     assert_eq!(runs.len(), 30);
     assert!(runs.values().all(|count| *count == 1), "{runs:?}");
 }
 
-/// One school's client submits job after job. Past its bound it is told so at
-/// once, with when to come back; another team's jobs are still accepted, and a
-/// resend of what was accepted finds it.
+/// One team submits jobs beyond its limit. The excess job is refused at once with 429, "not
+/// run" and a retry delay. A resend of an accepted job finds that job, and another team's
+/// jobs are still accepted.
 #[test]
-fn team_with_too_many_jobs_keeps_nobody_else_out() {
+fn team_with_too_many_jobs_does_not_block_other_teams() {
     let site = Site::start(&SitePlan {
         entry_settings: "[limits]\nteam_jobs = 3\n".into(),
         costs: EngineCosts {
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Operators at two entry daemons.
+//! Operator actions through two entry daemons.
 
 use bluebellreel_site::{OPERATOR_TOKEN, Site, SitePlan, wait_until};
 use bluebellreel_standins::EngineCosts;
@@ -14,10 +14,10 @@
     (status, serde_json::from_str(&text).expect("JSON"))
 }
 
-/// An operator drains a worker at one daemon. Soon no daemon sends it anything
-/// new, while answers that it was giving come whole.
+/// An operator drains a worker at one daemon. All daemons must soon stop sending it new
+/// requests, and the answers in progress must be completed.
 #[test]
-fn drained_worker_gets_nothing_new_and_cuts_nothing() {
+fn drained_worker_gets_no_new_requests_and_cuts_none() {
     let costs = EngineCosts {
         base: Duration::from_millis(10),
         ..EngineCosts::default()
@@ -61,11 +61,11 @@
     );
 }
 
-/// Two phones put different manifests over the same generation. One is
-/// accepted; the other operator is shown what won; it is in force everywhere
-/// and stays so.
+/// Two operators put different manifests based on the same generation. One is accepted, the
+/// other operator gets 409 with the generation that won, and that generation is applied
+/// everywhere and not reverted.
 #[test]
-fn racing_operators_have_one_winner() {
+fn concurrent_manifest_puts_have_one_winner() {
     let site = Site::start(&SitePlan::default()).expect("site");
     let manifest = |version: usize| {
         site.manifest()
@@ -107,7 +107,7 @@
     });
 }
 
-/// A thumb taps "roll forward" twice. One generation is made, not two.
+/// "Roll forward" is sent twice by a double tap. Only one generation must be created.
 #[test]
 fn double_tap_rolls_forward_once() {
     let site = Site::start(&SitePlan::default()).expect("site");
@@ -143,8 +143,8 @@
     assert_eq!(without.expect("answer").0, 428);
 }
 
-/// The page works without script: a token, the outcomes, a confirmation, and
-/// the deed. It is small, and a team's token opens nothing.
+/// The operator page works without scripts: it asks for a token, shows the outcomes and
+/// asks for a confirmation before an action. It is small, and rejects a team's token.
 #[test]
 fn page_shows_outcomes_and_asks_before_it_acts() {
     let site = Site::start(&SitePlan::default()).expect("site");
@@ -170,7 +170,7 @@
     assert_eq!(
         site.outcomes(0).expect("an answer")["changes_hold"]["generation"],
         1,
-        "only asked"
+        "no generation is created before the confirmation"
     );
     assert!(
         send(&format!("{act}&confirmed=yes"))
@@ -180,8 +180,9 @@
     wait_until(|| site.outcomes(1).expect("an answer")["changes_hold"]["generation"] == 2);
 }
 
-/// The key-value service is down before, during and after a change is asked
-/// for. Nothing reverts, and what was in force stays in force.
+/// The key-value service is down when a change is requested. The change is refused, nothing
+/// is reverted, the applied generation stays in force, and the change succeeds after the
+/// outage.
 #[test]
 fn outage_reverts_nothing() {
     let site = Site::start(&SitePlan::default()).expect("site");
@@ -212,11 +213,11 @@
     });
 }
 
-/// The pipeline puts a new version. One engine's load fails at first: it is
-/// shown, holds up no other and is tried again. Questions are answered all the
-/// while, and in the end every engine holds the new version.
+/// A manifest with a new model version is put. One engine fails to load it at first: the
+/// failure is shown, does not delay the other engines, and the load is retried. Requests are
+/// answered all the time, and in the end every engine has the new version.
 #[test]
-fn fleet_is_matched_to_the_manifest_under_load() {
+fn engines_converge_to_the_manifest_under_load() {
     let plan = SitePlan {
         entries: 3,
         services: 0,
--- a/tests/reach.rs
+++ b/tests/reach.rs
@@ -1,4 +1,4 @@
-//! Daemons that are connected to a few workers of many.
+//! Entry daemons that are connected to a subset of many workers.
 
 use bluebellreel_site::{Site, SitePlan, chat_line, wait_until};
 use bluebellreel_standins::expected_answer;
@@ -7,17 +7,17 @@
 const WORKERS: usize = 12;
 const MODEL: &str = "rental-assistant";
 
-/// Workers that a daemon is connected to.
+/// Number of workers that a daemon is connected to.
 fn connected(site: &Site, entry: usize) -> u64 {
     let view = site.outcomes(entry).expect("an answer");
     view["changes_hold"]["workers"].as_u64().expect("a number")
 }
 
-/// With many workers each daemon holds connections to a few. People are served
-/// by those; a job gets all workers of its model, or it would crawl, and lets
-/// them go when it is done, without cutting anything.
+/// With many workers each daemon is connected to a few, which serve online requests. A job
+/// gets connections to all workers of its model, because a few would make it slow. The
+/// daemon closes them after the job without cutting a request.
 #[test]
-fn people_need_few_connections_and_a_job_gets_all_workers() {
+fn online_requests_need_few_connections_and_a_job_gets_all_workers() {
     let site = Site::start(&SitePlan {
         workers: WORKERS,
         connected: Some(3),
@@ -25,9 +25,9 @@
         ..SitePlan::default()
     })
     .expect("a site");
-    // The matcher of Sligo is connected to the four workers and the service
-    // that stand there; the other daemon to two of the model, one of the
-    // service, and one that it looks at.
+    // The daemon in Sligo that matches engines to the manifest is connected to the four
+    // workers and the service in its data centre. The other daemon is connected to two
+    // workers of the model, one of the service, and one that it probes.
     wait_until(|| (0..2).all(|entry| connected(&site, entry) <= 7));
     let prompt = "fiddle size?";
     for entry in 0..2 {
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -1,13 +1,13 @@
-//! Daemons that come back.
+//! Restarts of entry daemons, and recovery after an outage of the key-value service.
 
 use bluebellreel_site::{Site, SitePlan};
 use bluebellreel_standins::{KvFaults, expected_answer};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A daemon was restarted and people were refused with "no worker serves this
-/// model": the balancer had sent them as soon as it listened, before it was
-/// connected to any worker. It is ready only when its workers have been tried.
+/// Guards against requests refused with "no worker serves this model" after a restart: the
+/// load balancer sent requests as soon as the daemon listened, before it was connected to
+/// any worker. A daemon must become ready only after it has tried to connect to its workers.
 #[test]
 fn daemon_is_ready_only_with_its_workers() {
     let mut site = Site::start(&SitePlan::default()).expect("a site");
@@ -17,7 +17,7 @@
         let caller = site.caller(0);
         let end = Instant::now() + Duration::from_secs(30);
         while !matches!(caller.send("GET", "/readyz", &[], b""), Ok((200, _))) {
-            assert!(Instant::now() < end, "it never became ready");
+            assert!(Instant::now() < end, "the daemon is not ready after 30 s");
             thread::sleep(Duration::from_millis(1));
         }
         let prompt = format!("round {round}");
@@ -26,9 +26,9 @@
     }
 }
 
-/// A daemon was restarted while the key-value service was slow, and bookings
-/// were refused with 404, "no such service": the balancer had sent them before
-/// the daemon had read the manifest. It is ready only when it has.
+/// Guards against bookings refused with 404 "no such service" after a restart with a slow
+/// key-value service: the load balancer sent them before the daemon had read the manifest.
+/// A daemon must become ready only after it has read the manifest.
 #[test]
 fn daemon_is_ready_only_with_its_manifest() {
     let mut site = Site::start(&SitePlan::default()).expect("a site");
@@ -42,7 +42,7 @@
     let caller = site.caller(0);
     let end = Instant::now() + Duration::from_secs(30);
     while !matches!(caller.send("GET", "/readyz", &[], b""), Ok((200, _))) {
-        assert!(Instant::now() < end, "it never became ready");
+        assert!(Instant::now() < end, "the daemon is not ready after 30 s");
         thread::sleep(Duration::from_millis(1));
     }
     let path = "/services/desk/slots";
@@ -50,8 +50,8 @@
     assert_eq!(status, 200, "{text}");
 }
 
-/// A daemon cannot read the manifest, as the key-value service is down. It does
-/// not know which services there are, and says so instead of "no such service".
+/// A daemon cannot read the manifest because the key-value service is down. As it does not
+/// know the services, it must answer 503 instead of "no such service".
 #[test]
 fn daemon_without_a_manifest_names_no_service_unknown() {
     let mut site = Site::start(&SitePlan::default()).expect("a site");
@@ -69,12 +69,11 @@
     assert!(text.contains("\"ran\":\"no\""), "{text}");
 }
 
-/// The key-value service was away and all daemons found it back at the same
-/// moment. They must not bring it down again: each comes back with a few calls,
-/// the same however many daemons there are.
+/// All daemons find at the same moment that the key-value service has recovered. They must
+/// not overload it: each reconnects with a few calls, independent of the number of daemons.
 #[test]
 fn daemons_do_not_overrun_a_service_that_comes_back() {
-    const WATCHES_A_DAEMON: u64 = 5;
+    const WATCHES_PER_DAEMON: u64 = 5;
     let mut per_daemon = Vec::new();
     for entries in [2, 8] {
         let site = Site::start(&SitePlan {
@@ -88,14 +87,17 @@
             ..KvFaults::default()
         };
         site.set_kv_faults(&down(true)).expect("set");
-        // Longer than the leases, so that each daemon takes a new one.
+        // Longer than the leases live, so that each daemon needs a new one.
         thread::sleep(Duration::from_secs(4));
         let before = kv_counts(&site);
         site.set_kv_faults(&down(false)).expect("set");
         let daemons = u64::try_from(entries).expect("few");
         let end = Instant::now() + Duration::from_secs(30);
-        while kv_counts(&site).watches < before.watches + WATCHES_A_DAEMON * daemons {
-            assert!(Instant::now() < end, "not all watches came back");
+        while kv_counts(&site).watches < before.watches + WATCHES_PER_DAEMON * daemons {
+            assert!(
+                Instant::now() < end,
+                "not all watches were re-established after 30 s"
+            );
             thread::sleep(Duration::from_millis(10));
         }
         let after = kv_counts(&site);
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,57 +1,57 @@
-//! A short soak of real gateway processes. Seeds that ever broke a promise stay
-//! here, each with a line on the cause.
+//! Short soak runs of gateway processes. Each seed that once violated a guarantee has a
+//! test here that states the cause.
 
 use bluebellreel_platform_standins::{Callers, SoakPlan, soak};
 use std::time::Duration;
 
-/// What a soak brings: faults that nobody planned, changes, planned stops.
-struct Brings {
+/// Disturbances of a soak run: unplanned faults, configuration changes, planned stops.
+struct SoakMode {
     faults: bool,
     changes: bool,
     stops: bool,
     callers: Callers,
 }
 
-const FAULTS: Brings = Brings {
+const FAULTS: SoakMode = SoakMode {
     faults: true,
     changes: false,
     stops: false,
     callers: Callers::Usual,
 };
-const CHANGES: Brings = Brings {
+const CHANGES: SoakMode = SoakMode {
     changes: true,
     ..FAULTS
 };
-const STOPS: Brings = Brings {
+const STOPS: SoakMode = SoakMode {
     faults: false,
     changes: false,
     stops: true,
     callers: Callers::Usual,
 };
-const ENDS: Brings = Brings {
+const ENDS: SoakMode = SoakMode {
     faults: false,
     changes: false,
     stops: false,
     callers: Callers::SomeEndJobs,
 };
-const CRASHES: Brings = Brings {
+const CRASHES: SoakMode = SoakMode {
     faults: false,
     changes: true,
     stops: false,
     callers: Callers::SomeInVain,
 };
 
-fn play(seed: u64, seconds: u64, brings: &Brings) {
+fn run_soak(seed: u64, seconds: u64, mode: &SoakMode) {
     let folder = std::env::temp_dir().join(format!("soak-{}-{seed}", std::process::id()));
     let report = soak(SoakPlan {
         seed,
         span: Duration::from_secs(seconds),
         gateways: 3,
         workers: 4,
-        faults: brings.faults,
-        changes: brings.changes,
-        stops: brings.stops,
-        callers: brings.callers,
+        faults: mode.faults,
+        changes: mode.changes,
+        stops: mode.stops,
+        callers: mode.callers,
         program: env!("CARGO_BIN_EXE_bluebellreel").into(),
         folder: folder.clone(),
     })
@@ -65,71 +65,72 @@
     );
     assert!(report.served > 0 && report.jobs > 0, "nothing was served");
     assert!(
-        report.judged > 0 || !brings.stops,
-        "no request was without a fault near it"
+        report.judged > 0 || !mode.stops,
+        "every request had a fault near it, so none was judged"
     );
     assert!(
-        report.ended > 0 || brings.callers != Callers::SomeEndJobs,
-        "no end was acknowledged"
+        report.ended > 0 || mode.callers != Callers::SomeEndJobs,
+        "no end of a job was acknowledged"
     );
     std::fs::remove_dir_all(folder).expect("the folder is ours");
 }
 
-/// Its end was asked for while the store was silent: the job's items stopped,
-/// the end was not recorded, and the job lay open for ever.
+/// A caller ends its job while the store does not respond. Guards against a job that stays
+/// open for ever: its items stopped, but its end was not recorded.
 #[test]
-fn an_end_asked_for_during_an_outage_is_kept() {
-    play(18, 12, &FAULTS);
+fn job_end_requested_during_an_outage_is_recorded() {
+    run_soak(18, 12, &FAULTS);
 }
 
-/// The same, with the connection reset.
+/// A caller ends its job while the connection to the store is reset. Guards against the
+/// same loss of the end.
 #[test]
-fn an_end_asked_for_on_a_reset_connection_is_kept() {
-    play(59, 12, &FAULTS);
+fn job_end_requested_on_a_reset_connection_is_recorded() {
+    run_soak(59, 12, &FAULTS);
 }
 
 #[test]
-fn promises_hold_under_faults_from_outside() {
-    play(1, 12, &FAULTS);
+fn guarantees_hold_under_injected_faults() {
+    run_soak(1, 12, &FAULTS);
 }
 
-/// Operators, workers, settings and the store change while the faults come, and
-/// callers keep connections open.
+/// Faults are injected while operators change the configuration, workers, settings and the
+/// store change, and callers keep connections open.
 #[test]
-fn promises_hold_under_faults_and_changes() {
-    play(2, 12, &CHANGES);
+fn guarantees_hold_under_faults_and_changes() {
+    run_soak(2, 12, &CHANGES);
 }
 
-/// A gateway that was asked to stop looked once more, saw nothing in progress,
-/// and gave its lease back to the store. A note that came meanwhile was passed
-/// on to a worker, and the process ended: its caller saw a closed connection and
-/// does not know whether the note ran.
+/// Guards against cutting a request at a planned stop: a gateway checked once more that
+/// nothing was in progress and revoked its lease at the store. A note that arrived
+/// meanwhile was forwarded to a worker, and the process exited. The caller saw a closed
+/// connection and did not know whether the note ran.
 #[test]
 fn planned_stops_cut_nothing() {
-    play(1000, 12, &STOPS);
+    run_soak(1000, 12, &STOPS);
 }
 
-/// One caller's request, another one's note and an item of a job crash each worker that
-/// begins to run them, and come again and again. Each gateway sent them to the next
-/// worker, until none was left, and all others were cut or refused with them.
+/// One caller's request, another caller's note and an item of a job crash each worker that
+/// starts them, and are retried repeatedly. Guards against sending them to one worker
+/// after another until none is left, which cut or refused all other requests as well.
 #[test]
 fn requests_that_crash_workers_are_held_back() {
-    play(3000, 12, &CRASHES);
+    run_soak(3000, 12, &CRASHES);
 }
 
-/// The same while gateways are killed, paused and cut off.
+/// Requests crash workers as above while gateways are killed, paused and partitioned.
 #[test]
 fn requests_that_crash_workers_are_held_back_under_faults() {
-    let brings = Brings {
+    let mode = SoakMode {
         faults: true,
         ..CRASHES
     };
-    play(3001, 12, &brings);
+    run_soak(3001, 12, &mode);
 }
 
-/// A job was ended at another gateway than its owner's, which that one could not reach:
-/// the owner learned of the end only from reports, and they were lost.
+/// A job is ended at a gateway that cannot reach the job's owner. Guards against items that
+/// go on running: the owner learned of the end only from reports, and they were lost.
 #[test]
 fn items_of_an_ended_job_stop_though_peers_are_cut_off() {
-    play(5018, 12, &ENDS);
+    run_soak(5018, 12, &ENDS);
 }
--- a/tests/stops/wire.rs
+++ b/tests/stops/connection.rs
@@ -1,18 +1,19 @@
-//! A caller that sees each byte: one connection, kept open like a balancer's.
+//! Raw HTTP over one TCP connection, kept open as by a load balancer, so that tests can
+//! send partial requests.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
 use bluebellreel_site::TEAM_TOKEN;
 
-use crate::daemon::LONGEST;
+use crate::daemon::MAX_WAIT;
 
-/// A connection.
-pub struct Wire {
+/// A TCP connection to an entry daemon.
+pub struct Connection {
     stream: BufReader<TcpStream>,
 }
 
-/// A whole answer.
+/// A complete HTTP answer.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -21,23 +22,23 @@
 }
 
 impl Answer {
-    /// Whether the connection may not be used again.
-    pub fn closes(&self) -> bool {
+    /// Whether the answer has `Connection: close`.
+    pub fn closes_connection(&self) -> bool {
         self.head.to_lowercase().contains("connection: close")
     }
 
-    /// Whether the caller knows that it did not run and when to come back.
-    pub fn says_not_run(&self) -> bool {
-        self.status == 503 && self.body.contains(r#""ran":"no""#) && self.says_when()
+    /// Whether the answer says that the request did not run and when to retry it.
+    pub fn reports_not_run(&self) -> bool {
+        self.status == 503 && self.body.contains(r#""ran":"no""#) && self.has_retry_after()
     }
 
-    fn says_when(&self) -> bool {
+    fn has_retry_after(&self) -> bool {
         self.head.to_lowercase().contains("retry-after:")
     }
 }
 
-/// A booking, which may run once only.
-pub fn booking(key: &str) -> String {
+/// A booking request, which must not run more than once.
+pub fn booking_request(key: &str) -> String {
     format!(
         "POST /services/desk/bookings HTTP/1.1\r\nHost: x\r\n\
          Authorization: Bearer {TEAM_TOKEN}\r\nIdempotency-Key: {key}\r\n\
@@ -45,27 +46,27 @@
     )
 }
 
-/// A look at the models.
-pub fn models() -> String {
+/// A request for the list of models.
+pub fn models_request() -> String {
     format!("GET /v1/models HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {TEAM_TOKEN}\r\n\r\n")
 }
 
-impl Wire {
-    /// Connects.
+impl Connection {
+    /// Connects to a daemon, with a read time-out.
     pub fn connect(address: SocketAddr) -> std::io::Result<Self> {
         let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(LONGEST))?;
+        stream.set_read_timeout(Some(MAX_WAIT))?;
         let stream = BufReader::new(stream);
         Ok(Self { stream })
     }
 
-    /// Sends text.
+    /// Sends a request or a part of one.
     pub fn send(&mut self, text: &str) -> std::io::Result<()> {
         self.stream.get_mut().write_all(text.as_bytes())
     }
 
-    /// Reads a whole answer.
+    /// Reads a complete answer.
     pub fn answer(&mut self) -> std::io::Result<Answer> {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
@@ -83,9 +84,10 @@
         })
     }
 
-    /// Asks and reads the answer.
+    /// Sends a request and reads the answer.
     pub fn ask(&mut self, text: &str) -> std::io::Result<Answer> {
-        // What a closing daemon said before may still be read.
+        // The daemon may have answered before it closed the connection, so a failed send is
+        // ignored.
         self.send(text).ok();
         self.answer()
     }
@@ -95,7 +97,7 @@
     let head = head.to_lowercase();
     let (_, rest) = head
         .split_once("content-length:")
-        .expect("whole answers only");
+        .expect("a content-length header");
     let length = rest.lines().next().unwrap_or_default();
     length.trim().parse().expect("a length")
 }
--- a/tests/stops/daemon.rs
+++ b/tests/stops/daemon.rs
@@ -1,4 +1,4 @@
-//! A real entry daemon beside a site, whose log is read.
+//! An entry daemon process that joins a test site and whose log the tests read.
 
 use bluebellreel_site::Site;
 use nix::sys::signal::{Signal, kill};
@@ -11,23 +11,23 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Longest wait for anything that must happen; generous, as machines are busy.
-pub const LONGEST: Duration = Duration::from_mins(1);
-/// Between two looks.
-const POLL: Duration = Duration::from_millis(5);
+/// Maximum wait for an expected condition; long, because test machines may be loaded.
+pub const MAX_WAIT: Duration = Duration::from_mins(1);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Waits until it holds.
-pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + LONGEST;
-    while !holds() {
-        assert!(Instant::now() < until, "waited in vain: {what}");
-        thread::sleep(POLL);
+/// Polls until `condition` holds.
+pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
+    let until = Instant::now() + MAX_WAIT;
+    while !condition() {
+        assert!(Instant::now() < until, "timed out waiting for: {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// A process of its own.
+/// An entry daemon that runs as a separate process.
 pub struct Daemon {
-    /// Where it listens.
+    /// The address at which the daemon listens.
     pub address: SocketAddr,
     child: Child,
     log: PathBuf,
@@ -35,7 +35,7 @@
 }
 
 impl Daemon {
-    /// Starts a daemon of the site and waits until it listens.
+    /// Starts an entry daemon of the site and waits until it listens.
     pub fn start(site: &Site, index: usize) -> Self {
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let settings = site
@@ -59,47 +59,49 @@
             _folder: folder,
         };
         daemon.wait_for_line("Entry daemon started.");
-        daemon.address = daemon.told_address();
+        daemon.address = daemon.logged_address();
         daemon
     }
 
-    fn told_address(&self) -> SocketAddr {
+    fn logged_address(&self) -> SocketAddr {
         let log = self.log();
-        let (_, rest) = log.split_once("address=").expect("it tells its address");
+        let (_, rest) = log
+            .split_once("address=")
+            .expect("the daemon logs its address");
         let address = rest.split_whitespace().next().expect("an address");
         address.parse().expect("an address")
     }
 
-    /// What it has logged so far.
+    /// The daemon's log so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Waits until it has logged this.
+    /// Waits until the log contains `text`.
     pub fn wait_for_line(&self, text: &str) {
         wait_for(text, || self.log().contains(text));
     }
 
-    /// Waits until the balancer would send people here.
+    /// Waits until `/readyz` succeeds, so that a load balancer would route requests here.
     pub fn wait_until_ready(&self) {
         let url = format!("http://{}/readyz", self.address);
         wait_for("ready", || ureq::get(&url).call().is_ok());
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let id = i32::try_from(self.child.id()).expect("an id");
         kill(Pid::from_raw(id), signal).expect("it is there");
     }
 
-    /// Whether it has ended.
-    pub fn has_ended(&mut self) -> bool {
+    /// Whether the process has exited.
+    pub fn has_exited(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_some()
     }
 
-    /// Waits for its end.
-    pub fn end(&mut self) -> ExitStatus {
-        wait_for("the end", || self.has_ended());
+    /// Waits for the process to exit.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        wait_for("the exit", || self.has_exited());
         self.child.wait().expect("a child")
     }
 }
--- a/tests/stops/main.rs
+++ b/tests/stops/main.rs
@@ -1,13 +1,15 @@
-//! Stops of real daemons, seen by callers that go on until the process is gone.
+//! Stops of entry daemon processes while callers keep sending requests until the process
+//! has exited.
 
+mod connection;
 mod daemon;
 mod entry;
 mod signals;
-mod wire;
 
 use bluebellreel_site::{Site, SitePlan};
 
-/// A site whose first daemon runs within the test; others are processes.
+/// Starts a site whose first daemon runs within the test. The tests start further ones as
+/// processes.
 fn site() -> Site {
     let plan = SitePlan {
         entries: 1,
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams through one entry daemon.
+//! Streamed answers through one entry daemon.
 
 use bluebellreel_site::{Site, SitePlan};
 use bluebellreel_standins::{EngineCosts, EngineFaults, expected_answer};
@@ -14,11 +14,10 @@
     }
 }
 
-/// Two hundred counters ask at once, through one daemon. Each must get the
-/// whole answer to its own question, whatever the order in which the tokens of
-/// all of them come in.
+/// Two hundred callers stream answers through one daemon at once. Each must get the
+/// complete answer to its own prompt, in whatever order the tokens of all streams arrive.
 #[test]
-fn every_caller_gets_its_own_whole_answer() {
+fn each_caller_gets_its_own_complete_answer() {
     let plan = SitePlan {
         entries: 1,
         costs: fast(),
@@ -39,10 +38,10 @@
     });
 }
 
-/// An engine's streams break in the middle of every answer. The caller sees one
-/// whole answer: it goes on elsewhere from the text that was delivered.
+/// One engine's streams break in the middle of every answer. The daemon resumes the stream
+/// at another engine after the delivered text, so that the caller gets a complete answer.
 #[test]
-fn broken_stream_goes_on_from_the_delivered_text() {
+fn broken_stream_resumes_after_the_delivered_text() {
     let plan = SitePlan {
         entries: 1,
         workers: 2,
