--- a/crates/bluebellreel_standins/src/bin/bluebellreel-standin.rs
+++ b/crates/bluebellreel_standins/src/bin/bluebellreel-standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as programs.
+//! Runs one stand-in, chosen by its subcommand.
 
 use bluebellreel_standins::program;
 
--- a/crates/bluebellreel_standins/src/engine.rs
+++ b/crates/bluebellreel_standins/src/engine.rs
@@ -20,12 +20,12 @@
 use streams::{StreamEvent, send_stream};
 use wire::{Cancel, Completion, Load, Order};
 
-/// Words of a prompt that make up its cached prefix.
+/// Number of leading words of a prompt that form its cached prefix.
 const PREFIX_WORDS: usize = 8;
-/// A prompt with this word is work that can never be done.
-const IMPOSSIBLE: &str = "impossible";
-/// A prompt with this word takes the engine's streams down with it.
-const POISON: &str = "poison";
+/// A prompt that contains this word is always refused with 422.
+const UNANSWERABLE_WORD: &str = "impossible";
+/// A prompt that contains this word breaks all streams of the engine.
+const BREAK_STREAMS_WORD: &str = "poison";
 
 struct State {
     model: EngineModel,
@@ -38,18 +38,18 @@
     admitted: u64,
 }
 
-/// A running engine's shared state.
+/// State shared by the threads of a running engine.
 pub struct Engine {
     settings: EngineSettings,
     state: Mutex<State>,
     wake: Condvar,
 }
 
-/// Starts an engine stand-in.
+/// Starts a model engine stand-in.
 ///
 /// # Errors
 ///
-/// Gives the operating system's error when the address cannot be bound.
+/// Returns the operating system's error if the address cannot be bound.
 pub fn start_engine(address: SocketAddr, settings: EngineSettings) -> io::Result<StandIn> {
     let state = State {
         model: EngineModel::new(settings.costs),
@@ -83,7 +83,7 @@
                 while state.model.is_idle() || state.faults.frozen {
                     state = self.wake.wait(state).expect("engine lock");
                 }
-                let span = state.model.step_costed();
+                let span = state.model.begin_step();
                 scaled(span, state.faults.slow_percent)
             };
             thread::sleep(span);
@@ -112,13 +112,13 @@
                 tx.send(StreamEvent::Finished).ok();
             }
         }
-        state.note_load(self.settings.load_lag);
+        state.record_load(self.settings.load_lag);
     }
 
     fn handle(&self, mut req: Request) {
         let path = req.url().to_owned();
         if self.is_frozen() && path != "/stand-in/faults" {
-            // Answers nothing while frozen, as a hung process would.
+            // Sends no answer while frozen, like a hung process.
             thread::sleep(Duration::from_secs(30));
             return;
         }
@@ -137,7 +137,7 @@
             },
             "/v1/models" => self.list_models(req),
             "/v1/load" => {
-                let load = self.state.lock().expect("engine lock").lagging_load();
+                let load = self.state.lock().expect("engine lock").delayed_load();
                 http::answer(req, 200, &load);
             }
             "/stand-in/faults" => match http::read_json::<EngineFaults>(&mut req) {
@@ -171,7 +171,7 @@
             .map(|m| m.content.as_str())
             .collect::<Vec<_>>()
             .join("\n");
-        if prompt.contains(IMPOSSIBLE) {
+        if prompt.contains(UNANSWERABLE_WORD) {
             http::refuse(req, 422, "this prompt can never be answered");
             return;
         }
@@ -183,7 +183,7 @@
             http::refuse(req, 404, "no such model");
             return;
         }
-        if prompt.contains(POISON) {
+        if prompt.contains(BREAK_STREAMS_WORD) {
             self.break_all_streams();
             return;
         }
@@ -263,7 +263,7 @@
         );
     }
 
-    /// Takes an order; a load is answered once the weights are there.
+    /// Executes an order. A load is answered after the weights have been read.
     fn order(&self, req: Request, order: Order) {
         let (outdated, fails) = {
             let mut state = self.state.lock().expect("engine lock");
@@ -307,7 +307,7 @@
 }
 
 impl State {
-    fn note_load(&mut self, lag: Duration) {
+    fn record_load(&mut self, lag: Duration) {
         let (cache_hits, cache_misses) = self.model.cache_counts();
         let load = Load {
             running: self.model.running(),
@@ -324,7 +324,7 @@
         self.loads.drain(..keep_from);
     }
 
-    fn lagging_load(&self) -> Load {
+    fn delayed_load(&self) -> Load {
         self.loads
             .first()
             .map(|(_, load)| load.clone())
--- a/crates/bluebellreel_standins/src/engine/streams.rs
+++ b/crates/bluebellreel_standins/src/engine/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of an engine stand-in.
+//! Streamed answers of the engine stand-in, as server-sent events.
 
 use crate::words::word;
 use bluebellreel_http::ChunkedStream;
--- a/crates/bluebellreel_standins/src/engine/wire.rs
+++ b/crates/bluebellreel_standins/src/engine/wire.rs
@@ -1,21 +1,21 @@
-//! What an engine stand-in is set up with, asked and told.
+//! Settings, faults and wire messages of the engine stand-in.
 
 use crate::engine_model::EngineCosts;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// How an engine stand-in is set up.
+/// Settings of an engine stand-in.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// What its steps cost.
+    /// Cost model of its steps.
     pub costs: EngineCosts,
-    /// Models it holds at the start.
+    /// Models that are loaded at the start.
     pub models: Vec<String>,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether orders with a stale fencing number are refused.
     pub fences: bool,
-    /// Lag of its load report.
+    /// Delay of its load report.
     pub load_lag: Duration,
-    /// The weight store that it loads models from, if any.
+    /// URL of the weight store from which models are loaded, if any.
     pub weight_store: Option<String>,
 }
 
@@ -31,17 +31,17 @@
     }
 }
 
-/// Faults that can be switched on.
+/// Faults that the stand-in simulates.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// Steps take this many times as long, in percent; zero for normal.
+    /// Duration of steps in percent of the normal one; 0 for normal.
     pub slow_percent: u32,
-    /// Every stream breaks after this many tokens; zero for never.
+    /// Number of tokens after which every stream breaks; 0 for never.
     pub break_after: u32,
-    /// The engine answers nothing and generates nothing.
+    /// The engine neither answers nor generates tokens.
     pub frozen: bool,
-    /// Loads of models fail.
+    /// Orders to load a model fail.
     pub fail_loads: bool,
 }
 
@@ -71,7 +71,7 @@
     pub(super) request_id: String,
 }
 
-/// An order to the engine.
+/// An order to load or unload a model.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(super) struct Order {
     pub(super) kind: String,
--- a/crates/bluebellreel_standins/src/engine_model.rs
+++ b/crates/bluebellreel_standins/src/engine_model.rs
@@ -1,24 +1,24 @@
-//! A model of a continuously batching engine, stepped by its caller's clock.
+//! A model of an engine with continuous batching, independent of the real clock.
 //!
-//! Every step gives one token to each running sequence and takes longer the
-//! more of them there are and the more prompt tokens were read in it. It knows
-//! no priorities and admits requests in their order of arrival.
+//! Every step generates one token for each running sequence. Its duration grows with the
+//! number of running sequences and of prompt tokens read in it. The engine has no
+//! priorities and admits requests in order of arrival.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// What an engine's step costs.
+/// Cost model of an engine's step.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineCosts {
-    /// An empty step.
+    /// Duration of an empty step.
     pub base: Duration,
-    /// Added for each running sequence.
+    /// Additional duration for each running sequence.
     pub per_sequence: Duration,
-    /// Added for each prompt token that is not in the prefix cache.
+    /// Additional duration for each prompt token that is not in the prefix cache.
     pub per_prompt_token: Duration,
-    /// Most sequences in one step.
-    pub most_sequences: usize,
-    /// Prompts whose prefix the cache holds.
+    /// Maximum number of sequences in one step.
+    pub max_sequences: usize,
+    /// Number of prefixes that the prefix cache holds.
     pub cache_prefixes: usize,
 }
 
@@ -28,39 +28,39 @@
             base: Duration::from_millis(4),
             per_sequence: Duration::from_micros(20),
             per_prompt_token: Duration::from_micros(10),
-            most_sequences: 64,
+            max_sequences: 64,
             cache_prefixes: 64,
         }
     }
 }
 
-/// One request at the engine.
+/// A request that waits or runs at the engine.
 #[derive(Clone, Debug)]
 pub struct Sequence {
-    /// The sender's id for it.
+    /// Id given by the sender.
     pub id: String,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
-    /// Prompt tokens, those of delivered text included.
+    /// Number of prompt tokens, including those of text delivered before a resume.
     pub prompt_tokens: u32,
-    /// Tokens generated so far, over all engines.
+    /// Number of tokens generated so far by all engines.
     pub generated: u32,
-    /// Tokens to generate in all.
+    /// Total number of tokens to generate.
     pub tokens: u32,
 }
 
-/// What one step did.
+/// Result of one step.
 #[derive(Clone, Debug, Default)]
 pub struct Step {
-    /// How long it takes.
+    /// Duration of the step.
     pub span: Duration,
-    /// Ids with the index of the token that each got.
+    /// Ids of the sequences, each with the index of its generated token.
     pub tokens: Vec<(String, u32)>,
-    /// Ids that are complete after it.
+    /// Ids of the sequences that are complete after the step.
     pub finished: Vec<String>,
 }
 
-/// The engine's state.
+/// Queue, running sequences and prefix cache of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     costs: EngineCosts,
@@ -72,7 +72,7 @@
 }
 
 impl EngineModel {
-    /// An idle engine.
+    /// Creates an idle engine.
     #[must_use]
     pub fn new(costs: EngineCosts) -> Self {
         Self {
@@ -85,12 +85,12 @@
         }
     }
 
-    /// Queues a request, first come first served.
+    /// Appends a request to the queue.
     pub fn admit(&mut self, sequence: Sequence) {
         self.waiting.push_back(sequence);
     }
 
-    /// Drops a request; whether it was there.
+    /// Removes a request. Returns whether it was waiting or running.
     pub fn cancel(&mut self, id: &str) -> bool {
         let before = self.waiting.len() + self.running.len();
         self.waiting.retain(|s| s.id != id);
@@ -98,25 +98,25 @@
         before != self.waiting.len() + self.running.len()
     }
 
-    /// Whether there is nothing to do.
+    /// Whether no request is waiting or running.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.running.is_empty()
     }
 
-    /// Sequences running.
+    /// Number of running sequences.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests waiting.
+    /// Number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Prefix cache hits and misses so far.
+    /// Numbers of prefix cache hits and misses so far.
     #[must_use]
     pub fn cache_counts(&self) -> (u64, u64) {
         let count = |hit| self.hits.get(&hit).copied().unwrap_or(0);
@@ -126,18 +126,18 @@
     /// Runs one step.
     pub fn step(&mut self) -> Step {
         let mut span = self.costs.base;
-        while self.running.len() < self.costs.most_sequences {
+        while self.running.len() < self.costs.max_sequences {
             let Some(sequence) = self.waiting.pop_front() else {
                 break;
             };
             let cached = self.touch_prefix(sequence.prefix);
             *self.hits.entry(cached).or_default() += 1;
-            let read = if cached {
+            let tokens_to_read = if cached {
                 sequence.generated
             } else {
                 sequence.prompt_tokens
             };
-            span += self.costs.per_prompt_token * read;
+            span += self.costs.per_prompt_token * tokens_to_read;
             self.running.push(sequence);
         }
         let running = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
@@ -157,21 +157,22 @@
         step
     }
 
-    /// Works out the next step and says how long it takes; its results are
-    /// handed out by [`Self::take_step`] once that time has passed.
-    pub fn step_costed(&mut self) -> Duration {
+    /// Computes the next step and returns its duration. The caller gets the results from
+    /// [`Self::take_step`] after that time has passed.
+    pub fn begin_step(&mut self) -> Duration {
         let step = self.step();
         let span = step.span;
         self.pending = step;
         span
     }
 
-    /// The results of the step begun last.
+    /// Returns the results of the step computed last.
     pub fn take_step(&mut self) -> Step {
         std::mem::take(&mut self.pending)
     }
 
-    /// Moves a prefix to the fresh end of the cache; whether it was there.
+    /// Marks a prefix as most recently used and evicts the least recently used ones beyond
+    /// the limit. Returns whether the prefix was cached.
     fn touch_prefix(&mut self, prefix: u64) -> bool {
         let before = self.cache.len();
         self.cache.retain(|known| *known != prefix);
--- a/crates/bluebellreel_standins/src/http.rs
+++ b/crates/bluebellreel_standins/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP plumbing shared by the stand-ins.
+//! HTTP helpers shared by the stand-ins.
 
 use bluebellreel_http::{ChunkedStream, HttpServer, Reply, Request, respond};
 use serde::Serialize;
@@ -6,21 +6,21 @@
 use std::io::{self, Read};
 use std::net::SocketAddr;
 
-/// Most bytes that a stand-in reads of one body.
-const MOST_BODY: u64 = 16 << 20;
+/// Maximum number of bytes that a stand-in reads of a request body.
+const MAX_BODY_BYTES: u64 = 16 << 20;
 
-/// Requests that a stand-in serves at one time.
-const THREADS: usize = 4_096;
+/// Maximum number of requests that a stand-in serves concurrently.
+const MAX_REQUESTS: usize = 4_096;
 
-/// A stand-in that is running. Dropping it stops it.
+/// A running stand-in. Dropping the value stops it.
 pub struct StandIn {
-    /// Where it listens.
+    /// The address at which the stand-in listens.
     pub address: SocketAddr,
     server: HttpServer,
 }
 
 impl StandIn {
-    /// Its address as a URL.
+    /// The base URL of the stand-in.
     #[must_use]
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
@@ -33,32 +33,32 @@
     }
 }
 
-/// Serves `handle` at an address, one thread for each request in progress.
+/// Serves requests with `handle`, using one thread for each request in progress.
 pub(crate) fn serve(
     address: SocketAddr,
     handle: impl Fn(Request) + Send + Sync + 'static,
 ) -> io::Result<StandIn> {
-    let server = bluebellreel_http::serve(address, THREADS, handle)?;
+    let server = bluebellreel_http::serve(address, MAX_REQUESTS, handle)?;
     let address = server.address;
     Ok(StandIn { address, server })
 }
 
-/// Reads a body as JSON.
+/// Reads a request body as JSON.
 pub(crate) fn read_json<T: DeserializeOwned>(req: &mut Request) -> Result<T, String> {
     let mut body = Vec::new();
     req.as_reader()
-        .take(MOST_BODY)
+        .take(MAX_BODY_BYTES)
         .read_to_end(&mut body)
         .map_err(|e| e.to_string())?;
     serde_json::from_slice(&body).map_err(|e| e.to_string())
 }
 
-/// Answers with JSON.
+/// Sends an answer with a JSON body.
 pub(crate) fn answer(req: Request, status: u16, value: &impl Serialize) {
     respond(req, &Reply::json(status, value));
 }
 
-/// Answers with an error message.
+/// Sends an answer with an error message.
 pub(crate) fn refuse(req: Request, status: u16, message: &str) {
     answer(
         req,
@@ -67,8 +67,9 @@
     );
 }
 
-/// Answers with the beginning of an answer that breaks off at once.
-pub(crate) fn lose(req: Request) {
+/// Sends the head of an answer and then closes the connection, so that the caller gets a
+/// truncated answer.
+pub(crate) fn abort_answer(req: Request) {
     if let Ok(answer) = ChunkedStream::open(req, "application/json") {
         answer.abandon();
     }
--- a/crates/bluebellreel_standins/src/kv.rs
+++ b/crates/bluebellreel_standins/src/kv.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's key-value service: etcd v3's JSON gateway.
+//! Stand-in for the platform's key-value service. It implements etcd v3's JSON gateway.
 
 use crate::http::{self, StandIn};
 use crate::kv_calls::{KvCalls, bytes, header, key_value, list, number};
@@ -16,19 +16,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often leases are looked through.
-const LEASE_TICK: Duration = Duration::from_millis(100);
-/// Longest sleep of a watch between two looks.
-const WATCH_TICK: Duration = Duration::from_millis(500);
+/// Interval at which leases are checked for expiry.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum wait of a watch for changes. After it the watch sends a progress notice.
+const MAX_WATCH_WAIT: Duration = Duration::from_millis(500);
 
-/// The service's limits.
+/// Rate and size limits of the service.
 #[derive(Clone, Copy, Debug)]
 pub struct KvLimits {
-    /// Writes a second.
+    /// Maximum writes per second.
     pub writes: u32,
-    /// Reads a second.
+    /// Maximum reads per second.
     pub reads: u32,
-    /// Bytes of a value.
+    /// Maximum size of a value in bytes.
     pub value_bytes: usize,
 }
 
@@ -42,15 +42,15 @@
     }
 }
 
-/// Faults that can be switched on.
+/// Faults that the stand-in simulates.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct KvFaults {
-    /// Nothing is answered or done; leases go on lapsing.
+    /// The service answers 503 to all calls and ends its watches. Leases still expire.
     pub down: bool,
-    /// Every call takes this much longer, in milliseconds.
+    /// Additional latency of every call, in milliseconds.
     pub slow_ms: u64,
-    /// So many of the next writes take effect, but their answers are lost.
+    /// Number of next writes that take effect but whose answers are lost.
     pub lose_answers: u32,
 }
 
@@ -63,31 +63,31 @@
     by_path: BTreeMap<String, u64>,
 }
 
-struct Bucket {
-    left: f64,
+struct TokenBucket {
+    tokens: f64,
     rate: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn new(rate: u32) -> Self {
         let rate = f64::from(rate);
         Self {
-            left: rate,
+            tokens: rate,
             rate,
-            at: Instant::now(),
+            refilled_at: Instant::now(),
         }
     }
 
     fn take(&mut self) -> bool {
         let now = Instant::now();
-        self.left += (now - self.at).as_secs_f64() * self.rate;
-        self.left = self.left.min(self.rate);
-        self.at = now;
-        if self.left < 1.0 {
+        self.tokens += (now - self.refilled_at).as_secs_f64() * self.rate;
+        self.tokens = self.tokens.min(self.rate);
+        self.refilled_at = now;
+        if self.tokens < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
@@ -97,8 +97,8 @@
     clock: Clock,
     faults: KvFaults,
     counts: Counts,
-    writes: Bucket,
-    reads: Bucket,
+    writes: TokenBucket,
+    reads: TokenBucket,
 }
 
 struct Kv {
@@ -106,15 +106,15 @@
     changed: Condvar,
 }
 
-/// Starts a key-value stand-in.
+/// Starts a key-value service stand-in.
 ///
 /// # Errors
 ///
-/// Gives the operating system's error when the address cannot be bound.
+/// Returns the operating system's error if the address cannot be bound.
 ///
 /// # Panics
 ///
-/// A thread that panicked while it held the state ends the stand-in.
+/// Panics in the stand-in's threads if another thread panicked while it held the lock.
 pub fn start_kv(address: SocketAddr, limits: KvLimits) -> io::Result<StandIn> {
     let kv = Arc::new(Kv {
         state: Mutex::new(State {
@@ -122,8 +122,8 @@
             clock: Clock::start(),
             faults: KvFaults::default(),
             counts: Counts::default(),
-            writes: Bucket::new(limits.writes),
-            reads: Bucket::new(limits.reads),
+            writes: TokenBucket::new(limits.writes),
+            reads: TokenBucket::new(limits.reads),
         }),
         changed: Condvar::new(),
     });
@@ -137,7 +137,7 @@
             }
             drop(state);
             drop(kv);
-            thread::sleep(LEASE_TICK);
+            thread::sleep(LEASE_CHECK_INTERVAL);
         }
     });
     http::serve(address, move |req| kv.handle(req))
@@ -213,8 +213,8 @@
             self.changed.notify_all();
         }
         if lost {
-            // The effect stays; the answer does not come through.
-            http::lose(req);
+            // The write stays in effect, but the caller gets a truncated answer.
+            http::abort_answer(req);
             return;
         }
         match result {
@@ -249,12 +249,12 @@
             }
             let changes = state.calls.store.changes(&key, &end, next);
             next = state.calls.store.revision + 1;
-            let at = header(&state.calls.store);
+            let header = header(&state.calls.store);
             drop(state);
             let events: Vec<Value> = changes.iter().map(event).collect();
-            // An empty message is etcd's progress notice; it shows here
-            // whether the watcher is still there.
-            let message = json!({ "result": { "header": at, "events": events } });
+            // A message without events is etcd's progress notice. Sending one detects that
+            // the watcher has closed its connection.
+            let message = json!({ "result": { "header": header, "events": events } });
             if stream.send(format!("{message}\n").as_bytes()).is_err() {
                 return;
             }
@@ -262,7 +262,7 @@
             if state.calls.store.revision < next {
                 state = self
                     .changed
-                    .wait_timeout(state, WATCH_TICK)
+                    .wait_timeout(state, MAX_WATCH_WAIT)
                     .expect("kv lock")
                     .0;
             }
--- a/crates/bluebellreel_standins/src/kv_calls.rs
+++ b/crates/bluebellreel_standins/src/kv_calls.rs
@@ -1,4 +1,4 @@
-//! The key-value stand-in's calls, apart from HTTP and clocks.
+//! Calls of the key-value stand-in, independent of HTTP and clocks.
 
 use crate::kv_store::{KvStore, Stored};
 use base64::Engine as _;
@@ -7,14 +7,14 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// A key-value service without limits of rate: calls in, answers out.
+/// A key-value service without HTTP and rate limits, which maps calls to answers.
 pub struct KvCalls {
     pub(crate) store: KvStore,
     value_bytes: usize,
 }
 
 impl KvCalls {
-    /// An empty service that takes values of so many bytes.
+    /// Creates an empty service that accepts values of at most `value_bytes` bytes.
     #[must_use]
     pub fn new(value_bytes: usize) -> Self {
         Self {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Ends leases whose time is up; whether any key went.
+    /// Ends expired leases. Returns whether any key was deleted.
     pub fn expire(&mut self, now: Moment) -> bool {
         self.store.expire(now)
     }
@@ -34,11 +34,12 @@
         self.store.revision
     }
 
-    /// Runs a call.
+    /// Executes a call of the JSON gateway.
     ///
     /// # Errors
     ///
-    /// Gives the reason of a call that is malformed or too large.
+    /// Returns the reason if the call is malformed, unknown or too large, or names an unknown
+    /// lease.
     pub fn call(&mut self, path: &str, body: &Value, now: Moment) -> Result<Value, String> {
         match path {
             "/v3/kv/range" => range(&self.store, body),
@@ -183,7 +184,7 @@
     body[field].as_array().into_iter().flatten()
 }
 
-/// A proto3 JSON integer: a string or a number, zero when left out.
+/// Reads a proto3 JSON integer: a string or a number, 0 if it is absent.
 pub(crate) fn number(body: &Value, field: &str) -> i64 {
     let value = &body[field];
     value
--- a/crates/bluebellreel_standins/src/kv_store.rs
+++ b/crates/bluebellreel_standins/src/kv_store.rs
@@ -1,13 +1,14 @@
-//! The key-value stand-in's state: keys, revisions, leases and events.
+//! State of the key-value stand-in: keys, revisions, leases and events.
 
 use bluebellreel_types::Moment;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Events kept for watches that resume.
-const EVENTS_KEPT: usize = 100_000;
+/// Maximum number of events retained for watches that resume. The older half is dropped
+/// when it is exceeded.
+const MAX_EVENTS: usize = 100_000;
 
-/// One key's present value.
+/// Current value of a key, with its revisions and lease.
 #[derive(Clone, Debug)]
 pub(crate) struct Stored {
     pub(crate) value: Vec<u8>,
@@ -17,7 +18,7 @@
     pub(crate) lease: i64,
 }
 
-/// One change. `value` is none for a delete.
+/// A change of a key. `stored` is `None` for a delete.
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
     pub(crate) revision: i64,
@@ -27,10 +28,10 @@
 
 struct Lease {
     ttl: Duration,
-    ends: Moment,
+    expires_at: Moment,
 }
 
-/// Keys, leases and the latest changes.
+/// Keys, leases and the most recent changes.
 #[derive(Default)]
 pub(crate) struct KvStore {
     pub(crate) revision: i64,
@@ -45,7 +46,7 @@
         self.keys.get(key)
     }
 
-    /// Bytes of values by the first part of their keys.
+    /// Total size of values in bytes, by the first segment of the key.
     pub(crate) fn space(&self) -> BTreeMap<String, u64> {
         let mut space = BTreeMap::new();
         for (key, stored) in &self.keys {
@@ -56,7 +57,8 @@
         space
     }
 
-    /// Keys from `key` up to `end`; an empty end means the one key.
+    /// Keys from `key` to `end`, exclusive. An empty `end` selects `key` alone, `[0]` all
+    /// keys from `key` on.
     pub(crate) fn range(&self, key: &[u8], end: &[u8]) -> Vec<(&Vec<u8>, &Stored)> {
         if end.is_empty() {
             return self.keys.get_key_value(key).into_iter().collect();
@@ -77,35 +79,35 @@
             lease,
         };
         self.keys.insert(key.to_vec(), stored.clone());
-        self.note(key, Some(stored), revision);
+        self.record_change(key, Some(stored), revision);
     }
 
     pub(crate) fn delete(&mut self, key: &[u8], end: &[u8], revision: i64) -> usize {
-        let doomed: Vec<Vec<u8>> = self
+        let deleted: Vec<Vec<u8>> = self
             .range(key, end)
             .into_iter()
             .map(|(k, _)| k.clone())
             .collect();
-        for key in &doomed {
+        for key in &deleted {
             self.keys.remove(key);
-            self.note(key, None, revision);
+            self.record_change(key, None, revision);
         }
-        doomed.len()
+        deleted.len()
     }
 
-    fn note(&mut self, key: &[u8], stored: Option<Stored>, revision: i64) {
+    fn record_change(&mut self, key: &[u8], stored: Option<Stored>, revision: i64) {
         self.revision = revision;
         self.changes.push(Change {
             revision,
             key: key.to_vec(),
             stored,
         });
-        if self.changes.len() > EVENTS_KEPT {
-            self.changes.drain(..EVENTS_KEPT / 2);
+        if self.changes.len() > MAX_EVENTS {
+            self.changes.drain(..MAX_EVENTS / 2);
         }
     }
 
-    /// Changes of a range from a revision on.
+    /// Changes of the keys in a range, starting at revision `from`.
     pub(crate) fn changes(&self, key: &[u8], end: &[u8], from: i64) -> Vec<Change> {
         let first = self.changes.partition_point(|c| c.revision < from);
         self.changes[first..]
@@ -117,15 +119,16 @@
 
     pub(crate) fn grant(&mut self, ttl: Duration, now: Moment) -> i64 {
         self.next_lease += 1;
-        let ends = now + ttl;
-        self.leases.insert(self.next_lease, Lease { ttl, ends });
+        let expires_at = now + ttl;
+        self.leases
+            .insert(self.next_lease, Lease { ttl, expires_at });
         self.next_lease
     }
 
-    /// Renews a lease; its time to live, none if it has lapsed.
+    /// Renews a lease and returns its time to live, or `None` if it has expired.
     pub(crate) fn keep_alive(&mut self, id: i64, now: Moment) -> Option<Duration> {
         let lease = self.leases.get_mut(&id)?;
-        lease.ends = now + lease.ttl;
+        lease.expires_at = now + lease.ttl;
         Some(lease.ttl)
     }
 
@@ -135,27 +138,27 @@
 
     pub(crate) fn revoke(&mut self, id: i64) {
         self.leases.remove(&id);
-        let doomed: Vec<Vec<u8>> = self
+        let deleted: Vec<Vec<u8>> = self
             .keys
             .iter()
             .filter(|(_, s)| s.lease == id)
             .map(|(k, _)| k.clone())
             .collect();
-        if doomed.is_empty() {
+        if deleted.is_empty() {
             return;
         }
         let revision = self.revision + 1;
-        for key in doomed {
+        for key in deleted {
             self.delete(&key, &[], revision);
         }
     }
 
-    /// Ends leases whose time is up; whether any key went.
+    /// Ends expired leases. Returns whether any key was deleted.
     pub(crate) fn expire(&mut self, now: Moment) -> bool {
         let lapsed: Vec<i64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.ends.is_past(now))
+            .filter(|(_, lease)| lease.expires_at.is_past(now))
             .map(|(id, _)| *id)
             .collect();
         let before = self.revision;
--- a/crates/bluebellreel_standins/src/lib.rs
+++ b/crates/bluebellreel_standins/src/lib.rs
@@ -1,10 +1,9 @@
-//! Small stand-ins for the systems outside bluebellreel; never shipped.
+//! Small stand-ins for the external systems that bluebellreel uses; never shipped.
 //!
-//! Each one speaks the published protocol of the system that it stands for,
-//! on a loopback address, and can be told to misbehave by a `POST` of its
-//! faults as JSON to `/stand-in/faults`. Engines generate words that follow
-//! from the prompt alone ([`expected_answer`]), so that a test can tell a whole
-//! answer from a mixed one.
+//! Each stand-in implements the published protocol of the system that it replaces on a
+//! loopback address. A `POST` of faults as JSON to `/stand-in/faults` makes it simulate
+//! them. Engines generate words that depend on the prompt alone ([`expected_answer`]), so
+//! that a test can detect truncated and mixed-up answers.
 //!
 //! ```
 //! let answer = bluebellreel_standins::expected_answer("fiddle for a child of six", 3);
--- a/crates/bluebellreel_standins/src/plain_service.rs
+++ b/crates/bluebellreel_standins/src/plain_service.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service: bookings that must not be made twice.
+//! Stand-in for a plain service with bookings, which must not run twice.
 
 use crate::http::{self, StandIn};
 use bluebellreel_http::{Request, header};
@@ -11,13 +11,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// Faults that can be switched on.
+/// Faults that the stand-in simulates.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct ServiceFaults {
-    /// So many of the next calls run, but their answers are lost.
+    /// Number of next calls that run but whose answers are lost.
     pub lose_answers: u32,
-    /// Every call takes this long, in milliseconds.
+    /// Latency of every booking, in milliseconds.
     pub slow_ms: u64,
 }
 
@@ -27,12 +27,12 @@
     faults: ServiceFaults,
 }
 
-/// Starts a plain service. `POST /bookings` counts a run of its
-/// `Idempotency-Key`; `GET /stand-in/runs` gives the counts by key.
+/// Starts a plain service. `POST /bookings` counts a run of the request's
+/// `Idempotency-Key`, and `GET /stand-in/runs` returns the counts by key.
 ///
 /// # Errors
 ///
-/// Gives the operating system's error when the address cannot be bound.
+/// Returns the operating system's error if the address cannot be bound.
 pub fn start_plain_service(address: SocketAddr) -> io::Result<StandIn> {
     let state = Arc::new(Mutex::new(State::default()));
     http::serve(address, move |req| handle(&state, req))
@@ -69,7 +69,7 @@
     };
     thread::sleep(Duration::from_millis(slow));
     if lost {
-        http::lose(req);
+        http::abort_answer(req);
         return;
     }
     http::answer(req, 201, &json!({ "booked": key }));
--- a/crates/bluebellreel_standins/src/program.rs
+++ b/crates/bluebellreel_standins/src/program.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as programs, so that the whole path runs as processes.
+//! Runs a stand-in as a separate process.
 
 use crate::{
     EngineCosts, EngineSettings, KvLimits, StandIn, Vm, start_engine, start_kv,
@@ -8,13 +8,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A small stand-in for a system outside bluebellreel.
+/// Runs a stand-in for a system outside bluebellreel.
 #[derive(argh::FromArgs)]
 pub struct Arguments {
     /// address to listen at (IP:PORT)
     #[argh(option)]
     listen: SocketAddr,
-    /// seconds after which it ends by itself
+    /// seconds after which the process exits by itself
     #[argh(option, default = "3600")]
     seconds: u64,
     #[argh(subcommand)]
@@ -35,16 +35,16 @@
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "engine")]
 struct EngineArguments {
-    /// model held at the start; may be given more than once
+    /// model that is loaded at the start; may be given more than once
     #[argh(option)]
     model: Vec<String>,
-    /// microseconds of an empty step
+    /// duration of an empty step in microseconds
     #[argh(option, default = "4000")]
     step_micros: u64,
-    /// weight store's URL
+    /// URL of the weight store
     #[argh(option)]
     weight_store: Option<String>,
-    /// take orders with an old fencing number too
+    /// accept orders with a stale fencing number too
     #[argh(switch)]
     unfenced: bool,
 }
@@ -53,10 +53,10 @@
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "kv")]
 struct KvArguments {
-    /// writes a second
+    /// maximum writes per second
     #[argh(option, default = "400")]
     writes: u32,
-    /// reads a second
+    /// maximum reads per second
     #[argh(option, default = "2000")]
     reads: u32,
 }
@@ -65,10 +65,10 @@
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "weight-store")]
 struct WeightStoreArguments {
-    /// loads at one time
+    /// maximum concurrent loads
     #[argh(option, default = "2")]
     at_once: u32,
-    /// milliseconds of a load
+    /// duration of a load in milliseconds
     #[argh(option, default = "500")]
     load_ms: u64,
 }
@@ -80,7 +80,7 @@
     /// file with the list (JSON)
     #[argh(option)]
     file: String,
-    /// lag in milliseconds
+    /// delay in milliseconds until a change becomes visible
     #[argh(option, default = "1000")]
     lag_ms: u64,
 }
@@ -90,11 +90,11 @@
 #[argh(subcommand, name = "plain-service")]
 struct PlainServiceArguments {}
 
-/// Runs a stand-in until its time is up.
+/// Runs a stand-in for the requested time.
 ///
 /// # Errors
 ///
-/// Gives what could not be started.
+/// Returns the error of the start.
 pub fn run(arguments: &Arguments) -> eyre::Result<()> {
     let until = Instant::now() + Duration::from_secs(arguments.seconds);
     let stand_in = start(arguments)?;
--- a/crates/bluebellreel_standins/src/vm_list.rs
+++ b/crates/bluebellreel_standins/src/vm_list.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the platform's list of VMs: live and leaving, with a lag.
+//! Stand-in for the platform's list of live and leaving VMs, whose changes become visible
+//! after a delay.
 
 use crate::http::{self, StandIn};
 use bluebellreel_http::{Reply, Request, header, respond};
@@ -10,35 +11,36 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Whether a VM stays.
+/// State of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// It runs.
+    /// The VM runs and stays.
     Live,
-    /// It will be taken away.
+    /// The platform will remove the VM.
     Leaving,
 }
 
-/// One VM of the list.
+/// A VM in the list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Vm {
-    /// Its name; the worker's name where it holds a backend server.
+    /// Name of the VM; the worker's name if the VM runs a backend server.
     pub name: String,
-    /// Where its side process listens.
+    /// Address at which its side process listens.
     pub side: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub data_centre: String,
-    /// Whether it stays.
+    /// Whether the platform will remove the VM.
     pub state: VmState,
 }
 
-/// Gives the list, or says that the caller has it.
-fn answer_unless_known(req: Request, vms: &[Vm]) {
+/// Sends the list, or 304 if the caller's `If-None-Match` matches it.
+fn answer_unless_unchanged(req: Request, vms: &[Vm]) {
     let reply = Reply::json(200, &vms);
     let tag = content_digest(&reply.body);
-    let known = header(&req, "If-None-Match").is_some_and(|seen| seen.trim_matches('"') == tag);
-    if known {
+    let is_current =
+        header(&req, "If-None-Match").is_some_and(|etag| etag.trim_matches('"') == tag);
+    if is_current {
         respond(
             req,
             &Reply::bytes(304, "application/json", *b"").tagged(tag),
@@ -48,16 +50,16 @@
     }
 }
 
-/// Starts a VM list. `GET /vms` gives the list as it was `lag` ago; a `PUT` of
-/// a list replaces it.
+/// Starts a VM list. `GET /vms` returns the list as it was `lag` ago, and a `PUT` of a list
+/// replaces it.
 ///
 /// # Errors
 ///
-/// Gives the operating system's error when the address cannot be bound.
+/// Returns the operating system's error if the address cannot be bound.
 ///
 /// # Panics
 ///
-/// A thread that panicked while it held the state ends the stand-in.
+/// Panics in the stand-in's threads if another thread panicked while it held the lock.
 pub fn start_vm_list(address: SocketAddr, vms: Vec<Vm>, lag: Duration) -> io::Result<StandIn> {
     let versions = VecDeque::from([(Instant::now(), vms)]);
     let versions = Arc::new(Mutex::new(versions));
@@ -80,6 +82,6 @@
         }
         let vms = versions[0].1.clone();
         drop(versions);
-        answer_unless_known(req, &vms);
+        answer_unless_unchanged(req, &vms);
     })
 }
--- a/crates/bluebellreel_standins/src/weight_store.rs
+++ b/crates/bluebellreel_standins/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the weight store: rate-limited.
+//! Stand-in for the weight store, with a limit of concurrent loads.
 
 use crate::http::{self, StandIn};
 use serde_json::json;
@@ -8,31 +8,31 @@
 use std::thread;
 use std::time::Duration;
 
-/// Starts a weight store. Each load takes `load_time`; more than `at_once`
-/// loads at one time are refused.
+/// Starts a weight store. Each load takes `load_time`, and loads beyond `max_loads` concurrent
+/// ones are refused.
 ///
 /// # Errors
 ///
-/// Gives the operating system's error when the address cannot be bound.
+/// Returns the operating system's error if the address cannot be bound.
 ///
 /// # Panics
 ///
-/// A thread that panicked while it held the state ends the stand-in.
+/// Panics in the stand-in's threads if another thread panicked while it held the lock.
 pub fn start_weight_store(
     address: SocketAddr,
-    at_once: u32,
+    max_loads: u32,
     load_time: Duration,
 ) -> io::Result<StandIn> {
-    let loading = Arc::new(Mutex::new((0_u32, 0_u64)));
+    let counts = Arc::new(Mutex::new((0_u32, 0_u64)));
     http::serve(address, move |req| {
         if req.url() == "/stand-in/refused" {
-            let refused = loading.lock().expect("store lock").1;
+            let refused = counts.lock().expect("store lock").1;
             http::answer(req, 200, &refused);
             return;
         }
         {
-            let mut counts = loading.lock().expect("store lock");
-            if counts.0 >= at_once {
+            let mut counts = counts.lock().expect("store lock");
+            if counts.0 >= max_loads {
                 counts.1 += 1;
                 drop(counts);
                 http::refuse(req, 429, "too many loads");
@@ -41,7 +41,7 @@
             counts.0 += 1;
         }
         thread::sleep(load_time);
-        loading.lock().expect("store lock").0 -= 1;
+        counts.lock().expect("store lock").0 -= 1;
         http::answer(req, 200, &json!({ "loaded": true }));
     })
 }
