--- a/crates/bluebellreel_site/src/caller.rs
+++ b/crates/bluebellreel_site/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the site, over HTTP as any other.
+//! An HTTP client of a test site.
 
 use eyre::{Context, bail, ensure};
 use serde::Deserialize;
@@ -7,68 +7,68 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait for one answer.
-const TIMEOUT: Duration = Duration::from_mins(1);
-/// Between two looks at a job.
-const POLL: Duration = Duration::from_millis(50);
+/// Maximum time for one request and its answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_mins(1);
+/// Interval at which the state of a job is polled.
+const JOB_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Somebody with a token.
+/// A client of one daemon with a token.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// The daemon's URL.
+    /// URL of the daemon.
     pub url: String,
-    /// The token.
+    /// Bearer token of the team or operator.
     pub token: String,
-    /// The model asked.
+    /// Model that chat requests address.
     pub model: String,
     agent: ureq::Agent,
 }
 
-/// A job as its caller sees it.
+/// A job's state as returned by the batch API.
 #[derive(Clone, Debug, Deserialize)]
 pub struct JobView {
-    /// Its id.
+    /// Id of the job.
     pub id: String,
-    /// Where it stands.
+    /// Status such as `in_progress` or `completed`.
     pub status: String,
-    /// Its items by their end.
+    /// Numbers of items by result.
     pub request_counts: Counts,
 }
 
-/// Items by their end.
+/// Numbers of a job's items by result.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Counts {
-    /// All.
+    /// All items.
     pub total: u32,
-    /// Answered.
+    /// Items that succeeded.
     #[serde(default)]
     pub completed: u32,
-    /// Given up.
+    /// Items that failed permanently.
     #[serde(default)]
     pub failed: u32,
 }
 
-/// One line of results.
+/// One line of a job's results.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ItemLine {
-    /// The item.
+    /// Id that the caller gave to the item.
     pub custom_id: String,
-    /// How it ended.
+    /// Final status of the item.
     pub status: String,
-    /// Its answer.
+    /// Answer to the item, if it has one.
     pub response: Option<ItemAnswer>,
 }
 
-/// An item's answer.
+/// The answer to an item.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ItemAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status_code: u16,
-    /// The text.
+    /// Body of the answer.
     pub body: String,
 }
 
-/// A chat completion's body.
+/// Body of a chat completion request.
 #[must_use]
 pub fn chat_body(model: &str, prompt: &str, tokens: u32, stream: bool) -> Value {
     json!({
@@ -79,7 +79,7 @@
     })
 }
 
-/// One line of a batch job of chat completions.
+/// Input line of a batch job that requests a chat completion.
 #[must_use]
 pub fn chat_line(id: &str, model: &str, prompt: &str, tokens: u32) -> String {
     let body = chat_body(model, prompt, tokens, false);
@@ -87,7 +87,7 @@
     json!({ "custom_id": id, "method": "POST", "url": url, "body": body }).to_string()
 }
 
-/// One line of a batch job of service calls.
+/// Input line of a batch job that calls a service.
 #[must_use]
 pub fn service_line(id: &str, service: &str, path: &str) -> String {
     let url = format!("/services/{service}{path}");
@@ -95,11 +95,11 @@
 }
 
 impl Caller {
-    /// A caller of one daemon.
+    /// Creates a client of one daemon.
     #[must_use]
     pub fn new(url: String, token: &str, model: &str) -> Self {
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(TIMEOUT))
+            .timeout_global(Some(REQUEST_TIMEOUT))
             .http_status_as_error(false)
             .build();
         Self {
@@ -114,11 +114,11 @@
         format!("Bearer {}", self.token)
     }
 
-    /// Sends a request; its status and body.
+    /// Sends a request and returns the status and body of the answer.
     ///
     /// # Errors
     ///
-    /// Gives the connection's error.
+    /// Returns the connection's error.
     pub fn send(
         &self,
         method: &str,
@@ -143,11 +143,11 @@
         Ok((status, text))
     }
 
-    /// Asks for a whole chat answer.
+    /// Requests a chat completion without streaming.
     ///
     /// # Errors
     ///
-    /// Gives the error answer as text.
+    /// Returns the error answer as text.
     pub fn chat(&self, prompt: &str, tokens: u32) -> eyre::Result<String> {
         let body = chat_body(&self.model, prompt, tokens, false).to_string();
         let (status, text) = self.send("POST", "/v1/chat/completions", &[], body.as_bytes())?;
@@ -157,17 +157,17 @@
         Ok(content.unwrap_or_default().to_owned())
     }
 
-    /// Asks for a streamed chat answer and hands each piece to `on_piece`.
+    /// Requests a streamed chat completion and passes each text fragment to `on_fragment`.
     ///
     /// # Errors
     ///
-    /// Gives the error answer, or that the stream ended early.
+    /// Returns the error answer, or an error if the stream ended early.
     pub fn stream(
         &self,
         prompt: &str,
         tokens: u32,
         traceparent: Option<&str>,
-        mut on_piece: impl FnMut(&str),
+        mut on_fragment: impl FnMut(&str),
     ) -> eyre::Result<String> {
         let mut request = self
             .agent
@@ -191,19 +191,23 @@
                 return Ok(whole);
             }
             let event: Value = serde_json::from_str(data).wrap_err("bad event")?;
-            ensure!(event["error"].is_null(), "broke off: {}", event["error"]);
-            let piece = event["choices"][0]["delta"]["content"].as_str();
-            on_piece(piece.unwrap_or_default());
-            whole.push_str(piece.unwrap_or_default());
+            ensure!(
+                event["error"].is_null(),
+                "the stream ended with an error: {}",
+                event["error"]
+            );
+            let fragment = event["choices"][0]["delta"]["content"].as_str();
+            on_fragment(fragment.unwrap_or_default());
+            whole.push_str(fragment.unwrap_or_default());
         }
         bail!("the stream ended early after {} bytes", whole.len())
     }
 
-    /// Submits a job.
+    /// Submits a job with an idempotency key.
     ///
     /// # Errors
     ///
-    /// Gives the error answer as text.
+    /// Returns the error answer as text.
     pub fn submit(&self, key: &str, lines: &[String]) -> eyre::Result<JobView> {
         let body = lines.join("\n");
         let headers = [("Idempotency-Key", key)];
@@ -212,40 +216,43 @@
         Ok(serde_json::from_str(&text)?)
     }
 
-    /// Reads a job.
+    /// Reads a job's state.
     ///
     /// # Errors
     ///
-    /// Gives the error answer as text.
+    /// Returns the error answer as text.
     pub fn job(&self, id: &str) -> eyre::Result<JobView> {
         let (status, text) = self.send("GET", &format!("/v1/batches/{id}"), &[], b"")?;
         ensure!(status == 200, "{status}: {text}");
         Ok(serde_json::from_str(&text)?)
     }
 
-    /// Waits until a job is over.
+    /// Polls a job until it is no longer in progress.
     ///
     /// # Errors
     ///
-    /// Gives that it took too long.
-    pub fn wait(&self, id: &str, longest: Duration) -> eyre::Result<JobView> {
-        let until = Instant::now() + longest;
+    /// Returns an error if the job is still in progress after `timeout`.
+    pub fn wait(&self, id: &str, timeout: Duration) -> eyre::Result<JobView> {
+        let until = Instant::now() + timeout;
         loop {
             if let Ok(job) = self.job(id)
                 && job.status != "in_progress"
             {
                 return Ok(job);
             }
-            ensure!(Instant::now() < until, "the job is not over");
-            thread::sleep(POLL);
+            ensure!(
+                Instant::now() < until,
+                "job {id} is still in progress after {timeout:?}"
+            );
+            thread::sleep(JOB_POLL_INTERVAL);
         }
     }
 
-    /// Reads all results recorded so far.
+    /// Reads all results that are recorded so far.
     ///
     /// # Errors
     ///
-    /// Gives the error answer as text.
+    /// Returns the error answer as text.
     pub fn results(&self, id: &str) -> eyre::Result<Vec<ItemLine>> {
         let (status, text) = self.send("GET", &format!("/v1/batches/{id}/results"), &[], b"")?;
         ensure!(status == 200, "{status}: {text}");
--- a/crates/bluebellreel_site/src/lib.rs
+++ b/crates/bluebellreel_site/src/lib.rs
@@ -1,5 +1,6 @@
-//! A whole site within one process, on loopback: stand-ins, side processes
-//! and entry daemons. For the demo, the examples and the tests; never shipped.
+//! Complete test sites on loopback, either within one process ([`Site`]) or of several
+//! processes ([`ProcessSite`]): stand-ins, side processes and entry daemons. For the demo,
+//! the examples and the tests; never shipped.
 //!
 //! ```no_run
 //! use bluebellreel_site::{Site, SitePlan};
@@ -9,15 +10,15 @@
 //! assert!(!answer.is_empty());
 //! ```
 
-mod asking;
+mod answer_counts;
 mod caller;
-mod observed;
 mod plan;
 mod process;
 mod processes;
+mod queries;
 mod site;
 
-pub use asking::{AskCounts, wait_until};
+pub use answer_counts::{AnswerCounts, wait_until};
 pub use caller::{Caller, ItemLine, JobView, chat_body, chat_line, service_line};
 pub use plan::{Deployment, DiskPlan, SitePlan};
 pub use process::Process;
--- a/crates/bluebellreel_site/src/plan.rs
+++ b/crates/bluebellreel_site/src/plan.rs
@@ -1,20 +1,20 @@
-//! What a site is to look like.
+//! Configuration of a test site.
 
 use bluebellreel_standins::{EngineCosts, KvLimits};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// One of the two deployments of today.
+/// A deployment that a test site imitates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deployment {
-    /// The rental service: three data centres, twelve workers, throughput first.
+    /// The rental service: three data centres, twelve workers, optimised for throughput.
     Rental,
-    /// The booking desk: three data centres, nine workers, the tail first.
+    /// The booking desk: three data centres, nine workers, optimised for tail latency.
     BookingDesk,
 }
 
 impl Deployment {
-    /// Its data centres.
+    /// Names of its data centres.
     #[must_use]
     pub fn data_centres(self) -> [&'static str; 3] {
         match self {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Its model.
+    /// Name of the model that its engines serve.
     #[must_use]
     pub fn model(self) -> &'static str {
         match self {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Its workers.
+    /// Number of its workers.
     #[must_use]
     pub fn workers(self) -> usize {
         match self {
@@ -41,9 +41,9 @@
         }
     }
 
-    /// Which measure its settings lean to.
+    /// The side processes' optimisation objective: `throughput` or `tail`.
     #[must_use]
-    pub fn lean(self) -> &'static str {
+    pub fn objective(self) -> &'static str {
         match self {
             Self::Rental => "throughput",
             Self::BookingDesk => "tail",
@@ -51,46 +51,46 @@
     }
 }
 
-/// A site's plan.
+/// Configuration of a [`Site`](crate::Site).
 #[derive(Clone, Debug)]
 pub struct SitePlan {
-    /// The deployment.
+    /// The deployment that the site imitates.
     pub deployment: Deployment,
-    /// Entry daemons.
+    /// Number of entry daemons.
     pub entries: usize,
-    /// Workers with a model engine.
+    /// Number of workers with a model engine.
     pub workers: usize,
-    /// Backend servers of a plain service.
+    /// Number of backend servers of a plain service.
     pub services: usize,
-    /// Costs of an engine's step.
+    /// Cost model of an engine's step.
     pub costs: EngineCosts,
-    /// Attempts at an engine at one time.
+    /// Maximum concurrent attempts at an engine.
     pub window: u32,
     /// Limits of the key-value service.
     pub kv: KvLimits,
     /// Time to live of the daemons' leases, in seconds.
     pub lease_s: u64,
-    /// Lag of the VM list.
+    /// Delay after which a change of the VM list becomes visible.
     pub vm_lag: Duration,
-    /// A file for traces.
+    /// File to which traces are written.
     pub trace: Option<PathBuf>,
-    /// Further settings of every entry daemon, as TOML.
+    /// Additional settings of every entry daemon, as TOML.
     pub entry_settings: String,
-    /// Workers that each daemon is connected to before the site counts as up;
-    /// all of them if none.
+    /// Number of workers that each daemon must be connected to before
+    /// [`Site::start`](crate::Site::start) returns; all workers if `None`.
     pub connected: Option<usize>,
-    /// Disks for chunks of large jobs.
+    /// Disks that store chunks of large jobs.
     pub disks: DiskPlan,
 }
 
-/// Which daemons have a disk, and how chunks go there.
+/// Number and size of the daemons' disks, and which chunks they store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiskPlan {
-    /// Daemons with a disk; the first ones. None switches disks off.
+    /// Number of daemons with a disk, counted from the first one. 0 disables disks.
     pub daemons: usize,
-    /// Size below which chunks stay in the key-value service, in KiB.
+    /// Chunks smaller than this stay in the key-value service, in KiB.
     pub kv_below_kb: usize,
-    /// Size of a disk, in MiB.
+    /// Capacity of a disk, in MiB.
     pub max_mb: u64,
 }
 
--- a/crates/bluebellreel_site/src/process.rs
+++ b/crates/bluebellreel_site/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of a site.
+//! A child process of a test site.
 
 use eyre::OptionExt;
 use nix::sys::signal::{Signal, kill};
@@ -6,19 +6,20 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// Environment variable naming a folder in which each process's log is kept.
-const LOGS: &str = "BLUEBELLREEL_SITE_LOGS";
+/// Environment variable with the folder in which each process's log is stored.
+const LOG_FOLDER_VARIABLE: &str = "BLUEBELLREEL_SITE_LOGS";
 
-/// Where a process's log goes: nowhere unless somebody looks for a fault.
-fn log_of(program: &Path, arguments: &[String]) -> eyre::Result<Stdio> {
-    let Some(folder) = std::env::var_os(LOGS) else {
+/// Opens the log of a process. The log is discarded unless the environment variable
+/// [`LOG_FOLDER_VARIABLE`] is set.
+fn log_output(program: &Path, arguments: &[String]) -> eyre::Result<Stdio> {
+    let Some(folder) = std::env::var_os(LOG_FOLDER_VARIABLE) else {
         return Ok(Stdio::null());
     };
     let program = program.file_name().and_then(|name| name.to_str());
     let last = arguments.last().map_or("", String::as_str);
     let last = last.rsplit('/').next().unwrap_or(last);
-    let me = std::process::id();
-    let name = format!("{me}-{}-{last}.log", program.unwrap_or("process"));
+    let own_id = std::process::id();
+    let name = format!("{own_id}-{}-{last}.log", program.unwrap_or("process"));
     let file = std::fs::OpenOptions::new()
         .create(true)
         .append(true)
@@ -26,7 +27,7 @@
     Ok(Stdio::from(file))
 }
 
-/// A process that can be started again with the same arguments.
+/// A child process that can be restarted with the same arguments. It is killed on drop.
 pub struct Process {
     program: PathBuf,
     arguments: Vec<String>,
@@ -38,7 +39,7 @@
         let child = Command::new(program)
             .args(arguments)
             .stdout(Stdio::null())
-            .stderr(log_of(program, arguments)?)
+            .stderr(log_output(program, arguments)?)
             .spawn()?;
         Ok(Self {
             program: program.to_owned(),
@@ -47,7 +48,7 @@
         })
     }
 
-    /// Its id.
+    /// The process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
@@ -58,65 +59,67 @@
         Ok(kill(Pid::from_raw(id), signal)?)
     }
 
-    /// Freezes it.
+    /// Suspends the process with SIGSTOP.
     ///
     /// # Errors
     ///
-    /// Gives the system's error.
+    /// Returns the operating system's error.
     pub fn pause(&self) -> eyre::Result<()> {
         self.signal(Signal::SIGSTOP)
     }
 
-    /// Lets it go on.
+    /// Resumes the process with SIGCONT.
     ///
     /// # Errors
     ///
-    /// Gives the system's error.
+    /// Returns the operating system's error.
     pub fn resume(&self) -> eyre::Result<()> {
         self.signal(Signal::SIGCONT)
     }
 
-    /// Kills it.
+    /// Kills the process and waits for its exit.
     ///
     /// # Errors
     ///
-    /// Gives the system's error.
+    /// Returns the operating system's error.
     pub fn kill(&mut self) -> eyre::Result<()> {
         self.child.kill()?;
         self.child.wait()?;
         Ok(())
     }
 
-    /// Starts it again.
+    /// Starts the program again with the same arguments.
     ///
     /// # Errors
     ///
-    /// Gives the system's error.
+    /// Returns the operating system's error.
     pub fn restart(&mut self) -> eyre::Result<()> {
         *self = Self::start(&self.program, &self.arguments)?;
         Ok(())
     }
 
-    /// Asks it to stop gracefully and waits until it has.
+    /// Stops the process gracefully with SIGTERM and waits for its exit.
     ///
     /// # Errors
     ///
-    /// Gives the system's error.
+    /// Returns the operating system's error.
     pub fn stop(&mut self) -> eyre::Result<ExitStatus> {
         self.signal(Signal::SIGTERM)?;
         Ok(self.child.wait()?)
     }
 
-    /// Most memory that it has held so far, in KiB.
+    /// Peak resident memory of the process so far, in KiB.
     ///
     /// # Errors
     ///
-    /// Gives the system's error.
+    /// Returns the operating system's error.
     pub fn peak_memory_kib(&self) -> eyre::Result<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find(|line| line.starts_with("VmHWM:"));
         let field = line.and_then(|line| line.split_whitespace().nth(1));
-        Ok(field.ok_or_eyre("no peak memory")?.parse()?)
+        Ok(field
+            .ok_or_eyre("no VmHWM in the process status")?
+            .parse()?)
     }
 }
 
--- a/crates/bluebellreel_site/src/processes.rs
+++ b/crates/bluebellreel_site/src/processes.rs
@@ -1,4 +1,5 @@
-//! A site of real processes on loopback, whose stand-ins are this very program.
+//! A test site of separate processes on loopback. The calling program itself also runs as
+//! the stand-ins.
 
 use crate::{Caller, Process};
 use bluebellreel_settings::hash_token;
@@ -14,45 +15,45 @@
 
 /// The model that the engines serve.
 pub const MODEL: &str = "rental-assistant";
-/// First argument that turns a program into a stand-in.
+/// First argument with which the program is started as a stand-in.
 const STAND_IN: &str = "stand-in";
-/// Seconds after which a stand-in ends by itself.
+/// Seconds after which a stand-in exits by itself.
 const STAND_IN_SECONDS: &str = "300";
-/// Longest wait for a site to come up.
-const START_TIME: Duration = Duration::from_secs(30);
+/// Maximum wait for a site to serve requests.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a site of processes is to look like.
+/// Configuration of a [`ProcessSite`].
 #[derive(Clone, Debug)]
 pub struct ProcessPlan {
-    /// Entry daemons.
+    /// Number of entry daemons.
     pub entries: usize,
-    /// Engines; a plain service comes on top.
+    /// Number of engines. The site has a plain service in addition.
     pub engines: usize,
-    /// Attempts at an engine at one time.
+    /// Maximum concurrent attempts at an engine.
     pub window: u32,
-    /// Microseconds of an engine's empty step.
+    /// Duration of an engine's empty step, in microseconds.
     pub step_micros: u32,
 }
 
-/// All processes of a site.
+/// A running site whose parts are separate processes.
 pub struct ProcessSite {
     /// The key-value service's address.
     pub kv: SocketAddr,
     /// The plain service's address.
     pub service: SocketAddr,
-    /// Entry daemons.
+    /// The entry daemons.
     pub entries: Vec<Process>,
-    /// Their addresses.
+    /// Addresses of the entry daemons.
     pub entry_addresses: Vec<SocketAddr>,
-    /// Side processes; the last one stands beside the plain service.
+    /// The side processes; the last one belongs to the plain service.
     pub sides: Vec<Process>,
-    /// Engines.
+    /// The engines.
     pub engines: Vec<Process>,
     pub(crate) engine_addresses: Vec<SocketAddr>,
     platform: Vec<Process>,
     folder: PathBuf,
-    me: PathBuf,
-    programs: PathBuf,
+    own_program: PathBuf,
+    program_folder: PathBuf,
 }
 
 impl Drop for ProcessSite {
@@ -61,8 +62,8 @@
     }
 }
 
-/// Runs a program whose site's stand-ins are the program itself: as a stand-in
-/// if it was started as one, else `run`. An error is printed.
+/// Main function of a program that also serves as its site's stand-ins. Runs a stand-in if
+/// the program was started as one, otherwise `run`. Prints an error to standard output.
 #[must_use]
 pub fn run_with_stand_ins(run: impl FnOnce() -> eyre::Result<()>) -> ExitCode {
     let own: Vec<String> = std::env::args().collect();
@@ -89,37 +90,40 @@
     }
 }
 
-/// Ports below those that systems give to outgoing connections.
+/// Ports below the range that operating systems use for outgoing connections.
 const PORTS: std::ops::Range<u16> = 15_000..32_000;
-/// Ports handed out by this program so far.
-static HANDED_OUT: AtomicU16 = AtomicU16::new(0);
+/// Offset of the next port to try.
+static NEXT_PORT_OFFSET: AtomicU16 = AtomicU16::new(0);
 
-/// An address that is free, and that neither this program nor an outgoing
-/// connection takes before its process listens there. With ports of the
-/// system's choice a daemon and a stand-in were given the same one now and then.
+/// Returns a free address that neither this program nor an outgoing connection takes before
+/// its process listens there. Ports assigned by the operating system sometimes gave a daemon
+/// and a stand-in the same port.
 fn free_address() -> eyre::Result<SocketAddr> {
     let span = u32::from(PORTS.end - PORTS.start);
     let first = std::process::id().wrapping_mul(97);
     for _ in 0..span {
-        let step = u32::from(HANDED_OUT.fetch_add(1, Ordering::Relaxed));
+        let step = u32::from(NEXT_PORT_OFFSET.fetch_add(1, Ordering::Relaxed));
         let offset = u16::try_from(first.wrapping_add(step) % span)?;
         let address = SocketAddr::from(([127, 0, 0, 1], PORTS.start + offset));
         if TcpListener::bind(address).is_ok() {
             return Ok(address);
         }
     }
-    bail!("no port is free")
+    bail!("no free port in {PORTS:?}")
 }
 
-/// Tries until it works or time is up.
+/// Retries `operation` until it succeeds or `timeout` has passed.
 ///
 /// # Errors
 ///
-/// Gives the last try's error.
-pub fn retry<T>(longest: Duration, mut work: impl FnMut() -> eyre::Result<T>) -> eyre::Result<T> {
-    let until = Instant::now() + longest;
+/// Returns the error of the last attempt.
+pub fn retry<T>(
+    timeout: Duration,
+    mut operation: impl FnMut() -> eyre::Result<T>,
+) -> eyre::Result<T> {
+    let until = Instant::now() + timeout;
     loop {
-        match work() {
+        match operation() {
             Ok(value) => return Ok(value),
             Err(e) if Instant::now() >= until => return Err(e),
             Err(_) => thread::sleep(Duration::from_millis(200)),
@@ -128,19 +132,19 @@
 }
 
 impl ProcessSite {
-    /// Starts a site and waits until it serves. The daemons' programs are
-    /// looked for beside this one or one folder up.
+    /// Starts a site and waits until it serves requests. The daemons' programs are searched
+    /// in the folder of the running program and in the folders above it.
     ///
     /// # Errors
     ///
-    /// Gives what could not be started.
+    /// Returns the error of the part that could not be started.
     pub fn start(plan: &ProcessPlan) -> eyre::Result<Self> {
-        let me = std::env::current_exe()?;
-        let programs = me
+        let own_program = std::env::current_exe()?;
+        let program_folder = own_program
             .ancestors()
             .skip(1)
             .find(|folder| folder.join("bluebellreel").is_file())
-            .ok_or_eyre("the programs are not built")?
+            .ok_or_eyre("the program bluebellreel is not built")?
             .to_owned();
         let name = format!("bluebellreel-site-{}", std::process::id());
         let folder = std::env::temp_dir().join(name);
@@ -155,8 +159,8 @@
             engine_addresses: Vec::new(),
             platform: Vec::new(),
             folder,
-            me,
-            programs,
+            own_program,
+            program_folder,
         };
         let kv = site.stand_in(site.kv, &["kv"])?;
         site.platform.push(kv);
@@ -179,7 +183,7 @@
             STAND_IN_SECONDS,
         ];
         let all: Vec<String> = common.iter().chain(kind).map(|s| (*s).to_owned()).collect();
-        Process::start(&self.me, &all)
+        Process::start(&self.own_program, &all)
     }
 
     /// Starts the backend servers, their side processes and the VM list.
@@ -222,7 +226,7 @@
         let file = self.folder.join(format!("side-{index}.toml"));
         std::fs::write(&file, settings)?;
         let arguments = ["--settings".to_owned(), file.display().to_string()];
-        let program = self.programs.join("bluebellreel-side");
+        let program = self.program_folder.join("bluebellreel-side");
         self.sides.push(Process::start(&program, &arguments)?);
         Ok(json!({
             "name": format!("worker-{index}"),
@@ -248,20 +252,20 @@
         std::fs::write(&file, settings)?;
         let file = file.display().to_string();
         let arguments = ["serve".to_owned(), "--settings".into(), file];
-        let program = self.programs.join("bluebellreel");
+        let program = self.program_folder.join("bluebellreel");
         self.entries.push(Process::start(&program, &arguments)?);
         self.entry_addresses.push(address);
         Ok(())
     }
 
-    /// A caller of an entry daemon.
+    /// A client of an entry daemon with the team's token.
     #[must_use]
     pub fn caller(&self, index: usize) -> Caller {
         let url = format!("http://{}", self.entry_addresses[index]);
         Caller::new(url, "school", MODEL)
     }
 
-    /// An operator at an entry daemon.
+    /// A client of an entry daemon with the operator's token.
     #[must_use]
     pub fn operator(&self, index: usize) -> Caller {
         let url = format!("http://{}", self.entry_addresses[index]);
@@ -273,7 +277,7 @@
         let manifest = format!(
             "[[models]]\nname = \"{MODEL}\"\nversion = \"1\"\n[[services]]\nname = \"desk\"\n"
         );
-        retry(START_TIME, || {
+        retry(START_TIMEOUT, || {
             let headers = [("If-Match", "0")];
             let path = "/operator/v1/manifest";
             let (status, text) = operator.send("PUT", path, &headers, manifest.as_bytes())?;
@@ -284,7 +288,7 @@
 
     fn wait_until_serving(&self, plan: &ProcessPlan) -> eyre::Result<()> {
         for index in 0..plan.entries {
-            retry(START_TIME, || {
+            retry(START_TIMEOUT, || {
                 let in_force = self.workers_in_force(index)?;
                 ensure!(in_force > plan.engines, "not all workers are connected");
                 Ok(())
--- a/crates/bluebellreel_site/src/site.rs
+++ b/crates/bluebellreel_site/src/site.rs
@@ -1,4 +1,4 @@
-//! Starting a site's parts.
+//! A test site whose parts run within one process.
 
 use crate::{Caller, SitePlan};
 use bluebellreel_entry::{Entry, start_entry};
@@ -16,39 +16,39 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// The token of the site's one team, `school`.
+/// Token of the team `school`.
 pub const TEAM_TOKEN: &str = "school-token";
-/// The token of the site's operator.
+/// Token of the site's operator.
 pub const OPERATOR_TOKEN: &str = "operator-token";
-/// Longest wait for the site to come up.
-const START_TIME: Duration = Duration::from_secs(15);
+/// Maximum wait for the site to serve requests.
+const START_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A worker: its backend server and its side process.
+/// A worker of the site: its backend server and its side process.
 pub struct WorkerParts {
-    /// Its name.
+    /// The worker's name.
     pub name: String,
-    /// Its data centre.
+    /// The worker's data centre.
     pub data_centre: String,
     /// The backend server.
     pub backend: StandIn,
-    /// The side process; none while it is down.
+    /// The side process; `None` while it is down.
     pub side: Option<Side>,
 }
 
 /// A running site.
 pub struct Site {
-    /// What it was started from.
+    /// The configuration that the site was started from.
     pub plan: SitePlan,
-    /// The key-value service.
+    /// The key-value service stand-in.
     pub kv: StandIn,
-    /// The VM list.
+    /// The VM list stand-in.
     pub vm_list: StandIn,
-    /// Workers with engines, then those of the plain service.
+    /// Workers with engines, followed by those of the plain service.
     pub workers: Vec<WorkerParts>,
-    /// Entry daemons; none where one is down.
+    /// The entry daemons; `None` where one is down.
     pub entries: Vec<Option<Entry>>,
     urls: Vec<String>,
-    /// Folders of the daemons' disks.
+    /// Temporary folder that contains the daemons' disk folders.
     folder: TempDir,
 }
 
@@ -57,18 +57,18 @@
 }
 
 impl Site {
-    /// Starts a site and waits until it serves.
+    /// Starts a site and waits until it serves requests.
     ///
     /// # Errors
     ///
-    /// Gives what could not be started.
+    /// Returns the error of the part that could not be started.
     pub fn start(plan: &SitePlan) -> eyre::Result<Self> {
         let kv = start_kv(any_port(), plan.kv)?;
         let mut workers = Vec::new();
         for index in 0..plan.workers + plan.services {
             workers.push(start_worker(plan, index)?);
         }
-        let vms = workers.iter().map(vm_of).collect::<eyre::Result<_>>()?;
+        let vms = workers.iter().map(vm_entry).collect::<eyre::Result<_>>()?;
         let vm_list = start_vm_list(any_port(), vms, plan.vm_lag)?;
         let mut site = Self {
             plan: plan.clone(),
@@ -94,7 +94,7 @@
         start_entry(parse_entry("site", &settings)?)
     }
 
-    /// The folder of a daemon's disk.
+    /// The folder that serves as a daemon's disk.
     #[must_use]
     pub fn disk_folder(&self, index: usize) -> PathBuf {
         self.folder.path().join(format!("disk-{index}"))
@@ -118,7 +118,7 @@
         )
     }
 
-    /// Settings of an entry daemon as TOML.
+    /// Settings of an entry daemon, as TOML.
     #[must_use]
     pub fn entry_settings(&self, index: usize, listen: SocketAddr) -> String {
         let data_centre = self.plan.deployment.data_centres()[index % 3];
@@ -144,7 +144,7 @@
         )
     }
 
-    /// The manifest that a site starts with.
+    /// The first manifest of the site.
     #[must_use]
     pub fn manifest(&self) -> String {
         let model = self.plan.deployment.model();
@@ -156,7 +156,7 @@
 
     fn put_manifest(&self) -> eyre::Result<()> {
         let operator = self.operator(0);
-        let until = Instant::now() + START_TIME;
+        let until = Instant::now() + START_TIMEOUT;
         loop {
             let headers = [("If-Match", "0")];
             let manifest = self.manifest();
@@ -167,29 +167,33 @@
             }
             ensure!(
                 Instant::now() < until,
-                "the manifest was not accepted: {text}"
+                "the manifest was not accepted within {START_TIMEOUT:?}: {text}"
             );
             thread::sleep(Duration::from_millis(100));
         }
     }
 
     fn wait_until_serving(&self) -> eyre::Result<()> {
-        let until = Instant::now() + START_TIME;
+        let until = Instant::now() + START_TIMEOUT;
         let connected = self.plan.connected.unwrap_or(self.workers.len());
         for index in 0..self.entries.len() {
             while self.workers_in_force(index)? < connected {
-                ensure!(Instant::now() < until, "not all workers are connected");
+                ensure!(
+                    Instant::now() < until,
+                    "entry daemon {index} is not connected to {connected} workers within {START_TIMEOUT:?}"
+                );
                 thread::sleep(Duration::from_millis(20));
             }
         }
         Ok(())
     }
 
-    /// Workers that an entry daemon reaches and that have its manifest.
+    /// Number of workers that an entry daemon is connected to and that have applied its
+    /// manifest.
     ///
     /// # Errors
     ///
-    /// Gives the daemon's error.
+    /// Returns the daemon's error.
     pub fn workers_in_force(&self, index: usize) -> eyre::Result<usize> {
         let outcomes = self.outcomes(index)?;
         let changes = &outcomes["changes_hold"];
@@ -200,11 +204,11 @@
         Ok(usize::try_from(in_force)?)
     }
 
-    /// The outcomes as an entry daemon sees them.
+    /// The operator view of the outcomes at an entry daemon.
     ///
     /// # Errors
     ///
-    /// Gives the connection's error.
+    /// Returns the connection's error.
     pub fn outcomes(&self, index: usize) -> eyre::Result<serde_json::Value> {
         let path = "/operator/v1/outcomes";
         let (_, text) = self.operator(index).send("GET", path, &[], b"")?;
@@ -217,43 +221,43 @@
         &self.urls[index]
     }
 
-    /// A caller of an entry daemon, with the team's token.
+    /// A client of an entry daemon with the team's token.
     #[must_use]
     pub fn caller(&self, index: usize) -> Caller {
         let model = self.plan.deployment.model();
         Caller::new(self.urls[index].clone(), TEAM_TOKEN, model)
     }
 
-    /// An operator at an entry daemon.
+    /// A client of an entry daemon with the operator's token.
     #[must_use]
     pub fn operator(&self, index: usize) -> Caller {
         let model = self.plan.deployment.model();
         Caller::new(self.urls[index].clone(), OPERATOR_TOKEN, model)
     }
 
-    /// Switches faults of the key-value service.
+    /// Replaces the faults that the key-value service simulates.
     ///
     /// # Errors
     ///
-    /// Gives the connection's error.
+    /// Returns the connection's error.
     pub fn set_kv_faults(&self, faults: &KvFaults) -> eyre::Result<()> {
         set_faults(&self.kv, faults)
     }
 
-    /// Switches faults of a worker's engine.
+    /// Replaces the faults that a worker's engine simulates.
     ///
     /// # Errors
     ///
-    /// Gives the connection's error.
+    /// Returns the connection's error.
     pub fn set_engine_faults(&self, worker: usize, faults: &EngineFaults) -> eyre::Result<()> {
         set_faults(&self.workers[worker].backend, faults)
     }
 
-    /// The version of the site's model that a worker's engine holds.
+    /// The version of the site's model that a worker's engine has loaded.
     ///
     /// # Errors
     ///
-    /// Gives the connection's error.
+    /// Returns the connection's error.
     pub fn engine_version(&self, worker: usize) -> eyre::Result<String> {
         let url = format!("{}/v1/models", self.workers[worker].backend.url());
         let list: serde_json::Value = ureq::get(&url).call()?.body_mut().read_json()?;
@@ -261,51 +265,56 @@
         Ok(version.unwrap_or_default().to_owned())
     }
 
-    /// Attempts that reached a worker's engine.
+    /// Number of attempts that a worker's engine has admitted.
     ///
     /// # Errors
     ///
-    /// Gives the connection's error.
+    /// Returns the connection's error.
     pub fn engine_admitted(&self, worker: usize) -> eyre::Result<u64> {
         let url = format!("{}/stand-in/admitted", self.workers[worker].backend.url());
         Ok(ureq::get(&url).call()?.body_mut().read_json()?)
     }
 
-    /// Stops an entry daemon gracefully; whether nothing was cut.
+    /// Stops an entry daemon gracefully. Returns true if no request was cut.
     ///
     /// # Errors
     ///
-    /// Gives that it was down already.
+    /// Returns an error if the daemon is down already.
     pub fn stop_entry(&mut self, index: usize) -> eyre::Result<bool> {
-        let entry = self.entries[index].take().ok_or_eyre("already down")?;
+        let entry = self.entries[index]
+            .take()
+            .ok_or_eyre("the entry daemon is already down")?;
         Ok(entry.stop())
     }
 
-    /// Starts an entry daemon that is down, at its former address; it may not
-    /// be ready yet.
+    /// Starts an entry daemon that is down, at its former address. Does not wait until the
+    /// daemon is ready.
     ///
     /// # Errors
     ///
-    /// Gives the system's error.
+    /// Returns the error of the address or of the start.
     pub fn restart_entry(&mut self, index: usize) -> eyre::Result<()> {
         let address = self.urls[index].trim_start_matches("http://").parse()?;
         self.entries[index] = Some(self.start_entry(index, address)?);
         Ok(())
     }
 
-    /// Runs of a plain service's calls by key.
+    /// Number of runs at the last plain service by idempotency key.
     ///
     /// # Errors
     ///
-    /// Gives the connection's error.
+    /// Returns the connection's error.
     pub fn service_runs(&self) -> eyre::Result<std::collections::BTreeMap<String, u32>> {
-        let service = self.workers.last().ok_or_eyre("no service")?;
+        let service = self
+            .workers
+            .last()
+            .ok_or_eyre("the site has no plain service")?;
         let url = format!("{}/stand-in/runs", service.backend.url());
         Ok(ureq::get(&url).call()?.body_mut().read_json()?)
     }
 }
 
-/// Switches a stand-in's faults.
+/// Replaces the faults that a stand-in simulates.
 fn set_faults(stand_in: &StandIn, faults: &impl Serialize) -> eyre::Result<()> {
     ureq::post(format!("{}/stand-in/faults", stand_in.url())).send_json(faults)?;
     Ok(())
@@ -341,7 +350,7 @@
     let settings = format!(
         "worker = \"{name}\"\ndata_centre = \"{data_centre}\"\nlisten = \"127.0.0.1:0\"\n\
          lean = \"{}\"\n[backend]\nurl = \"{}\"\n{service}[limits]\nwindow = {}\n{trace}",
-        plan.deployment.lean(),
+        plan.deployment.objective(),
         backend.url(),
         plan.window,
     );
@@ -354,7 +363,7 @@
     })
 }
 
-fn vm_of(worker: &WorkerParts) -> eyre::Result<Vm> {
+fn vm_entry(worker: &WorkerParts) -> eyre::Result<Vm> {
     let side = worker
         .side
         .as_ref()
--- a/examples/changes.rs
+++ b/examples/changes.rs
@@ -1,7 +1,8 @@
-//! Changes the configuration of 3 daemons and 13 side processes under load: races, an outage, a killed daemon, a drain.
+//! Changes the configuration of 3 daemons and 13 side processes under load: concurrent
+//! operators, an outage, a killed daemon and a drain.
 
 use bluebellreel_site::{
-    AskCounts, Caller, MODEL, ProcessPlan, ProcessSite, retry, run_with_stand_ins,
+    AnswerCounts, Caller, MODEL, ProcessPlan, ProcessSite, retry, run_with_stand_ins,
 };
 use eyre::ensure;
 use std::process::ExitCode;
@@ -13,9 +14,9 @@
 const ENGINES: usize = 12;
 const CALLERS: usize = 24;
 const TOKENS: u32 = 8;
-const LONGEST: Duration = Duration::from_secs(30);
-/// After which a worker that an operator drained gets nothing new.
-const DRAINED_AFTER: Duration = Duration::from_secs(3);
+const MAX_WAIT: Duration = Duration::from_secs(30);
+/// Time after a drain request from which the worker must get no new requests.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(3);
 
 fn main() -> ExitCode {
     run_with_stand_ins(run)
@@ -29,17 +30,17 @@
         step_micros: 5_000,
     })?;
     let callers: Vec<Caller> = (0..ENTRIES).map(|n| site.caller(n)).collect();
-    let (stop, counts) = (AtomicBool::new(false), AskCounts::default());
+    let (stop, counts) = (AtomicBool::new(false), AnswerCounts::default());
     thread::scope(|scope| -> eyre::Result<()> {
         for number in 0..CALLERS {
             let (stop, counts) = (&stop, &counts);
-            // The first daemon is killed below; nobody asks there.
+            // No caller uses the first daemon, because it is killed below.
             let caller = &callers[1 + number % (ENTRIES - 1)];
             scope.spawn(move || call_until(stop, caller, number, counts));
         }
-        let shown = show_all(&mut site);
+        let outcome = run_changes(&mut site);
         stop.store(true, Ordering::SeqCst);
-        shown
+        outcome
     })?;
     let (answered, failed) = (counts.answered(), counts.failed());
     println!("{answered} answers whole, {failed} failed or cut");
@@ -48,18 +49,18 @@
     Ok(())
 }
 
-fn call_until(stop: &AtomicBool, caller: &Caller, number: usize, counts: &AskCounts) {
-    for asked in 0.. {
+fn call_until(stop: &AtomicBool, caller: &Caller, number: usize, counts: &AnswerCounts) {
+    for request in 0.. {
         if stop.load(Ordering::SeqCst) {
             return;
         }
-        let prompt = format!("caller {number} asks {asked}");
+        let prompt = format!("caller {number} asks {request}");
         let answer = caller.stream(&prompt, TOKENS, None, |_| ());
-        counts.note(&prompt, TOKENS, answer);
+        counts.record(&prompt, TOKENS, answer);
     }
 }
 
-fn show_all(site: &mut ProcessSite) -> eyre::Result<()> {
+fn run_changes(site: &mut ProcessSite) -> eyre::Result<()> {
     let began = Instant::now();
     ensure!(put(site, 0, 1, "first")? == 200, "accepted");
     wait_in_force(site, 2, 0)?;
@@ -70,23 +71,23 @@
     drain(site)
 }
 
-/// Puts a manifest that differs only by a note; the answer's status.
-fn put(site: &ProcessSite, entry: usize, seen: u64, note: &str) -> eyre::Result<u16> {
+/// Puts a manifest that differs only by a comment and returns the status of the answer.
+fn put(site: &ProcessSite, entry: usize, base_generation: u64, note: &str) -> eyre::Result<u16> {
     let manifest = format!(
         "[[models]]\nname = \"{MODEL}\"\nversion = \"1\"\n[[services]]\nname = \"desk\"\n# {note}\n"
     );
-    let seen = seen.to_string();
-    let headers = [("If-Match", seen.as_str())];
+    let base_generation = base_generation.to_string();
+    let headers = [("If-Match", base_generation.as_str())];
     let path = "/operator/v1/manifest";
     let operator = site.operator(entry);
     Ok(operator.send("PUT", path, &headers, manifest.as_bytes())?.0)
 }
 
-/// Waits until a generation is in force on all workers, as all daemons from
-/// `first` on see it.
-fn wait_in_force(site: &ProcessSite, generation: u64, first: usize) -> eyre::Result<()> {
-    for entry in first..ENTRIES {
-        retry(LONGEST, || {
+/// Waits until all daemons from `first_entry` on report that all workers have applied a
+/// generation.
+fn wait_in_force(site: &ProcessSite, generation: u64, first_entry: usize) -> eyre::Result<()> {
+    for entry in first_entry..ENTRIES {
+        retry(MAX_WAIT, || {
             let changes = site.outcomes(entry)?["changes_hold"].clone();
             ensure!(
                 changes["generation"] == generation,
@@ -102,7 +103,8 @@
     Ok(())
 }
 
-/// Two operators at two daemons, at the same moment: one wins, both know.
+/// Two operators put manifests through two daemons at the same moment. One put must
+/// succeed, and the other must get 409.
 fn race(site: &ProcessSite) -> eyre::Result<()> {
     let mut answers = thread::scope(|scope| {
         let one = scope.spawn(|| put(site, 0, 2, "one phone"));
@@ -118,8 +120,8 @@
     Ok(())
 }
 
-/// With the key-value service down, a change is refused, what is in force
-/// stays, and people are served; after it the next change goes everywhere.
+/// While the key-value service is down, a change is refused, the applied generation stays in
+/// force and callers are served. After the outage the next change is applied everywhere.
 fn outage(site: &ProcessSite) -> eyre::Result<()> {
     site.set_kv_down(true)?;
     let during = put(site, 0, 3, "during")?;
@@ -134,7 +136,7 @@
     }
     site.set_kv_down(false)?;
     let began = Instant::now();
-    retry(LONGEST, || {
+    retry(MAX_WAIT, || {
         let status = put(site, 1, 3, "after")?;
         ensure!(status == 200, "{status}");
         Ok(())
@@ -147,7 +149,7 @@
     Ok(())
 }
 
-/// A daemon dies with its watch in the middle of a change.
+/// A daemon with a watch on the manifest is killed during a change.
 fn killed_daemon(site: &mut ProcessSite) -> eyre::Result<()> {
     ensure!(put(site, 1, 4, "watcher killed")? == 200, "accepted");
     site.entries[0].kill()?;
@@ -167,9 +169,9 @@
     Ok(())
 }
 
-/// A worker is drained under load: after three seconds nothing new reaches it.
+/// Drains a worker under load. After three seconds no new request may reach it.
 fn drain(site: &ProcessSite) -> eyre::Result<()> {
-    // The one that people use most is the one to show it by.
+    // Drain the engine with the highest request rate, so that the effect is visible.
     let admitted = |index| site.engine_admitted(index);
     let before: Vec<u64> = (0..ENGINES).map(admitted).collect::<eyre::Result<_>>()?;
     thread::sleep(Duration::from_secs(1));
@@ -182,9 +184,9 @@
     let path = format!("/operator/v1/workers/worker-{busiest}/drain");
     let (status, text) = site.operator(1).send("POST", &path, &[], b"")?;
     ensure!(status == 200, "{status}: {text}");
-    thread::sleep(DRAINED_AFTER);
+    thread::sleep(DRAIN_TIMEOUT);
     let then = site.engine_admitted(busiest)?;
-    thread::sleep(DRAINED_AFTER);
+    thread::sleep(DRAIN_TIMEOUT);
     let new = site.engine_admitted(busiest)? - then;
     println!("drain of a worker that got {rate} requests a second: {new} new ones after 3 s");
     ensure!(new == 0, "{new} new requests reached a drained worker");
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -1,4 +1,5 @@
-//! The main job end to end on embedded stand-ins; `--stay` keeps it up for curl.
+//! Runs an online request and a batch job end to end on embedded stand-ins. `--stay` keeps
+//! the site running for requests with curl.
 
 use bluebellreel_site::{Deployment, OPERATOR_TOKEN, Site, SitePlan, TEAM_TOKEN, chat_line};
 use bluebellreel_standins::expected_answer;
@@ -12,7 +13,7 @@
 const ITEMS: u32 = 200;
 const ITEM_TOKENS: u32 = 24;
 const PROMPT: &str = "Which fiddle size suits a child of six?";
-const TRACE: u128 = 0x00b1_0ebe_11ee_1000_0000_0000_0000_0001;
+const TRACE_ID: u128 = 0x00b1_0ebe_11ee_1000_0000_0000_0000_0001;
 
 fn main() -> eyre::Result<()> {
     let stay = std::env::args().any(|arg| arg == "--stay");
@@ -47,7 +48,7 @@
     println!("online: {PROMPT}");
     let began = Instant::now();
     let mut first = None;
-    let traceparent = format!("00-{TRACE:032x}-00000000000000aa-01");
+    let traceparent = format!("00-{TRACE_ID:032x}-00000000000000aa-01");
     let answer = site
         .caller(0)
         .stream(PROMPT, 12, Some(&traceparent), |piece| {
@@ -82,9 +83,9 @@
     );
     let again = site.caller(1).submit("demo-notes", &lines)?;
     ensure!(again.id == job.id, "a resend must find the first job");
-    let over = site.caller(1).wait(&job.id, Duration::from_secs(40))?;
-    println!("  {} after {:?}", over.status, began.elapsed());
-    let mut ends: BTreeMap<String, Vec<String>> = BTreeMap::new();
+    let finished_job = site.caller(1).wait(&job.id, Duration::from_secs(40))?;
+    println!("  {} after {:?}", finished_job.status, began.elapsed());
+    let mut statuses_by_id: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for item in site.caller(1).results(&job.id)? {
         if let Some(answer) = &item.response {
             let index = item.custom_id.trim_start_matches("note-").parse()?;
@@ -93,21 +94,27 @@
                 "a wrong answer"
             );
         }
-        ends.entry(item.custom_id).or_default().push(item.status);
+        statuses_by_id
+            .entry(item.custom_id)
+            .or_default()
+            .push(item.status);
     }
-    ensure!(ends.len() == ITEMS as usize, "every item must be there");
     ensure!(
-        ends.values().all(|statuses| statuses.len() == 1),
+        statuses_by_id.len() == ITEMS as usize,
+        "every item must be there"
+    );
+    ensure!(
+        statuses_by_id.values().all(|statuses| statuses.len() == 1),
         "each exactly once"
     );
-    let failed: Vec<&String> = ends
+    let failed: Vec<&String> = statuses_by_id
         .iter()
         .filter(|(_, s)| s[0] == "failed")
         .map(|(id, _)| id)
         .collect();
     println!(
         "  each of {} items exactly once; failed: {failed:?}",
-        ends.len()
+        statuses_by_id.len()
     );
     ensure!(failed.len() == 2, "two items can never be done");
     Ok(())
@@ -128,10 +135,10 @@
 }
 
 fn show_trace(path: &Path) -> eyre::Result<()> {
-    // Spans are exported in groups, a moment later.
+    // Spans are exported in batches after a short delay.
     thread::sleep(Duration::from_millis(500));
     let text = std::fs::read_to_string(path)?;
-    let trace = format!("{TRACE:032x}");
+    let trace = format!("{TRACE_ID:032x}");
     let mut hops: Vec<(u64, String)> = Vec::new();
     for line in text.lines() {
         let message: Value = serde_json::from_str(line)?;
--- a/examples/disk_costs.rs
+++ b/examples/disk_costs.rs
@@ -1,4 +1,5 @@
-//! Compares jobs whose chunks lie in the key-value service with jobs whose chunks lie on disks.
+//! Compares jobs whose chunks are stored in the key-value service with jobs whose chunks are
+//! stored on disks.
 
 use bluebellreel_site::{DiskPlan, Site, SitePlan, chat_line};
 use bluebellreel_standins::EngineCosts;
@@ -8,11 +9,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const LONGEST: Duration = Duration::from_mins(4);
-/// Characters of a note.
-const NOTE: usize = 400;
+const MAX_WAIT: Duration = Duration::from_mins(4);
+/// Length of a prompt in characters.
+const NOTE_CHARS: usize = 400;
 
-/// What one job cost.
+/// Measured cost of one job.
 struct Cost {
     accepted_in: Duration,
     done_in: Duration,
@@ -56,9 +57,9 @@
         },
         ..SitePlan::default()
     })?;
-    // The volumes are made in the first seconds.
+    // The daemons create the volumes in the first seconds.
     thread::sleep(Duration::from_secs(4));
-    let note = "x".repeat(NOTE);
+    let note = "x".repeat(NOTE_CHARS);
     let line = |n: u32| {
         chat_line(
             &format!("n{n}"),
@@ -72,8 +73,11 @@
     let began = Instant::now();
     let job = site.caller(0).submit("costs", &lines)?.id;
     let accepted_in = began.elapsed();
-    let over = site.caller(0).wait(&job, LONGEST)?;
-    ensure!(over.request_counts.completed == items, "{over:?}");
+    let finished_job = site.caller(0).wait(&job, MAX_WAIT)?;
+    ensure!(
+        finished_job.request_counts.completed == items,
+        "{finished_job:?}"
+    );
     Ok(Cost {
         accepted_in,
         done_in: began.elapsed(),
--- a/examples/experiment.rs
+++ b/examples/experiment.rs
@@ -1,10 +1,10 @@
-//! Runs a scenario of the experiment tool: table, JSON file and SVG plot.
+//! Runs scenarios of the experiment tool and writes a table, JSON files and SVG plots.
 
 use bluebellreel_experiment::{Scenario, compare, draw, table};
 use eyre::{Context, bail};
 use std::path::PathBuf;
 
-/// Runs scenarios against the real decision functions.
+/// Runs scenarios against the program's own decision functions.
 #[derive(argh::FromArgs)]
 struct Arguments {
     /// folder for the JSON and SVG files; none are written without it
--- a/examples/job_costs.rs
+++ b/examples/job_costs.rs
@@ -1,4 +1,5 @@
-//! Measures what jobs cost: calls to the key-value service, memory, take-over, reruns.
+//! Measures the cost of jobs: calls to the key-value service, memory, take-over time and
+//! repeated items.
 
 use bluebellreel_site::{MODEL, ProcessPlan, ProcessSite, chat_line, run_with_stand_ins};
 use eyre::ensure;
@@ -7,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const LONGEST: Duration = Duration::from_mins(4);
+const MAX_WAIT: Duration = Duration::from_mins(4);
 
 fn main() -> ExitCode {
     run_with_stand_ins(run)
@@ -36,11 +37,11 @@
         .collect()
 }
 
-/// Writes and reads so far; lease renewals and watches left out.
+/// Writes and reads of the key-value service so far, without lease renewals and watches.
 fn job_calls(site: &ProcessSite) -> eyre::Result<(u64, u64)> {
     let counts: Value = site.kv_counts()?;
-    let of = |path: &str| counts["by_path"][path].as_u64().unwrap_or(0);
-    Ok((of("/v3/kv/txn"), of("/v3/kv/range")))
+    let count_of = |path: &str| counts["by_path"][path].as_u64().unwrap_or(0);
+    Ok((count_of("/v3/kv/txn"), count_of("/v3/kv/range")))
 }
 
 fn measure_job(items: u32) -> eyre::Result<()> {
@@ -51,15 +52,19 @@
     let idle = site.entries[0].peak_memory_kib()?;
     let began = Instant::now();
     let id = caller.submit("costs", &body)?.id;
-    // One look at the end, so that looking does not count as a cost.
+    // Poll the operator's view instead of the job, because reading the job would add calls to
+    // the measured cost.
     thread::sleep(Duration::from_secs(1));
     while in_progress(&site)? {
         thread::sleep(Duration::from_millis(200));
     }
     let took = began.elapsed();
     let (writes_after, reads_after) = job_calls(&site)?;
-    let over = caller.wait(&id, LONGEST)?;
-    ensure!(over.request_counts.completed == items, "{over:?}");
+    let finished_job = caller.wait(&id, MAX_WAIT)?;
+    ensure!(
+        finished_job.request_counts.completed == items,
+        "{finished_job:?}"
+    );
     let peak = site.entries[0].peak_memory_kib()?;
     let writes = writes_after - writes;
     println!(
@@ -73,7 +78,7 @@
     Ok(())
 }
 
-/// Whether any job runs, by the daemon's own view.
+/// Whether any job is running according to the daemon.
 fn in_progress(site: &ProcessSite) -> eyre::Result<bool> {
     let (_, text) = site
         .operator(0)
@@ -82,8 +87,8 @@
     Ok(outcomes["items_finish_once"]["running_jobs"].as_u64() != Some(0))
 }
 
-/// Kills the owner of a job and measures until another one has it, and how
-/// many items were run again.
+/// Kills the owner of a job and measures the time until another daemon owns the job and the
+/// number of items that run again.
 fn measure_take_over() -> eyre::Result<()> {
     println!("\nowner killed: lease 3 s");
     for round in 1..=3 {
@@ -100,12 +105,15 @@
         while !owns(&site)? {
             thread::sleep(Duration::from_millis(20));
         }
-        let taken = began.elapsed();
-        let over = site.caller(1).wait(&id, LONGEST)?;
-        ensure!(over.request_counts.completed == 4_000, "{over:?}");
+        let takeover_time = began.elapsed();
+        let finished_job = site.caller(1).wait(&id, MAX_WAIT)?;
+        ensure!(
+            finished_job.request_counts.completed == 4_000,
+            "{finished_job:?}"
+        );
         let started = site.engine_requests()?;
         println!(
-            "round {round}: taken over after {taken:.1?}; {recorded} of 4000 were recorded; \
+            "round {round}: taken over after {takeover_time:.1?}; {recorded} of 4000 were recorded; \
              {} attempts over one an item",
             started.saturating_sub(4_000)
         );
--- a/examples/process_faults.rs
+++ b/examples/process_faults.rs
@@ -1,4 +1,4 @@
-//! Kills and pauses real processes under load and checks that nothing is lost or run twice.
+//! Kills and pauses processes under load and checks that no item is lost and none runs twice.
 
 use bluebellreel_site::{
     Caller, MODEL, ProcessPlan, ProcessSite, chat_line, retry, run_with_stand_ins, service_line,
@@ -14,18 +14,18 @@
 const TOKENS: u32 = 4;
 const ENTRIES: usize = 3;
 const ENGINES: usize = 4;
-const LONGEST_ROUND: Duration = Duration::from_mins(3);
+const MAX_ROUND: Duration = Duration::from_mins(3);
 
-/// Kills and pauses real processes under load.
+/// Kills and pauses processes under load.
 #[derive(argh::FromArgs)]
 struct Arguments {
-    /// items of the job in each round
+    /// number of items of the job in each round
     #[argh(option, default = "5000")]
     items: u32,
-    /// rounds
+    /// number of rounds
     #[argh(option, default = "3")]
     rounds: u32,
-    /// attempts at an engine at one time
+    /// maximum concurrent attempts at an engine
     #[argh(option, default = "8")]
     window: u32,
 }
@@ -81,9 +81,9 @@
         scope.spawn(|| resend_until(&stop, &callers, &notes, &notes_id, &resends, &wrong));
         scope.spawn(|| ask_until(&stop, &callers, &answered, &wrong));
         let slots = scope.spawn(|| book_until(&stop, &callers, round));
-        let outcome = strike_all(&mut site)
-            .and_then(|()| callers[1].wait(&notes_id, LONGEST_ROUND))
-            .and_then(|_| callers[2].wait(&bookings_id, LONGEST_ROUND));
+        let outcome = inject_faults(&mut site)
+            .and_then(|()| callers[1].wait(&notes_id, MAX_ROUND))
+            .and_then(|_| callers[2].wait(&bookings_id, MAX_ROUND));
         stop.store(true, Ordering::SeqCst);
         outcome?;
         slots.join().map_err(|_| eyre::eyre!("a caller panicked"))
@@ -104,9 +104,9 @@
     ))
 }
 
-/// The round's faults, one after another.
-fn strike_all(site: &mut ProcessSite) -> eyre::Result<()> {
-    let pause = |seconds| thread::sleep(Duration::from_millis(seconds));
+/// Injects the faults of a round, one after another.
+fn inject_faults(site: &mut ProcessSite) -> eyre::Result<()> {
+    let pause = |millis| thread::sleep(Duration::from_millis(millis));
     pause(800);
     site.entries[0].pause()?;
     site.sides[1].kill()?;
@@ -172,8 +172,8 @@
     }
 }
 
-/// Books slots, each key through two daemons; the keys that were told "not
-/// run" by both.
+/// Books slots, sending each key through two daemons. Returns the keys for which both
+/// answered "not run".
 fn book_until(stop: &AtomicBool, callers: &[Caller], round: u32) -> Vec<String> {
     let mut refused = Vec::new();
     let mut number = 0;
--- a/examples/rolling_restart.rs
+++ b/examples/rolling_restart.rs
@@ -1,7 +1,8 @@
-//! Restarts every daemon and side process under load, one after another: nothing fails, nothing is cut.
+//! Restarts every daemon and side process under load, one after another, and checks that no
+//! request fails or is cut.
 
 use bluebellreel_site::{
-    AskCounts, Caller, MODEL, ProcessPlan, ProcessSite, chat_line, retry, run_with_stand_ins,
+    AnswerCounts, Caller, MODEL, ProcessPlan, ProcessSite, chat_line, retry, run_with_stand_ins,
 };
 use eyre::{bail, ensure};
 use std::process::ExitCode;
@@ -31,27 +32,30 @@
         .collect();
     let job = site.caller(0).submit("rolling", &lines)?.id;
     let callers: Vec<Caller> = (0..ENTRIES).map(|n| site.caller(n)).collect();
-    let (stop, counts) = (AtomicBool::new(false), AskCounts::default());
-    let moved = AtomicU32::new(0);
+    let (stop, counts) = (AtomicBool::new(false), AnswerCounts::default());
+    let rerouted = AtomicU32::new(0);
     thread::scope(|scope| -> eyre::Result<()> {
         for number in 0..CALLERS {
-            let (stop, callers, counts, moved) = (&stop, &callers, &counts, &moved);
-            scope.spawn(move || call_until(stop, callers, number, counts, moved));
+            let (stop, callers, counts, rerouted) = (&stop, &callers, &counts, &rerouted);
+            scope.spawn(move || call_until(stop, callers, number, counts, rerouted));
         }
-        let restarted = restart_all(&mut site);
+        let outcome = restart_all(&mut site);
         stop.store(true, Ordering::SeqCst);
-        restarted
+        outcome
     })?;
-    let over = callers[1].wait(&job, Duration::from_mins(2))?;
-    ensure!(over.request_counts.completed == ITEMS, "{over:?}");
+    let finished_job = callers[1].wait(&job, Duration::from_mins(2))?;
+    ensure!(
+        finished_job.request_counts.completed == ITEMS,
+        "{finished_job:?}"
+    );
     ensure!(
         callers[2].results(&job)?.len() == ITEMS as usize,
         "each item once"
     );
     let (answered, failed) = (counts.answered(), counts.failed());
-    let moved = moved.load(Ordering::SeqCst);
+    let rerouted = rerouted.load(Ordering::SeqCst);
     println!(
-        "{answered} answers whole, {failed} failed or cut, {moved} sent to another daemon by the balancer"
+        "{answered} answers whole, {failed} failed or cut, {rerouted} sent to another daemon by the balancer"
     );
     ensure!(failed == 0, "{failed} requests failed or were cut");
     println!("{ITEMS} batch items once each; all daemons and side processes restarted: passed");
@@ -90,31 +94,36 @@
     Ok(())
 }
 
-/// Asks through the balancer's choice: a daemon that is ready. The platform's
-/// balancer looks at `/readyz` and sends a request that was not run elsewhere.
+/// Sends requests to daemons that are ready, like the platform's load balancer, which checks
+/// `/readyz` and sends a request that was not run to another daemon.
 fn call_until(
     stop: &AtomicBool,
     callers: &[Caller],
     number: usize,
-    counts: &AskCounts,
-    moved: &AtomicU32,
+    counts: &AnswerCounts,
+    rerouted: &AtomicU32,
 ) {
-    let mut asked = number;
+    let mut request = number;
     while !stop.load(Ordering::SeqCst) {
-        asked += 1;
-        let prompt = format!("caller {number} asks {asked}");
-        let answer = ask(callers, asked, &prompt, moved);
-        counts.note(&prompt, TOKENS, answer);
+        request += 1;
+        let prompt = format!("caller {number} asks {request}");
+        let answer = ask(callers, request, &prompt, rerouted);
+        counts.record(&prompt, TOKENS, answer);
         thread::sleep(Duration::from_millis(30));
     }
 }
 
-fn ask(callers: &[Caller], first: usize, prompt: &str, moved: &AtomicU32) -> eyre::Result<String> {
+fn ask(
+    callers: &[Caller],
+    first: usize,
+    prompt: &str,
+    rerouted: &AtomicU32,
+) -> eyre::Result<String> {
     for offset in 0..callers.len() {
         let caller = &callers[(first + offset) % callers.len()];
         let ready = caller.send("GET", "/readyz", &[], b"");
         if !matches!(ready, Ok((200, _))) {
-            moved.fetch_add(1, Ordering::SeqCst);
+            rerouted.fetch_add(1, Ordering::SeqCst);
             continue;
         }
         return caller.stream(prompt, TOKENS, None, |_| ());
--- a/examples/soak.rs
+++ b/examples/soak.rs
@@ -1,25 +1,29 @@
-//! A soak of real gateways with faults from outside, for seeds one after the
-//! other: `cargo run --release --example soak -- FIRST COUNT SECONDS GATEWAYS
-//! WORKERS [PROGRAM]`. Odd seeds bring changes of configuration, workers,
-//! settings and store as well. From 1000 on seeds bring rolling stops too: two of
-//! three nothing else, the third (1002, 1005) with faults. From 3000 on they bring requests
-//! that crash workers, odd ones with changes and faults, even ones with faults. From 5000
-//! on jobs of long items are ended while gateways are parted from their peers, odd seeds
-//! with changes and faults, even ones with nothing else.
+//! Soak runs of gateway processes with injected faults, one run per seed:
+//! `cargo run --release --example soak -- FIRST COUNT SECONDS GATEWAYS WORKERS [PROGRAM]`.
 //!
-//! Prints a line a seed, and for a broken promise the faults that led to it.
-//! Settings and logs of a seed stay in a folder under the system's folder for
-//! temporary files when it breaks something.
+//! The seed selects the disturbances:
+//!
+//! - Below 1000: faults. Odd seeds also change the configuration, workers, settings and
+//!   store.
+//! - From 1000: rolling stops. Two of three seeds have nothing else; the third (1002, 1005)
+//!   has faults as well, and if it is odd changes too.
+//! - From 3000: requests that crash workers, and faults. Odd seeds have changes as well.
+//! - From 5000: jobs of long items are ended while gateways are partitioned from their
+//!   peers. Odd seeds have changes and faults as well, even seeds nothing else.
+//!
+//! Prints one line per seed, and for each violated guarantee the faults before it. If a
+//! seed violates a guarantee, its settings and logs remain in a folder under the system's
+//! temporary folder.
 
 use bluebellreel_platform_standins::{Callers, SoakPlan, soak};
 use std::time::Duration;
 
 /// The first seed with rolling stops.
-const STOPS_FROM: u64 = 1000;
+const FIRST_STOP_SEED: u64 = 1000;
 /// The first seed with requests that crash workers.
-const CRASHES_FROM: u64 = 3000;
+const FIRST_CRASH_SEED: u64 = 3000;
 /// The first seed with jobs of long items that are ended.
-const ENDS_FROM: u64 = 5000;
+const FIRST_END_SEED: u64 = 5000;
 
 fn main() -> eyre::Result<()> {
     let numbers: Vec<u64> = std::env::args()
@@ -31,19 +35,19 @@
     let seconds = numbers.get(2).copied().unwrap_or(20);
     let gateways = usize::try_from(numbers.get(3).copied().unwrap_or(3))?;
     let workers = usize::try_from(numbers.get(4).copied().unwrap_or(4))?;
-    let here = std::env::current_exe()?;
-    let folder = here.parent().and_then(|p| p.parent());
-    let beside = folder.map(|p| p.join("bluebellreel")).unwrap_or_default();
-    let program = std::env::args().nth(6).map_or(beside, Into::into);
+    let own_program = std::env::current_exe()?;
+    let folder = own_program.parent().and_then(|p| p.parent());
+    let default_program = folder.map(|p| p.join("bluebellreel")).unwrap_or_default();
+    let program = std::env::args().nth(6).map_or(default_program, Into::into);
     let mut broken = 0;
     for seed in first..first + count {
         let folder = std::env::temp_dir().join(format!("soak-{}-{seed}", std::process::id()));
-        let stops = (STOPS_FROM..CRASHES_FROM).contains(&seed);
+        let stops = (FIRST_STOP_SEED..FIRST_CRASH_SEED).contains(&seed);
         let stops_only = stops && seed % 3 != 0;
-        let ends_only = seed >= ENDS_FROM && seed % 2 == 0;
-        let callers = if seed >= ENDS_FROM {
+        let ends_only = seed >= FIRST_END_SEED && seed % 2 == 0;
+        let callers = if seed >= FIRST_END_SEED {
             Callers::SomeEndJobs
-        } else if seed >= CRASHES_FROM {
+        } else if seed >= FIRST_CRASH_SEED {
             Callers::SomeInVain
         } else {
             Callers::Usual
