--- a/examples/soak.rs
+++ b/examples/soak.rs
@@ -48,7 +48,7 @@
         let callers = if seed >= FIRST_END_SEED {
             Callers::SomeEndJobs
         } else if seed >= FIRST_CRASH_SEED {
-            Callers::SomeInVain
+            Callers::SomeCrashWorkers
         } else {
             Callers::Usual
         };
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -9,7 +9,7 @@
 {"at":"2026-12-02T10:00:03.300Z","event":"sent","request":"r2","worker":"w-1"}
 {"at":"2026-12-02T10:00:03.400Z","event":"stream interrupted","request":"r1","worker":"w-1","reason":"worker silent"}
 {"at":"2026-12-02T10:00:03.500Z","event":"store lost","part":"facts"}
-{"at":"2026-12-02T10:00:03.600Z","event":"stream goes on","request":"r1","worker":"w-2"}
+{"at":"2026-12-02T10:00:03.600Z","event":"stream resumed","request":"r1","worker":"w-2"}
 {"at":"2026-12-02T10:00:09.000Z","event":"store regained","part":"facts"}
 cut off {"at":"2026-
 "#;
@@ -31,7 +31,7 @@
             "sent  left_ms=5000  request=r1  worker=w-1",
             "stream interrupted  reason=worker silent  request=r1  worker=w-1",
             "store lost",
-            "stream goes on  request=r1  worker=w-2",
+            "stream resumed  request=r1  worker=w-2",
         ]
     );
     assert!(story.starts_with("10:00:03.000  entry-1"));
@@ -63,13 +63,13 @@
     let last = story.lines().last().unwrap_or("");
     assert_eq!(
         last,
-        "=> entry-1 ended without a word and was started again; its last line before is of 10:00:01.200"
+        "=> entry-1 ended without logging a stop and was restarted; its last line before that is from 10:00:01.200"
     );
     assert!(!explain("r2", &lines("entry-1", killed)).contains("=>"));
 
     let gone = killed.split("{\"at\":\"2026-12-02T10:00:04").next();
     let story = explain("r1", &lines("entry-1", gone.unwrap_or("")));
-    assert!(story.contains("=> entry-1 says nothing more"), "{story}");
+    assert!(story.contains("=> entry-1 logged nothing more"), "{story}");
 }
 
 /// An item runs after its job has ended. `explain` must show which process ended the job
--- a/tests/keeper_process.rs
+++ b/tests/keeper_process.rs
@@ -175,7 +175,7 @@
         std::fs::create_dir(slot).expect("nothing is written yet");
     }
     assert_eq!(vm.put("job", b"so far"), 200);
-    vm.wait_until_logged("disk refuses a write");
+    vm.wait_until_logged("disk write failed");
     for slot in &slots {
         std::fs::remove_dir(slot).expect("it is empty");
     }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -38,7 +38,7 @@
     faults: false,
     changes: true,
     stops: false,
-    callers: Callers::SomeInVain,
+    callers: Callers::SomeCrashWorkers,
 };
 
 fn run_soak(seed: u64, seconds: u64, mode: &SoakMode) {
--- a/tests/stops/entry.rs
+++ b/tests/stops/entry.rs
@@ -139,7 +139,7 @@
     let mut within_body = Connection::connect(daemon.address).expect("connected");
     within_body.send(&head[..head.len() - 1]).expect("sent");
     daemon.signal(Signal::SIGTERM);
-    daemon.wait_for_line("Stopping: nothing new is taken.");
+    daemon.wait_for_line("Stopping: accepting no new work.");
     // A daemon that does not count half-sent requests has exited after this pause.
     thread::sleep(Duration::from_millis(500));
     within_head.send(&body[20..]).ok();
@@ -166,7 +166,7 @@
             .closes_connection()
     );
     daemon.signal(Signal::SIGTERM);
-    daemon.wait_for_line("Stopping: not ready any more.");
+    daemon.wait_for_line("Stopping: no longer ready.");
     let answer = connection.ask(&models_request()).expect("an answer");
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(answer.closes_connection(), "{answer:?}");
@@ -205,7 +205,7 @@
     let mut upload = Connection::connect(daemon.address).expect("connected");
     upload.send(&head).expect("sent");
     daemon.signal(Signal::SIGTERM);
-    daemon.wait_for_line("Stopping: nothing new is taken.");
+    daemon.wait_for_line("Stopping: accepting no new work.");
     upload.send(&line).expect("sent");
     let answer = upload.answer().expect("an answer");
     assert_eq!(answer.status, 201, "{answer:?}");
--- a/tests/stops/signals.rs
+++ b/tests/stops/signals.rs
@@ -65,10 +65,10 @@
     daemon.wait_until_ready();
     let answer_thread = running_booking(&site, &daemon, "twice");
     daemon.signal(Signal::SIGTERM);
-    daemon.wait_for_line("Stopping: not ready any more.");
+    daemon.wait_for_line("Stopping: no longer ready.");
     daemon.signal(Signal::SIGTERM);
     daemon.signal(Signal::SIGHUP);
-    daemon.wait_for_line("Stopping: nothing new is taken.");
+    daemon.wait_for_line("Stopping: accepting no new work.");
     daemon.signal(Signal::SIGTERM);
     let answer = answer_thread
         .join()
@@ -87,7 +87,7 @@
     daemon.wait_until_ready();
     let answer_thread = running_booking(&site, &daemon, "impatient");
     daemon.signal(Signal::SIGINT);
-    daemon.wait_for_line("Stopping: not ready any more.");
+    daemon.wait_for_line("Stopping: no longer ready.");
     daemon.signal(Signal::SIGINT);
     let status = daemon.wait_for_exit();
     assert_eq!(status.code(), Some(EXIT_REQUESTS_CUT), "{}", daemon.log());
@@ -105,5 +105,5 @@
     daemon.signal(Signal::SIGTERM);
     let status = daemon.wait_for_exit();
     assert!(status.success(), "{}", daemon.log());
-    assert!(daemon.log().contains("Stopped; nothing was cut."));
+    assert!(daemon.log().contains("Stopped; no work was interrupted."));
 }
