--- a/crates/bluebellreel_chunk/src/error.rs
+++ b/crates/bluebellreel_chunk/src/error.rs
@@ -6,7 +6,7 @@
 /// The reason why a chunk could not be stored or read.
 #[derive(Debug)]
 pub enum StoreError {
-    /// The disk is full, or the chunks have reached their limit on it.
+    /// The disk is full, or its chunks have reached their size limit.
     Full,
     /// The volume is being moved or was moved; the writer's record of it is stale.
     Moved,
--- a/crates/bluebellreel_chunk/src/store.rs
+++ b/crates/bluebellreel_chunk/src/store.rs
@@ -21,7 +21,7 @@
 const PARTIAL_SUFFIX: &str = ".part";
 /// Suffix of files whose bytes do not match the digest in their name.
 const DAMAGED_SUFFIX: &str = ".damaged";
-/// Length of a chunk's name in characters.
+/// Length in characters of a chunk's digest, which is also its file name.
 const DIGEST_LENGTH: usize = 64;
 
 /// Limits of the space for chunks on a disk.
--- a/crates/bluebellreel_dispatch/src/catalog.rs
+++ b/crates/bluebellreel_dispatch/src/catalog.rs
@@ -248,7 +248,7 @@
         false
     }
 
-    /// Removes the workers whose time to register again is over. A removal counts from
+    /// Removes the workers whose time to register again has passed. A removal counts from
     /// the revision up to which everything is known: the workers were absent by then,
     /// and peers that have synchronised up to that revision in the meantime were sent
     /// them as listed. A removal with a lower revision would not reach these peers.
--- a/crates/bluebellreel_dispatch/src/place.rs
+++ b/crates/bluebellreel_dispatch/src/place.rs
@@ -276,8 +276,8 @@
     pub events: u64,
 }
 
-/// Batch runs that must yield now: as many as a worker has beyond its slots, and all
-/// runs at a draining worker.
+/// Batch runs of this daemon that must yield now: its share of the runs beyond a worker's
+/// slots, and all its runs at a draining worker.
 ///
 /// The run that has generated the least yields first. Its output is kept and the item
 /// resumes elsewhere, so the cost is processing that output and the prompt once more.
--- a/crates/bluebellreel_dispatch/src/suspects/mod.rs
+++ b/crates/bluebellreel_dispatch/src/suspects/mod.rs
@@ -27,8 +27,8 @@
 pub use trial::may_try;
 
 /// Number of crashes after which a request is quarantined. A lower number would
-/// quarantine requests that met two crashes by accident; each additional crash costs all
-/// the runs at one more worker.
+/// quarantine requests that ran during two crashes by accident; each additional crash
+/// costs all the runs at one more worker.
 const QUARANTINE_CRASHES: u32 = 3;
 /// Duration of the first quarantine. A request that was present at the same three
 /// crashes by accident cannot be distinguished from their cause; the first run of either
@@ -40,10 +40,9 @@
 /// Quarantine of a batch item after one more crash; it doubles with each further one.
 /// Only the job's owner sends the item, and the item holds up its whole job.
 const BATCH_QUARANTINE: Duration = Duration::from_secs(15);
-/// Maximum quarantine; a request that workers have become able to run waits this long at
-/// most.
+/// Maximum quarantine. A request that workers can now run waits this long at most.
 const MAX_QUARANTINE: Duration = Duration::from_mins(10);
-/// How long a crash is kept.
+/// How long a crash counts; older ones are evicted.
 const CRASH_RETENTION: Duration = Duration::from_mins(30);
 /// Maximum duration of a trial run before the next one is allowed.
 const MAX_TRIAL: Duration = Duration::from_secs(10);
--- a/crates/bluebellreel_dispatch/src/suspects/trial.rs
+++ b/crates/bluebellreel_dispatch/src/suspects/trial.rs
@@ -4,7 +4,7 @@
 use bluebellreel_types::{EntryName, Moment};
 use twox_hash::XxHash64;
 
-/// Whether a daemon may run a request on trial, now that its quarantine is over.
+/// Whether a daemon may run a request on trial, now that its quarantine has ended.
 ///
 /// At first one of `daemons` may, and twice as many after each second. If all were
 /// allowed at once, many daemons would run a request that is repeated some times a
--- a/crates/bluebellreel_entry/src/jobs/store.rs
+++ b/crates/bluebellreel_entry/src/jobs/store.rs
@@ -309,7 +309,7 @@
     Over(Box<JobRecord>),
     /// There is no such job.
     NoSuchJob,
-    /// The cancellation was not confirmed; `unknown` tells whether it may have taken
+    /// The cancellation was not confirmed; `unknown` states whether it may have taken
     /// effect.
     Failed {
         /// Whether the cancellation may have taken effect.
--- a/crates/bluebellreel_entry/src/readiness.rs
+++ b/crates/bluebellreel_entry/src/readiness.rs
@@ -36,7 +36,7 @@
         self.manifest_read.load(Ordering::SeqCst)
     }
 
-    /// Updates readiness. `all_tried` tells whether a connection to every worker that
+    /// Updates readiness. `all_tried` states whether a connection to every worker that
     /// the daemon needs has been attempted once.
     ///
     /// A daemon that became ready earlier, or before it has read the manifest, would
--- a/crates/bluebellreel_experiment/src/engine.rs
+++ b/crates/bluebellreel_experiment/src/engine.rs
@@ -55,7 +55,7 @@
         self.ids.remove(&id);
     }
 
-    /// Drops all attempts after the engine went down, and returns them.
+    /// Drops all attempts because the engine went down, and returns them.
     pub(crate) fn drop_all(&mut self) -> Vec<AttemptId> {
         let mut lost: Vec<AttemptId> = self.ids.drain().map(|(_, attempt)| attempt).collect();
         lost.sort_unstable();
--- a/crates/bluebellreel_faults/tests/claims.rs
+++ b/crates/bluebellreel_faults/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Resends of a call that may not be repeated while the first send is in progress.
+//! Tests that send a non-repeatable call again while its first send is in progress.
 
 use bluebellreel_claim::ClaimState;
 use bluebellreel_entry::bench::EntryHarness;
--- a/crates/bluebellreel_job/src/owned/report.rs
+++ b/crates/bluebellreel_job/src/owned/report.rs
@@ -114,9 +114,9 @@
             ItemEnd::Succeeded { body, .. } => body.len(),
             ItemEnd::Failed { reason, .. } => reason.len(),
         };
-        // Not while a write is in progress: setting the time would send the same
-        // write a second time, and the later of the two would be taken for a write
-        // of another owner.
+        // While a write is in progress, `flush_at` is the time of its retry. Setting
+        // it here would send the same write a second time, and the later of the two
+        // would be taken for a write of another owner.
         if self.unrecorded.is_empty() && self.recording.is_none() {
             self.flush_at = now + self.limits.group_wait;
         }
--- a/crates/bluebellreel_job/src/record.rs
+++ b/crates/bluebellreel_job/src/record.rs
@@ -80,7 +80,7 @@
     /// Identifies this upload's chunks. A concurrent resend of the same job writes its
     /// chunks under another upload id.
     pub upload: String,
-    /// The model or service that its items call.
+    /// The model or service that runs its items.
     pub target: JobTarget,
     /// When it was accepted.
     pub accepted_at: Moment,
--- a/crates/bluebellreel_keeper/src/keeper.rs
+++ b/crates/bluebellreel_keeper/src/keeper.rs
@@ -48,7 +48,8 @@
     /// Changes that are not on the disk yet.
     pub(crate) pending_snapshot: PendingWrite,
     pub(crate) pending_progress: PendingWrite,
-    /// Whether new backups are refused because the last write is in progress.
+    /// Whether new backups are refused because the last write before the process ends
+    /// has begun.
     pub(crate) closed: Cell<bool>,
     /// Number of visits in progress.
     pub(crate) visits: Cell<usize>,
--- a/crates/bluebellreel_kv/src/client.rs
+++ b/crates/bluebellreel_kv/src/client.rs
@@ -107,7 +107,7 @@
         &self.settings.url
     }
 
-    /// Number of calls made so far.
+    /// Numbers of writes, reads and failed calls so far.
     #[must_use]
     pub fn counts(&self) -> KvCounts {
         KvCounts {
--- a/crates/bluebellreel_members/src/peer.rs
+++ b/crates/bluebellreel_members/src/peer.rs
@@ -62,9 +62,9 @@
 pub struct MemberEntry {
     /// Incarnation of the daemon.
     pub run: Incarnation,
-    /// Address for calls of peers.
+    /// Address for calls from peers.
     pub calls: SocketAddr,
-    /// Address for reports.
+    /// Address for reports from peers.
     pub reports: SocketAddr,
 }
 
@@ -88,9 +88,9 @@
 pub struct Peer {
     /// Incarnation of the peer.
     pub run: Incarnation,
-    /// Address for calls of peers.
+    /// Address for calls from peers.
     pub calls: SocketAddr,
-    /// Address for reports.
+    /// Address for reports from peers.
     pub reports: SocketAddr,
     /// When its last report arrived; none if only its registration is known.
     pub last_report_at: Option<Moment>,
--- a/crates/bluebellreel_members/tests/divergence.rs
+++ b/crates/bluebellreel_members/tests/divergence.rs
@@ -116,7 +116,7 @@
     assert!(!asked.is_empty(), "no request in 100 s");
 }
 
-/// Guards that two daemons which overtake each other in turn still ask each other.
+/// Guards that two daemons which overtake each other in turn still send requests.
 #[test]
 fn lists_that_overtake_each_other_cause_requests() {
     let asked = requests(400, |tick| {
@@ -126,8 +126,8 @@
     assert!(!asked.is_empty(), "no request in 100 s");
 }
 
-/// A peer with an earlier revision asks by itself and has nothing to offer. Daemons of
-/// earlier versions report no list.
+/// A peer with an earlier revision sends a request itself and has no newer facts. Daemons
+/// of earlier versions report no list.
 #[test]
 fn peers_behind_and_peers_without_a_list_are_not_asked() {
     let peers = vec![list(8, 4), list(7, 6), WorkerList::default()];
@@ -185,9 +185,9 @@
     assert_eq!(later.first(), Some(&&(404, SyncRequest::Changes)));
 }
 
-/// A worker leaves, and only a daemon that starts afterwards knows it. The newest fact
-/// of that daemon is older than the knowledge of its peers, which kept the worker until
-/// the next change.
+/// Guards against keeping a removed worker. Only a daemon that started after the removal
+/// lacked the worker. The newest fact of that daemon was older than its peers' revision,
+/// so the peers kept the worker until the next change.
 #[test]
 fn a_removal_without_a_newer_revision_is_found() {
     let mut stale = Catalog::default();
@@ -227,8 +227,8 @@
 }
 
 proptest! {
-    /// Daemons list, watch, restart and learn from each other in any order, and then
-    /// only compare lists. All of them end with the list of the one daemon that still
+    /// Daemons list, watch, restart and fetch facts from each other in any order, and
+    /// then only compare lists. All of them end with the list of the one daemon that still
     /// watches the store.
     #[test]
     fn lists_converge(
--- a/crates/bluebellreel_model/src/segments.rs
+++ b/crates/bluebellreel_model/src/segments.rs
@@ -30,7 +30,7 @@
     pub number: bool,
     /// A write whose outcome is unknown is repeated with the same items.
     pub unchanged: bool,
-    /// A daemon that takes a job over reads the recorded segments first.
+    /// A daemon that takes a job over reads the recorded segments before it writes.
     pub read_back: bool,
 }
 
--- a/crates/bluebellreel_model/src/snapshot.rs
+++ b/crates/bluebellreel_model/src/snapshot.rs
@@ -56,7 +56,7 @@
     OtherService,
 }
 
-/// A copy of the store's state.
+/// The store's state, or a copy of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Known {
     version: u8,
--- a/crates/bluebellreel_net/src/connection.rs
+++ b/crates/bluebellreel_net/src/connection.rs
@@ -1,6 +1,6 @@
 //! State and byte stream of a served connection.
 //!
-//! A stopping server must tell an idle connection from one on which part of a
+//! A stopping server must distinguish an idle connection from one on which part of a
 //! request has arrived: it may close the first and has to answer the second. The
 //! HTTP library closes both, so this module tracks the bytes of each connection
 //! itself.
--- a/crates/bluebellreel_net/src/pool.rs
+++ b/crates/bluebellreel_net/src/pool.rs
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     ///
-    /// The error tells whether the server may have received the request.
+    /// The error states whether the server may have received the request.
     pub async fn send(
         &self,
         address: SocketAddr,
--- a/crates/bluebellreel_net/src/server.rs
+++ b/crates/bluebellreel_net/src/server.rs
@@ -271,7 +271,7 @@
 }
 
 /// Serves a connection of a stopping server until no part of a further request has
-/// arrived on it, then closes it. If told to shut down earlier, the HTTP library
+/// arrived on it, then closes it. If shut down earlier, the HTTP library
 /// drops requests that are unread or half read, and closes a new connection before
 /// its first request has arrived.
 async fn close_when_idle<S>(
--- a/crates/bluebellreel_net/tests/stop.rs
+++ b/crates/bluebellreel_net/tests/stop.rs
@@ -118,9 +118,9 @@
 }
 
 /// Guards against dropping a pipelined request. A caller writes two requests at
-/// once; the server stops during the first response, whose head had promised to
-/// keep the connection open. The second request had been read by then and was
-/// dropped without a response.
+/// once, and the server stops during the first response, whose head did not
+/// announce the end of the connection. The second request had been read by then
+/// and was dropped without a response.
 #[test]
 fn a_request_behind_another_is_answered() {
     Server::test(|server| async move {
--- a/crates/bluebellreel_rpc/src/side.rs
+++ b/crates/bluebellreel_rpc/src/side.rs
@@ -147,7 +147,7 @@
     hello: SideHello,
     notify: Notify,
     shared: Rc<RefCell<Shared>>,
-    /// The connected entry daemon's name, known after its hello call.
+    /// The connected entry daemon's name; none before its hello call.
     entry: RefCell<Option<EntryName>>,
 }
 
--- a/crates/bluebellreel_snapshot/src/slot.rs
+++ b/crates/bluebellreel_snapshot/src/slot.rs
@@ -1,8 +1,8 @@
 //! The two slots on disk that a snapshot is written to alternately.
 //!
 //! A power loss during a write leaves that slot torn, while the other slot still holds
-//! the previous snapshot. A sequence number tells which slot is newer, never the time
-//! or name of a file.
+//! the previous snapshot. The newer slot is found by a sequence number, never by the
+//! time or name of a file.
 
 use std::fmt;
 use twox_hash::XxHash64;
--- a/crates/bluebellreel_snapshot/src/snapshot.rs
+++ b/crates/bluebellreel_snapshot/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot that a keeper holds.
+//! A keeper's snapshot of the configuration, the workers and the gateways.
 
 use crate::SharedFacts;
 use bluebellreel_dispatch::Catalog;
@@ -20,7 +20,7 @@
 /// A gateway that a keeper visits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownGateway {
-    /// Address for calls of peers.
+    /// Address for calls from peers.
     pub calls: SocketAddr,
     /// Its data centre, if it has reported one.
     pub data_centre: Option<DataCentre>,
--- a/crates/bluebellreel_standins/src/vm_list.rs
+++ b/crates/bluebellreel_standins/src/vm_list.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// The VM runs and stays.
+    /// The VM runs and is not to be removed.
     Live,
     /// The platform will remove the VM.
     Leaving,
--- a/crates/bluebellreel_types/src/work.rs
+++ b/crates/bluebellreel_types/src/work.rs
@@ -123,7 +123,7 @@
     pub end: AttemptEnd,
 }
 
-/// How long after a call's deadline the side process remembers the outcome of a
+/// How long after a call's deadline the side process stores the outcome of a
 /// call that must not be repeated, or its promise to refuse that call.
 pub const OUTCOME_RETENTION: Duration = Duration::from_hours(1);
 /// How long after a call's deadline the answer [`AttemptVerdict::NeverSeen`] is
