--- a/crates/bluebellreel_batch/src/open_job.rs
+++ b/crates/bluebellreel_batch/src/open_job.rs
@@ -1,4 +1,4 @@
-//! Values of the index of open jobs.
+//! Encoding of the values in the index of open jobs.
 
 use crate::{JobRecord, RecordError};
 use std::sync::Arc;
--- a/crates/bluebellreel_dispatch/src/suspects/mod.rs
+++ b/crates/bluebellreel_dispatch/src/suspects/mod.rs
@@ -34,13 +34,13 @@
 /// crashes by accident cannot be distinguished from their cause; the first run of either
 /// request after this time decides.
 const INITIAL_QUARANTINE: Duration = Duration::from_secs(2);
-/// Quarantine of a caller's request after one more crash; it doubles with each further
-/// one. Callers repeat requests within seconds.
+/// Second quarantine of a caller's request, after one more crash; it doubles with each
+/// further one. Longer than for batch items, as callers repeat requests within seconds.
 const ONLINE_QUARANTINE: Duration = Duration::from_mins(1);
-/// Quarantine of a batch item after one more crash; it doubles with each further one.
-/// Only the job's owner sends the item, and the item holds up its whole job.
+/// Second quarantine of a batch item, after one more crash; it doubles with each further
+/// one. Shorter, as only the job's owner sends the item, and its whole job waits for it.
 const BATCH_QUARANTINE: Duration = Duration::from_secs(15);
-/// Maximum quarantine; a request that workers have become able to run waits this long at
+/// Maximum quarantine. Once workers can run the request again, it waits this long at
 /// most.
 const MAX_QUARANTINE: Duration = Duration::from_mins(10);
 /// How long a crash is kept.
--- a/crates/bluebellreel_experiment/src/engine.rs
+++ b/crates/bluebellreel_experiment/src/engine.rs
@@ -1,4 +1,4 @@
-//! An engine of a simulation: the stand-in's model and its faults.
+//! A simulated engine: the stand-in's engine model, with faults.
 
 use bluebellreel_standins::{EngineCosts, EngineModel, Sequence, Step};
 use bluebellreel_types::{AttemptId, Dispatch};
--- a/crates/bluebellreel_faults/src/world.rs
+++ b/crates/bluebellreel_faults/src/world.rs
@@ -58,7 +58,7 @@
     Up,
     /// Calls and messages wait until this time.
     Paused(Moment),
-    /// Restarts at this time as a new incarnation, or never.
+    /// Restarts at this time as a new incarnation; without a time, never.
     Dead(Option<Moment>),
 }
 
--- a/crates/bluebellreel_fleet/src/matcher.rs
+++ b/crates/bluebellreel_fleet/src/matcher.rs
@@ -115,9 +115,9 @@
     }
 }
 
-/// The loads that are missing to match the manifest. For each model, workers that
-/// have it in the right version are chosen first, then those that have it in any
-/// version, then those with the fewest models.
+/// The loads that are still needed to match the manifest. For each model, workers
+/// that have it in the manifest's version are chosen first, then those that have it in
+/// any version, then those with the fewest models.
 fn missing_loads(
     manifest: &Manifest,
     data_centre: &DataCentre,
--- a/crates/bluebellreel_gateway/src/jobs/no_route.rs
+++ b/crates/bluebellreel_gateway/src/jobs/no_route.rs
@@ -1,8 +1,8 @@
 //! Giving up items whose route was removed from the configuration.
 //!
-//! This daemon's configuration may be older than a job's route if the job comes from
-//! a daemon with a newer configuration. Giving up an item is final, so the store must
-//! have confirmed first that no newer configuration exists.
+//! A route may be missing here only because the job comes from a daemon with a newer
+//! configuration than this daemon's. Giving up an item is final, so the store must have
+//! confirmed first that no newer configuration exists.
 
 use super::load::owned_job;
 use super::own::{OwnedJob, RouteMissing};
@@ -22,7 +22,7 @@
 
 /// Notes that an item of a job has no route. If this lasts for
 /// [`MISSING_ROUTE_TIMEOUT`], the store is asked for the newest configuration, and the
-/// job's items without a route are given up if it is the one in force here.
+/// job's items without a route are given up if this daemon already applies it.
 pub(super) fn note_missing_route(gw: &Rc<Gateway>, owned: &Rc<OwnedJob>) {
     let now = gw.now();
     let first = RouteMissing {
--- a/crates/bluebellreel_gateway/src/jobs/takeover.rs
+++ b/crates/bluebellreel_gateway/src/jobs/takeover.rs
@@ -224,7 +224,7 @@
     members.successor(id, Some(gw.me()), gw.now()).as_ref() == Some(gw.me())
 }
 
-/// Whether this daemon is the caretaker and the successor of a job has not taken the
+/// Whether this daemon is the cleanup leader and the successor of a job has not taken the
 /// job over within [`SUCCESSOR_TIMEOUT`]: the successor may consider the owner alive,
 /// or may not reach the store. The write is guarded, so two daemons that claim a job
 /// concurrently do no harm.
--- a/crates/bluebellreel_gateway/src/watching.rs
+++ b/crates/bluebellreel_gateway/src/watching.rs
@@ -266,8 +266,8 @@
         let relist =
             gw.reconnections.get() != std::mem::replace(&mut reconnections, gw.reconnections.get());
         must_list |= relist;
-        // State from a snapshot must be confirmed by the store, by each daemon itself:
-        // if its peers know nothing that it lacks, it fetches nothing from them.
+        // Each daemon must itself have the store confirm state from a snapshot. Peers
+        // cannot do it: a daemon fetches nothing from peers that know nothing newer.
         let is_confirmed = !gw.cluster_state.borrow().is_from_snapshot();
         let known = is_confirmed && (handler.seen)(gw) > 0;
         let is_elected = is_watcher(gw);
--- a/crates/bluebellreel_job/src/record.rs
+++ b/crates/bluebellreel_job/src/record.rs
@@ -143,7 +143,7 @@
     /// The results; empty if they are stored on disks.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub results: Vec<ItemResult>,
-    /// Location of the results on disks, stored as a JSON list.
+    /// Location of the results on disks, where they are stored as a JSON list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub held: Option<HeldChunk>,
 }
--- a/crates/bluebellreel_keeper/src/visit_schedule.rs
+++ b/crates/bluebellreel_keeper/src/visit_schedule.rs
@@ -75,7 +75,7 @@
         now: Moment,
     ) -> bool {
         let all = u32::try_from(self.visits.len()).unwrap_or(u32::MAX);
-        // A gateway that does not answer may be starting and need a snapshot.
+        // A gateway that does not answer may be starting and need a snapshot soon.
         let soon = result.is_near || !result.reached;
         let pause = if soon { NEAR_INTERVAL } else { FAR_INTERVAL };
         let pause = pause.max(VISIT_SPACING.saturating_mul(all));
--- a/crates/bluebellreel_members/src/members.rs
+++ b/crates/bluebellreel_members/src/members.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Number of daemons that watch the store for all. Two, because the store may refuse
-/// one, or its connection may hang, before any daemon notices.
+/// one, or its connection may hang, and it takes time until any daemon notices.
 const WATCHERS: usize = 2;
 
 /// All peers.
@@ -154,8 +154,8 @@
             < WATCHERS
     }
 
-    /// Whether daemon `me` has the lowest name of all alive daemons. It checks jobs
-    /// that their successors leave alone.
+    /// Whether daemon `me` has the lowest name of all alive daemons. That daemon checks
+    /// the jobs that their successors have not taken over in time.
     #[must_use]
     pub fn is_cleanup_leader(&self, me: &EntryName, now: Moment) -> bool {
         self.alive_peers(now).all(|(peer, _)| me < peer)
--- a/crates/bluebellreel_members/tests/members.rs
+++ b/crates/bluebellreel_members/tests/members.rs
@@ -308,7 +308,8 @@
     );
 }
 
-/// Jobs whose tokens count are listed, so that they are not counted twice.
+/// A job is listed as long as its tokens are part of the total of all peers, so that no
+/// caller of the list counts them twice.
 #[test]
 fn jobs_are_listed_as_long_as_their_tokens_count() {
     let names = |members: &Members, now| {
--- a/crates/bluebellreel_model/src/restart.rs
+++ b/crates/bluebellreel_model/src/restart.rs
@@ -19,8 +19,8 @@
 /// Guards of the protocol, each of which can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// The end of a run lowers the run count only for the incarnation that it was sent
-    /// to.
+    /// The end of a run is subtracted only from the run count of the incarnation that
+    /// the run was sent to.
     pub tickets: bool,
     /// A run whose worker has restarted is treated as possibly executed.
     pub in_doubt: bool,
--- a/crates/bluebellreel_routing/src/connections.rs
+++ b/crates/bluebellreel_routing/src/connections.rs
@@ -149,7 +149,7 @@
         known.is_some_and(|known| !known.until.is_past(now))
     }
 
-    /// The workers to hold connections to now.
+    /// Selects the workers to hold connections to, and those to probe.
     #[must_use]
     pub fn plan(&self, needs: &ConnectionNeeds, now: Moment) -> ConnectionPlan {
         if self.ranked.len() <= self.limits.full_mesh_limit {
--- a/crates/bluebellreel_rpc/src/entry/liveness.rs
+++ b/crates/bluebellreel_rpc/src/entry/liveness.rs
@@ -89,7 +89,7 @@
     /// Counts an online attempt as in flight until the guard is dropped.
     pub(super) fn begin_attempt(&self) -> AttemptInFlight<'_> {
         if self.in_flight.get() == 0 {
-            // The timeout starts now, not at some earlier activity.
+            // The silence timeout starts now, not at the last activity before.
             self.record_activity();
         }
         self.in_flight.set(self.in_flight.get() + 1);
--- a/crates/bluebellreel_snapshot/src/snapshot.rs
+++ b/crates/bluebellreel_snapshot/src/snapshot.rs
@@ -14,7 +14,7 @@
 /// Outages last from seconds to minutes. In a fleet that changes its configuration some
 /// thousand times a day, the configuration is a different one after that time.
 pub const SNAPSHOT_TTL: Duration = Duration::from_mins(5);
-/// Maximum number of known gateways; a fleet has some hundred.
+/// Maximum number of known gateways; a fleet has a few hundred.
 const MAX_GATEWAYS: usize = 4096;
 
 /// A gateway that a keeper visits.
--- a/tests/http_limits.rs
+++ b/tests/http_limits.rs
@@ -90,8 +90,8 @@
 fn truncated_job_is_not_accepted() {
     let site = site();
     let model = site.plan.deployment.model();
-    // The HTTP library closes the connection of a truncated short body by itself; a long
-    // one reaches the daemon.
+    // If a short body is truncated, the HTTP library closes the connection itself; only
+    // a long one reaches the daemon.
     let prompt = "x".repeat(1_500);
     let line = format!("{}\n", chat_line("a", model, &prompt, 1));
     let text = head("/v1/batches", line.len() * 2) + &line;
