--- a/crates/bluebellreel_gateway/src/jobs/takeover.rs
+++ b/crates/bluebellreel_gateway/src/jobs/takeover.rs
@@ -24,14 +24,14 @@
 /// Interval between scans while jobs without an owner remain, as on a daemon that has
 /// just started, or while scans fail. Also the delay of a scan that was requested.
 const SCAN_INTERVAL_SHORT: Duration = Duration::from_millis(900);
-/// Interval between scans on daemons that rely on the caretaker's scans: the loss of
-/// the caretaker itself wakes them.
+/// Interval between scans on daemons that rely on the cleanup leader's scans: the loss of
+/// the cleanup leader itself wakes them.
 const SCAN_INTERVAL_LONG: Duration = Duration::from_secs(20);
 /// Delay of the first scan after the start, until peers have reported: they report four
 /// times a second, and to a new daemon once they have received its first report. If
 /// the whole fleet was killed, no job runs until this scan.
 const FIRST_SCAN_DELAY: Duration = Duration::from_millis(600);
-/// How long a job without an owner is left to its successor before the caretaker takes
+/// How long a job without an owner is left to its successor before the cleanup leader takes
 /// it over.
 const SUCCESSOR_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long a live owner may omit a job from its reports before it is notified that it
@@ -165,7 +165,7 @@
 
 /// Leaves a job to its live owner, which does not report it and may not know that it
 /// owns the job. Returns when the owner is to be notified; `None` if it has been
-/// notified now, needs no notification, or is left to the caretaker.
+/// notified now, needs no notification, or is left to the cleanup leader.
 fn leave_to_owner(
     gw: &Rc<Gateway>,
     id: &JobId,
