--- a/crates/bluebellreel_admission/src/event.rs
+++ b/crates/bluebellreel_admission/src/event.rs
@@ -72,7 +72,7 @@
         /// How it ended.
         end: EngineEnd,
     },
-    /// An entry daemon asks to cancel an attempt, or for its outcome.
+    /// An entry daemon requests the cancellation or the outcome of an attempt.
     CancelAsked {
         /// The attempt.
         attempt: AttemptId,
--- a/crates/bluebellreel_dispatch/src/board.rs
+++ b/crates/bluebellreel_dispatch/src/board.rs
@@ -312,8 +312,8 @@
         self.peers.insert(peer.clone(), load);
     }
 
-    /// Stops counting peers whose report has expired: their runs ended with them, or
-    /// will.
+    /// Stops counting the runs of peers whose report has expired: a daemon's runs end
+    /// when it stops.
     pub fn evict_expired_peers(&mut self, now: Moment) {
         let before = self.peers.len();
         self.peers.retain(|_, load| !load.expires_at.is_past(now));
@@ -360,8 +360,8 @@
     }
 }
 
-/// The view that a peer's runs count for. A peer may not yet know that a worker has
-/// restarted; the runs that it reports are gone then.
+/// The view of the worker at which a peer's runs are counted; none if the worker has
+/// restarted since, as those runs no longer exist.
 fn view_for_peer_run<'a>(
     views: &'a mut BTreeMap<WorkerName, WorkerView>,
     id: &WorkerName,
--- a/crates/bluebellreel_dispatch/src/catalog.rs
+++ b/crates/bluebellreel_dispatch/src/catalog.rs
@@ -22,7 +22,7 @@
 
 /// Identifies one incarnation of a worker.
 ///
-/// A worker may restart under the same id; it then holds nothing of what it held before.
+/// A worker may restart under the same id; its earlier runs are then lost.
 /// Incarnations are only equal or different, never earlier or later: the number is taken
 /// from the worker's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -32,9 +32,9 @@
 /// A short hash that identifies one incarnation of a worker in messages between daemons
 /// that all know the worker.
 ///
-/// Ids have some twelve bytes, and daemons name each worker to each other some fifty
-/// times a second. Among 1,900 workers two have the same tag in one of 2,400 fleets;
-/// their runs are then counted for one of them.
+/// Ids have some twelve bytes, and daemons send them to each other some fifty times
+/// a second. In one of 2,400 fleets of 1,900 workers, two workers have the same tag;
+/// the runs of both are then counted for one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WorkerTag(pub u32);
@@ -129,7 +129,7 @@
     /// is not a usable record. Returns whether anything changed.
     ///
     /// Another writer may have overwritten the worker's key. The worker's previous
-    /// record no longer holds then, so the worker gets nothing new; other workers are
+    /// record is then no longer valid, so the worker gets no new work; other workers are
     /// unaffected.
     pub fn take(&mut self, revision: i64, id: &WorkerName, record: Option<WorkerRecord>) -> bool {
         match record {
@@ -269,7 +269,7 @@
     }
 
     /// A digest of the listed workers and of the revision of each one's fact. Equal
-    /// lists have equal digests, whichever way the facts came.
+    /// lists have equal digests, whatever the source of the facts.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
@@ -289,7 +289,7 @@
     }
 
     /// Facts after a revision, for a peer: removed workers come without a record.
-    /// Removals at that same revision are included, as this daemon may have learned of
+    /// Removals at that same revision are included, as this daemon may have received
     /// them after the peer synchronised up to it.
     pub fn facts_after(
         &self,
--- a/crates/bluebellreel_dispatch/src/overload.rs
+++ b/crates/bluebellreel_dispatch/src/overload.rs
@@ -3,7 +3,7 @@
 //! Load comes in waves of some seconds and in bursts of unknown length. A caller that
 //! retries into the same wave is refused again or waits in a long queue, and most
 //! callers retry only once. How long an overload will last is not known; the best
-//! estimate is that it goes on for as long as it has lasted.
+//! estimate of the remaining time is the time that it has already lasted.
 
 use bluebellreel_types::Moment;
 use std::collections::BTreeMap;
--- a/crates/bluebellreel_dispatch/src/place.rs
+++ b/crates/bluebellreel_dispatch/src/place.rs
@@ -128,8 +128,8 @@
 /// worker.
 ///
 /// The request stays in the queue if no other worker accepts it. It leaves a worker
-/// whose other streams go on only for a free slot: a place in a second queue is no
-/// better than its place in the first.
+/// whose other streams still produce events only for a free slot: a place in a second
+/// queue is no better than its place in the first.
 #[must_use]
 pub fn should_reroute(board: &Board, query: &Query, worker: &WorkerName) -> bool {
     let Placement::Send(other) = place_online(board, query) else {
@@ -175,7 +175,7 @@
 /// Chooses a worker with a free slot for a batch item.
 ///
 /// If several daemons take the same free slot at the same moment, the worker has too
-/// many runs and one of them has to yield at once. Each worker's free slots therefore
+/// many runs and one of them has to yield immediately. Each worker's free slots therefore
 /// belong to one daemon: among the daemons with waiting items, one in the worker's data
 /// centre if there is any, selected by rendezvous hashing. An item's output, some 15 KB,
 /// then crosses data centres only if its own data centre has no slot for it. Some slots
--- a/crates/bluebellreel_dispatch/src/routes.rs
+++ b/crates/bluebellreel_dispatch/src/routes.rs
@@ -13,7 +13,7 @@
     Unsafe,
     /// Answered by a stream of events.
     Stream,
-    /// Carries batch jobs.
+    /// Accepts batch jobs.
     Batch,
 }
 
@@ -50,7 +50,7 @@
     pub max_workers: u32,
     /// Whether a stream may resume at another worker.
     pub resumable: bool,
-    /// Maximum pause between events that still counts as on time.
+    /// Longest pause between two events of a stream that still meets the objective.
     pub pause: Duration,
     /// Maximum number of tokens of this job route that may be waiting; zero for no
     /// limit.
--- a/crates/bluebellreel_dispatch/tests/restarts.rs
+++ b/crates/bluebellreel_dispatch/tests/restarts.rs
@@ -290,7 +290,7 @@
                 Step::Start => runs.push((incarnations, board.start(&id(), Class::Online))),
                 Step::End(index) if !runs.is_empty() => {
                     let (_, ticket) = runs.remove(index.index(runs.len()));
-                    // An incarnation number that is used twice cannot be told apart.
+                    // Two incarnations with the same number cannot be distinguished.
                     board.end(&ticket);
                 }
                 Step::Restart(boot) if boot > present => {
--- a/crates/bluebellreel_dispatch/tests/suspects_fleet.rs
+++ b/crates/bluebellreel_dispatch/tests/suspects_fleet.rs
@@ -217,7 +217,7 @@
     check_fleet(410, 1900);
 }
 
-/// A daemon that starts in a large fleet learns of the quarantine within seconds.
+/// A daemon that starts in a large fleet receives the quarantine within seconds.
 #[test]
 fn a_daemon_that_starts_later_learns_of_the_quarantine() {
     let bad = Fingerprint::of(&[b"bad"]);
--- a/crates/bluebellreel_routing/src/event.rs
+++ b/crates/bluebellreel_routing/src/event.rs
@@ -76,7 +76,7 @@
     ClaimRecorded(AttemptId),
     /// A claim could not be recorded, and never will be.
     ClaimFailed(AttemptId),
-    /// The key was already claimed: the caller is told the earlier request's state.
+    /// The key was already claimed: the caller receives the earlier request's state.
     ClaimTaken(AttemptId),
     /// An outcome has been recorded, or recording it was given up.
     OutcomeRecorded(RequestId),
@@ -100,7 +100,7 @@
         /// The worker's load, if it reported one.
         load: Option<LoadReport>,
     },
-    /// A side process has reported what it knows of an attempt.
+    /// A side process has reported the state of an attempt.
     VerdictArrived {
         /// The attempt.
         attempt: AttemptId,
--- a/crates/bluebellreel_routing/src/limits.rs
+++ b/crates/bluebellreel_routing/src/limits.rs
@@ -23,7 +23,7 @@
     pub online_per_worker: u32,
     /// Age at which a load report no longer counts.
     pub load_report_ttl: Duration,
-    /// Maximum time to wait for an outcome to be recorded before the caller is told.
+    /// Maximum time to wait for an outcome to be recorded before the caller is answered.
     pub record_timeout: Duration,
 }
 
--- a/crates/bluebellreel_routing/src/request.rs
+++ b/crates/bluebellreel_routing/src/request.rs
@@ -39,7 +39,7 @@
     Recording {
         /// The outcome.
         outcome: Outcome,
-        /// When the caller is told even if the outcome has not been recorded.
+        /// When the caller is answered even if the outcome has not been recorded.
         until: Moment,
     },
 }
