--- a/crates/bluebellreel_admission/src/admit.rs
+++ b/crates/bluebellreel_admission/src/admit.rs
@@ -18,7 +18,7 @@
             effects.push(Effect::SendEnd { attempt, end });
             return;
         }
-        // A duplicate dispatch: the first one's answer will follow.
+        // A duplicate dispatch: the answer to the first dispatch will follow.
         Some(LedgerEntry::Open) => return,
         Some(LedgerEntry::Ended(end)) => {
             let end = end.clone();
--- a/crates/bluebellreel_admission/src/engine_timings.rs
+++ b/crates/bluebellreel_admission/src/engine_timings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// A new sample has a weight of one divided by this in the running means.
+/// Divisor that gives a new sample's weight in the running means.
 const SMOOTHING_DIVISOR: u64 = 8;
 
 /// Running means of the engine's latencies, in µs; zero before a measurement.
--- a/crates/bluebellreel_admission/src/ledger.rs
+++ b/crates/bluebellreel_admission/src/ledger.rs
@@ -2,7 +2,7 @@
 //!
 //! The ledger prevents a call from running twice. Cancelling an attempt that has
 //! not arrived yet leaves a tombstone, so that its delayed dispatch is refused
-//! when it arrives and the answer "not run" stays true. Ended attempts are kept,
+//! when it arrives and the answer "not run" remains correct. Ended attempts are kept,
 //! so that an entry daemon that lost the answer can still read it.
 
 use bluebellreel_types::{AttemptEnd, AttemptId, BrokenReason, Moment};
--- a/crates/bluebellreel_dispatch/src/board.rs
+++ b/crates/bluebellreel_dispatch/src/board.rs
@@ -313,7 +313,7 @@
     }
 
     /// Stops counting the runs of peers whose report has expired: a daemon's runs end
-    /// when it stops.
+    /// with it or soon after.
     pub fn evict_expired_peers(&mut self, now: Moment) {
         let before = self.peers.len();
         self.peers.retain(|_, load| !load.expires_at.is_past(now));
@@ -361,7 +361,7 @@
 }
 
 /// The view of the worker at which a peer's runs are counted; none if the worker has
-/// restarted since, as those runs no longer exist.
+/// restarted, as those runs no longer exist. The peer may not know of the restart yet.
 fn view_for_peer_run<'a>(
     views: &'a mut BTreeMap<WorkerName, WorkerView>,
     id: &WorkerName,
--- a/crates/bluebellreel_dispatch/src/routes.rs
+++ b/crates/bluebellreel_dispatch/src/routes.rs
@@ -50,7 +50,7 @@
     pub max_workers: u32,
     /// Whether a stream may resume at another worker.
     pub resumable: bool,
-    /// Longest pause between two events of a stream that still meets the objective.
+    /// Maximum pause between two events of a stream that still counts as on time.
     pub pause: Duration,
     /// Maximum number of tokens of this job route that may be waiting; zero for no
     /// limit.
--- a/crates/bluebellreel_routing/src/attempt.rs
+++ b/crates/bluebellreel_routing/src/attempt.rs
@@ -158,7 +158,7 @@
     }
 }
 
-/// Decides what the end of an attempt means for its request.
+/// Ends or retries a request whose attempt has ended.
 pub(crate) fn apply_end(
     router: &mut Router,
     id: RequestId,
--- a/crates/bluebellreel_routing/src/lifecycle.rs
+++ b/crates/bluebellreel_routing/src/lifecycle.rs
@@ -125,8 +125,8 @@
         Some(present) if present == incarnation => {
             effects.push(Effect::Cancel { worker, attempt });
         }
-        // Another incarnation of the side process knows nothing of the calls of the
-        // previous one: whether this call ran can no longer be determined.
+        // Another incarnation of the side process has no record of the calls of
+        // the previous one: whether this call ran can no longer be determined.
         Some(_) => conclude(router, id, Outcome::Unknown, now, effects),
         None => {}
     }
--- a/crates/bluebellreel_routing/src/limits.rs
+++ b/crates/bluebellreel_routing/src/limits.rs
@@ -21,7 +21,7 @@
     /// Number of online requests per worker up to which they are concentrated on few
     /// workers; zero spreads them over all workers.
     pub online_per_worker: u32,
-    /// Age at which a load report no longer counts.
+    /// Age from which a load report is ignored.
     pub load_report_ttl: Duration,
     /// Maximum time to wait for an outcome to be recorded before the caller is answered.
     pub record_timeout: Duration,
--- a/crates/bluebellreel_routing/src/retry_budget.rs
+++ b/crates/bluebellreel_routing/src/retry_budget.rs
@@ -6,8 +6,8 @@
 
 /// Balance units that one retry costs.
 const UNITS_PER_RETRY: u32 = 100;
-/// Maximum number of saved retries. A worker that dies interrupts as many streams as it
-/// held at once, and each of them has to resume elsewhere.
+/// Maximum number of saved retries. A worker that dies interrupts all its streams
+/// at the same time, and each of them has to resume elsewhere.
 const MAX_SAVED_RETRIES: u32 = 64;
 
 /// Balance of retries.
--- a/crates/bluebellreel_routing/src/step.rs
+++ b/crates/bluebellreel_routing/src/step.rs
@@ -69,7 +69,7 @@
     if worker.incarnation != Some(hello.incarnation) {
         worker.in_flight = 0;
     }
-    // The previous incarnation left as planned, which is no reason to distrust the new
+    // The previous incarnation left as planned, which is no sign of a fault in the new
     // one.
     if worker.side_leaving {
         worker.health = Health::default();
