--- a/crates/bluebellreel_dispatch/tests/batch_placement.rs
+++ b/crates/bluebellreel_dispatch/tests/batch_placement.rs
@@ -35,8 +35,8 @@
     assert_eq!(batch_to_yield(&board, &runs), [3]);
 }
 
-/// Two daemons have batch runs at a worker that receives one run too many, and both know
-/// it. If each gave up the whole excess, slots would stay unused; if neither did, the
+/// Two daemons have batch runs at a worker that receives one run too many, and both daemons'
+/// boards show this. If each gave up the whole excess, slots would stay unused; if neither did, the
 /// caller would wait behind an item.
 #[test]
 fn daemons_share_the_runs_that_must_yield() {
--- a/crates/bluebellreel_dispatch/tests/suspects_fleet.rs
+++ b/crates/bluebellreel_dispatch/tests/suspects_fleet.rs
@@ -1,8 +1,8 @@
 //! A request that crashes workers, in fleets of several sizes.
 //!
 //! Each daemon observes only the crashes under its own runs, shares them in reports of
-//! which one in five is lost, and draws its own conclusions. The parameters model a bad
-//! hour: the request comes back every 20 to 60 ms at any daemon, each attempt goes to
+//! which one in five is lost, and draws its own conclusions. The parameters model a severe
+//! case: the request comes back every 20 to 60 ms at any daemon, each attempt goes to
 //! two workers, every worker is fully occupied by other requests, and half of the
 //! requests that a crash interrupts are present at the next crash as well.
 
--- a/crates/bluebellreel_routing/src/lifecycle.rs
+++ b/crates/bluebellreel_routing/src/lifecycle.rs
@@ -169,7 +169,7 @@
         return;
     };
     // A call that is not repeatable continues until its outcome is recorded: the caller
-    // will come back and read it.
+    // can read it later.
     if !request.work.repeatable {
         return;
     }
