--- a/crates/bluebellreel_admission/tests/admission.rs
+++ b/crates/bluebellreel_admission/tests/admission.rs
@@ -123,7 +123,7 @@
 }
 
 /// A batch item was preempted twice. Its answer must be the whole text, not only
-/// what the last engine added.
+/// what the last engine generated.
 #[test]
 fn resumed_item_answers_with_all_of_its_text() {
     let mut side = side(4);
--- a/crates/bluebellreel_dispatch/tests/batch_placement.rs
+++ b/crates/bluebellreel_dispatch/tests/batch_placement.rs
@@ -35,9 +35,9 @@
     assert_eq!(batch_to_yield(&board, &runs), [3]);
 }
 
-/// Two daemons have batch runs at a worker that receives one run too many, and both daemons'
-/// boards show this. If each gave up the whole excess, slots would stay unused; if neither did, the
-/// caller would wait behind an item.
+/// Two daemons have batch runs at a worker that receives too many runs, and the boards of
+/// both show this. If each gave up the whole excess, slots would stay unused; if neither
+/// did, the caller would wait behind an item.
 #[test]
 fn daemons_share_the_runs_that_must_yield() {
     let mut board = board(1);
@@ -133,8 +133,8 @@
     );
 }
 
-/// A worker that fails every request at once has all its slots free. A failed item was
-/// sent there again and given up after three attempts, although the item was good.
+/// A worker that fails every request immediately has all its slots free. A failed item was
+/// sent there again and given up after three attempts, although the item was valid.
 #[test]
 fn an_item_that_failed_goes_to_another_worker() {
     let mut board = board(4);
--- a/crates/bluebellreel_dispatch/tests/catalog.rs
+++ b/crates/bluebellreel_dispatch/tests/catalog.rs
@@ -109,7 +109,7 @@
 }
 
 /// A worker dies during an outage. Peers that fetch other changes before its grace
-/// period ends must learn of the removal with their next fetch.
+/// period ends must receive the removal with their next fetch.
 #[test]
 fn the_removal_after_an_outage_reaches_peers_that_asked_meanwhile() {
     let until = Moment(1_000_000);
@@ -243,7 +243,7 @@
     assert_eq!(catalog.newest(), 20);
 }
 
-/// A daemon that learned all workers from a peer does not know which ones were removed
+/// A daemon that received all workers from a peer does not know which ones were removed
 /// before.
 #[test]
 fn facts_learned_first_do_not_cover_earlier_removals() {
--- a/crates/bluebellreel_dispatch/tests/placement.rs
+++ b/crates/bluebellreel_dispatch/tests/placement.rs
@@ -146,8 +146,8 @@
     );
 }
 
-/// All circuit breakers are open, as after a restart of the fleet. Refusing requests
-/// would not help then.
+/// All circuit breakers are open, as after a restart of the fleet. Requests
+/// must still be sent to the workers.
 #[test]
 fn open_circuit_breakers_everywhere_do_not_refuse_requests() {
     let mut board = board(2);
@@ -222,7 +222,7 @@
     );
 }
 
-/// To explain a failed request an operator must find when each daemon learned that a
+/// To explain a failed request an operator must find when each daemon was notified that a
 /// worker left. Earlier, changes that came with a list or from a peer named no worker,
 /// and only changes from a watch were logged.
 #[test]
--- a/crates/bluebellreel_dispatch/tests/restarts.rs
+++ b/crates/bluebellreel_dispatch/tests/restarts.rs
@@ -68,7 +68,7 @@
     place_online(board, &query)
 }
 
-/// A worker crashes with all slots taken and is back under its id half a second later.
+/// A worker crashes with all slots taken and restarts under its id half a second later.
 /// Callers were refused for seconds because the runs of its previous incarnation were
 /// still counted, both the local ones and those of peers that did not know of the
 /// restart yet.
@@ -192,7 +192,7 @@
     assert_eq!(own, [(&id(), Some(Boot(7)), online)]);
 }
 
-/// A worker that leaves while local runs are there gets nothing new, and may return.
+/// A worker that leaves during local runs gets no new work, and may return.
 #[test]
 fn a_worker_that_leaves_during_runs_gets_nothing_new_until_it_returns() {
     let mut catalog = Catalog::default();
--- a/crates/bluebellreel_dispatch/tests/suspects.rs
+++ b/crates/bluebellreel_dispatch/tests/suspects.rs
@@ -170,7 +170,7 @@
 }
 
 /// Workers have become able to run the request: the trial run completes, and all daemons
-/// learn of it.
+/// are notified.
 #[test]
 fn a_completed_run_clears_a_request_at_all_daemons() {
     let bad = request(1);
--- a/crates/bluebellreel_routing/src/choice.rs
+++ b/crates/bluebellreel_routing/src/choice.rs
@@ -95,7 +95,7 @@
 ///
 /// Health is a preference among several workers. During a quick rolling restart of the
 /// fleet every worker may be recovering at the same moment: refusing requests then with
-/// "no worker serves this model" would be wrong.
+/// "no worker serves this model" would be of no use.
 fn available<'a>(
     workers: impl Iterator<Item = &'a Worker>,
     model: &ModelName,
--- a/crates/bluebellreel_routing/tests/connections.rs
+++ b/crates/bluebellreel_routing/tests/connections.rs
@@ -178,7 +178,7 @@
 }
 
 /// A worker was given another model while no daemon was connected to it. Periodic
-/// background probes must eventually find that.
+/// background probes must eventually find the new model.
 #[test]
 fn worker_that_changed_its_model_is_found_again() {
     let mut fleet = Fleet::new(200, 1);
--- a/crates/bluebellreel_routing/tests/requests.rs
+++ b/crates/bluebellreel_routing/tests/requests.rs
@@ -154,7 +154,7 @@
     assert!(matches!(outcome(&effects), Some(Outcome::NotRun { .. })));
 }
 
-/// The side process has restarted, so that nobody knows whether the call ran.
+/// The side process has restarted, so that it is not known whether the call ran.
 #[test]
 fn restarted_side_process_makes_the_outcome_unknown() {
     let mut harness = Harness::new(&["w1"]);
