--- a/crates/bluebellreel_dispatch/tests/catalog.rs
+++ b/crates/bluebellreel_dispatch/tests/catalog.rs
@@ -152,7 +152,7 @@
 
 proptest! {
     /// Facts may arrive twice and in any order, by a watch or from peers: the final
-    /// state does not depend on it.
+    /// state does not depend on the order.
     #[test]
     fn the_order_of_facts_does_not_matter(
         facts in prop::collection::vec((0usize..3, any::<Option<bool>>()), 1..12),
--- a/crates/bluebellreel_routing/src/connections.rs
+++ b/crates/bluebellreel_routing/src/connections.rs
@@ -3,10 +3,10 @@
 //! A daemon connects to all workers if there are few. If there are many, control traffic
 //! must not grow with the fleet: a daemon then holds connections to a few workers per
 //! model. Those of its own data centre come first, in an order that all daemons there
-//! share, so that requests with the same prefix reach the same engines. A daemon
-//! finds out which models a worker serves by connecting to it; while some model has too few known
-//! workers, the daemon probes unknown ones. For a job with waiting items it connects to
-//! all workers of the job's model.
+//! share, so that requests with the same prefix reach the same engines. A daemon finds
+//! out which models a worker serves by connecting to it; while some model has too few
+//! known workers, the daemon probes unknown ones. For a job with waiting items it
+//! connects to all workers of the job's model.
 
 use crate::rendezvous_score;
 use bluebellreel_types::{DataCentre, ModelName, Moment, WorkerName};
