--- a/crates/bluebellreel_batch/src/quota_ledger.rs
+++ b/crates/bluebellreel_batch/src/quota_ledger.rs
@@ -1,7 +1,7 @@
 //! Recently accepted jobs of a route whose quota is nearly used up.
 //!
-//! Daemons learn from each other's reports how many tokens wait on a route, with a
-//! short delay. Two daemons that accept jobs at the same moment could both see room for
+//! Each daemon gets the number of tokens waiting on a route from the reports of the
+//! others, with a short delay. Two daemons that accept jobs at the same moment could both see room for
 //! one job. Near the quota, each acceptance therefore also updates the route's ledger
 //! in the store, guarded by the ledger's revision: the second update fails, and its
 //! daemon rereads the ledger and sees the first job.
--- a/crates/bluebellreel_batch/src/start_lease.rs
+++ b/crates/bluebellreel_batch/src/start_lease.rs
@@ -21,7 +21,7 @@
 use bluebellreel_types::Moment;
 use std::time::Duration;
 
-/// Jobs confirmed by one call. The store accepts at most 32 guards in a call.
+/// Maximum number of jobs confirmed by one call. The store accepts at most 32 guards in a call.
 pub const JOBS_PER_CHECK: usize = 32;
 
 /// Maximum time from the decision to start an item until its worker has received it. A
@@ -100,9 +100,9 @@
         !self.expires_at.is_past(moment) && !now.suspended_since(self.asked)
     }
 
-    /// Whether to ask the store now. Jobs without items that want to start are
-    /// confirmed less often; they still are because a cancellation frees worker slots
-    /// and quota of the route.
+    /// Whether to request a confirmation from the store now. Jobs without startable
+    /// items are confirmed less often, but still confirmed: noticing a cancellation
+    /// frees worker slots and quota of the route.
     #[must_use]
     pub fn is_due(&self, wants_start: bool, now: Stamp) -> bool {
         let due_at = if wants_start {
@@ -116,7 +116,7 @@
 
 /// Selects the jobs to confirm in one call, those with the oldest confirmation first.
 /// Selects none if no job is due. Each job comes with its lease and whether one of its
-/// items wants to start. Adding a job that is not due yet costs a fifth of a separate
+/// items could start. Adding a job that is not due yet costs a fifth of a separate
 /// call.
 pub fn jobs_to_check<K>(jobs: impl Iterator<Item = (K, StartLease, bool)>, now: Stamp) -> Vec<K> {
     let mut is_due = false;
