--- a/crates/bluebellreel_members/src/divergence.rs
+++ b/crates/bluebellreel_members/src/divergence.rs
@@ -1,4 +1,4 @@
-//! Decides when a daemon asks its peers for workers because their worker lists differ.
+//! Decides when a daemon requests workers from its peers because their worker lists differ.
 
 use crate::peer::WorkerList;
 use bluebellreel_types::Moment;
@@ -11,7 +11,7 @@
 const MIN_BACKOFF: Duration = Duration::from_secs(1);
 /// Maximum time between two requests while the lists keep differing.
 const MAX_BACKOFF: Duration = Duration::from_mins(1);
-/// Time after the first request from which the daemon asks for all workers instead of
+/// Time after the first request from which the daemon requests all workers instead of
 /// changes. It exceeds the time for which a peer keeps missing workers after an outage.
 const CHANGES_ONLY_PERIOD: Duration = Duration::from_secs(5);
 
@@ -28,9 +28,9 @@
 /// Tracks since when a daemon's worker list differs from those of its peers.
 ///
 /// Guards against the following fault: a daemon that starts lists the present workers
-/// and knows nothing of those that have left. Its newest fact may be older than the
-/// knowledge of peers that missed a removal. Such peers see no newer revision to ask
-/// for, and kept a worker that had left.
+/// and has no facts about those that have left. Its newest fact may be older than the
+/// facts of peers that missed a removal. Such peers see no newer revision to request,
+/// and kept a worker that had left.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Divergence {
     since: Option<Moment>,
@@ -42,11 +42,11 @@
 
 impl Divergence {
     /// Decides what to request now, given the worker lists of all alive peers. The
-    /// request goes to a peer that `own` may learn from; all workers are requested only
-    /// from a peer that `own` is behind. The returned request counts as sent.
+    /// request goes to a peer whose list may be newer than `own`; all workers are
+    /// requested only from a peer whose list certainly is. The returned request counts as sent.
     ///
-    /// Lists that are complete to an earlier revision cause no request, as their owners
-    /// ask themselves. The backoff doubles until the lists agree.
+    /// Lists that are complete to an earlier revision cause no request, as the daemons
+    /// that hold them send the requests. The backoff doubles until the lists agree.
     pub fn next_request(
         &mut self,
         own: WorkerList,
--- a/crates/bluebellreel_members/src/members.rs
+++ b/crates/bluebellreel_members/src/members.rs
@@ -35,8 +35,8 @@
         self.alive_peers(now).filter(|(_, p)| p.reaches_store)
     }
 
-    /// Whether some peer may reach the store: an alive peer that says so, or a silent
-    /// one that said so in its last report and may only be cut off from this daemon.
+    /// Whether some peer may reach the store: an alive peer that reports so, or a silent
+    /// one whose last report said so and that may only be cut off from this daemon.
     #[must_use]
     pub fn may_reach_store(&self, now: Moment) -> bool {
         self.peers.values().any(|peer| {
@@ -138,7 +138,7 @@
     /// Whether daemon `me` watches the store for the others. The watchers are the first
     /// daemons by rank that are alive, are not stopping and reach the store. Daemons
     /// whose last answer from the store is old do not count, as they may be cut off
-    /// from it without knowing.
+    /// from it without noticing.
     #[must_use]
     pub fn is_watcher(&self, me: &EntryName, reaches_store: bool, now: Moment) -> bool {
         // A stopping daemon is excluded at once; otherwise it would be replaced only
--- a/crates/bluebellreel_members/src/peer.rs
+++ b/crates/bluebellreel_members/src/peer.rs
@@ -16,7 +16,7 @@
 /// renews its lease every 1.1 s and reports the age of its last answer every 0.25 s.
 pub const STORE_ANSWER_MAX_AGE: Duration = Duration::from_millis(1500);
 
-/// Revisions of the store up to which a daemon's knowledge goes.
+/// Newest revisions of the store that a daemon has received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revisions {
     /// Revision of the configuration.
@@ -44,7 +44,7 @@
     }
 
     /// Whether the other list differs and is complete to the same or a later revision.
-    /// If the revisions are equal, one of the two daemons learned late of a removal.
+    /// If the revisions are equal, one of the two daemons received a removal late.
     #[must_use]
     pub fn may_learn_from(self, other: Self) -> bool {
         self.differs_from(other) && other.complete_to >= self.complete_to
@@ -104,7 +104,7 @@
     pub served_s: u32,
     /// When the store last answered it; none if it does not report that.
     pub answered_at: Option<Moment>,
-    /// Revisions up to which its knowledge goes.
+    /// Newest revisions of the store that it has received.
     pub revisions: Revisions,
     /// Summary of the workers that it lists.
     pub list: WorkerList,
--- a/crates/bluebellreel_members/src/unclaimed.rs
+++ b/crates/bluebellreel_members/src/unclaimed.rs
@@ -7,7 +7,8 @@
 /// Time for which tokens count after the last of their jobs was found at a new owner.
 /// Jobs that ended unobserved are never found.
 const LOSS_RETENTION: Duration = Duration::from_secs(10);
-/// Maximum number of losses kept. Each holds at most the jobs that one report names.
+/// Maximum number of groups of disappeared jobs that are kept. Each group holds at
+/// most the jobs that one report names.
 const MAX_LOSSES: usize = 256;
 
 /// Jobs that disappeared from a daemon's reports together. How the tokens divide among
@@ -19,7 +20,7 @@
     until: Moment,
 }
 
-/// All losses.
+/// All groups of jobs that disappeared and whose tokens still count.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Unclaimed(VecDeque<Loss>);
 
