--- a/crates/bluebellreel_keeper/src/calls.rs
+++ b/crates/bluebellreel_keeper/src/calls.rs
@@ -51,8 +51,8 @@
     postcard::from_bytes(&body).map_err(|e| e.to_string())
 }
 
-/// Fetches what a gateway knows beyond the revisions `newest`. If the gateway does
-/// not know which workers have been removed since, all of its workers are fetched.
+/// Fetches the facts of a gateway that are newer than the revisions `newest`. If the
+/// gateway has no record of the workers removed since, all of its workers are fetched.
 pub(crate) async fn fetch_facts(
     pool: &Pool,
     to: SocketAddr,
--- a/crates/bluebellreel_keeper/src/persistence.rs
+++ b/crates/bluebellreel_keeper/src/persistence.rs
@@ -18,7 +18,7 @@
 /// Minimum time between two writes of progress backups. Owners send them once a second.
 const MIN_PROGRESS_INTERVAL: Duration = Duration::from_millis(300);
 /// Minimum delay after a failed write. A shutdown, which skips longer delays, retries
-/// some times within its deadline.
+/// several times within its deadline.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time without an outcome after which a write counts as hanging.
 const HANG_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/bluebellreel_keeper/src/serve.rs
+++ b/crates/bluebellreel_keeper/src/serve.rs
@@ -14,7 +14,7 @@
 /// Timeout of reading the request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Retention of a backup after its owner last sent it. It exceeds the usual length of
-/// an outage of the store, as jobs are taken over once the store is back.
+/// an outage of the store, as jobs are taken over once the store answers again.
 const PROGRESS_RETENTION: Duration = Duration::from_mins(2);
 
 fn status(code: StatusCode) -> Response<Body> {
--- a/crates/bluebellreel_keeper/src/stored_state.rs
+++ b/crates/bluebellreel_keeper/src/stored_state.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Limit of all progress backups: the progress of some thousand half-finished items.
+/// Limit of all progress backups: the progress of thousands of half-finished items.
 /// The VMs of keepers have at least 130 MB of memory and disks of at least 310 MB.
 const PROGRESS_BYTES: usize = 32 * 1024 * 1024;
 /// Time without an answer after which the disk counts as hanging.
--- a/crates/bluebellreel_keeper/src/visit_schedule.rs
+++ b/crates/bluebellreel_keeper/src/visit_schedule.rs
@@ -9,11 +9,11 @@
 /// not reach the store waits half of it on average, and refuses all callers until it is
 /// visited.
 const NEAR_INTERVAL: Duration = Duration::from_millis(300);
-/// Interval of visits to other gateways. Each visit sends some 500 bytes between data
+/// Interval of visits to other gateways. Each visit sends about 500 bytes between data
 /// centres, and each data centre has a keeper of its own.
 const FAR_INTERVAL: Duration = Duration::from_millis(1200);
 /// Minimum time between two visits of one keeper, to any gateways. It limits visits to
-/// 20 a second, or 0.1 % of a core, even with some hundred gateways.
+/// 20 a second, or 0.1 % of a core, even with hundreds of gateways.
 const VISIT_SPACING: Duration = Duration::from_millis(50);
 
 /// Silence after which a gateway is evicted. A VM that was replaced does not come back.
