--- a/crates/bluebellreel_batch/src/quota_ledger.rs
+++ b/crates/bluebellreel_batch/src/quota_ledger.rs
@@ -1,10 +1,10 @@
 //! Recently accepted jobs of a route whose quota is nearly used up.
 //!
 //! Each daemon gets the number of tokens waiting on a route from the reports of the
-//! others, with a short delay. Two daemons that accept jobs at the same moment could both see room for
-//! one job. Near the quota, each acceptance therefore also updates the route's ledger
-//! in the store, guarded by the ledger's revision: the second update fails, and its
-//! daemon rereads the ledger and sees the first job.
+//! others, with a short delay. Two daemons that accept jobs at the same moment could
+//! both see room for one job. Near the quota, each acceptance therefore also updates
+//! the route's ledger in the store, guarded by the ledger's revision: the second update
+//! fails, and its daemon rereads the ledger and sees the first job.
 
 use crate::RecordError;
 use bluebellreel_types::{JobId, Moment};
--- a/crates/bluebellreel_batch/src/start_lease.rs
+++ b/crates/bluebellreel_batch/src/start_lease.rs
@@ -21,7 +21,8 @@
 use bluebellreel_types::Moment;
 use std::time::Duration;
 
-/// Maximum number of jobs confirmed by one call. The store accepts at most 32 guards in a call.
+/// Maximum number of jobs confirmed by one call. The store accepts at most 32 guards in
+/// a call.
 pub const JOBS_PER_CHECK: usize = 32;
 
 /// Maximum time from the decision to start an item until its worker has received it. A
--- a/crates/bluebellreel_members/src/divergence.rs
+++ b/crates/bluebellreel_members/src/divergence.rs
@@ -1,4 +1,5 @@
-//! Decides when a daemon requests workers from its peers because their worker lists differ.
+//! Decides when a daemon requests workers from its peers because their worker lists
+//! differ.
 
 use crate::peer::WorkerList;
 use bluebellreel_types::Moment;
@@ -42,8 +43,9 @@
 
 impl Divergence {
     /// Decides what to request now, given the worker lists of all alive peers. The
-    /// request goes to a peer whose list may be newer than `own`; all workers are
-    /// requested only from a peer whose list certainly is. The returned request counts as sent.
+    /// request goes to a peer whose list is complete to the same or a later revision than
+    /// `own`; all workers are requested only if that revision is later. The returned
+    /// request counts as sent.
     ///
     /// Lists that are complete to an earlier revision cause no request, as the daemons
     /// that hold them send the requests. The backoff doubles until the lists agree.
