--- a/crates/bluebellreel_batch/src/progress_copies.rs
+++ b/crates/bluebellreel_batch/src/progress_copies.rs
@@ -121,7 +121,7 @@
     }
 }
 
-/// Progress of jobs owned by other daemons. Each copy has an expiry time, and all
+/// Copies of the progress of jobs owned by other daemons. Each copy has an expiry time, and all
 /// copies together are limited in bytes.
 #[derive(Clone, Debug)]
 pub struct ProgressCopies {
--- a/crates/bluebellreel_batch/src/record.rs
+++ b/crates/bluebellreel_batch/src/record.rs
@@ -37,8 +37,8 @@
     /// When the results are due, by the clock of the accepting daemon.
     pub due_at: Moment,
     /// When waiting items are given up, by the clock of the accepting daemon. Records
-    /// of versions without this field read as `Moment::DISTANT_FUTURE`, so their items are never
-    /// given up.
+    /// of versions without this field read as `Moment::DISTANT_FUTURE`, so their items
+    /// are never given up.
     #[serde(default = "never")]
     pub give_up_at: Moment,
     /// Number of its items.
--- a/crates/bluebellreel_batch/src/registration_span.rs
+++ b/crates/bluebellreel_batch/src/registration_span.rs
@@ -4,8 +4,8 @@
 //! that was cut off from the store, or whose VM was suspended, may no longer own the
 //! job without noticing. Its successor may have recorded more results since, and a reader
 //! that has seen them would get the answer that they do not exist. An owner therefore
-//! tracks two things: when the store last confirmed that it owns the job, and the span for
-//! which its registration in the store has existed without a gap. A job is taken over
+//! tracks two things: when the store last confirmed that it owns the job, and the span
+//! for which its registration in the store has existed without a gap. A job is taken over
 //! only after its owner's registration is gone, so a confirmation given within that
 //! span still holds.
 //!
--- a/crates/bluebellreel_batch/tests/cancellation_at_scale.rs
+++ b/crates/bluebellreel_batch/tests/cancellation_at_scale.rs
@@ -1,5 +1,5 @@
-//! Simulates how soon owners learn of cancellations from the store alone, and what that
-//! costs.
+//! Simulates how soon owners notice cancellations through the store alone, and what
+//! that costs.
 
 use bluebellreel_batch::{JOBS_PER_CHECK, Stamp, StartLease, StartTerms, jobs_to_check};
 use bluebellreel_types::Moment;
@@ -41,7 +41,7 @@
 const RECORD_BYTES: usize = 400;
 /// Limit of the bytes that a daemon may send and receive in a minute.
 const MINUTE_BYTES: usize = 60 * 3000;
-/// At most one check in this many may be delayed, as calls fail.
+/// At most one check in this many may be delayed because calls fail.
 const CHECKS_PER_DELAY: usize = 20;
 
 const HOUR: Duration = Duration::from_hours(1);
@@ -58,7 +58,7 @@
     ends: Moment,
 }
 
-/// A job that its owner believes to be open.
+/// A job that its owner treats as open; the store may have recorded its end.
 struct OwnedJob {
     ends: Moment,
     lease: StartLease,
@@ -83,11 +83,11 @@
     /// Longest time from the end of a job to the arrival of one of its items at a
     /// worker.
     latest: Duration,
-    /// Checks at which items wanted to start, and those of them at which the lease of
+    /// Checks at which items could start, and those of them at which the lease of
     /// at least one job had expired.
     checks: usize,
     delayed: usize,
-    /// Job ends that the owners learned of.
+    /// Job ends that the owners noticed.
     ends_learned: usize,
 }
 
@@ -142,7 +142,7 @@
         self.first_end = ends.unwrap_or(Moment::DISTANT_FUTURE);
     }
 
-    /// Each job has items that want to start at each check.
+    /// At each check, each job has items that could start.
     fn start_items(&mut self, now: Moment) {
         if let Some(oldest) = self.oldest {
             self.totals.checks += 1;
--- a/crates/bluebellreel_batch/tests/registration_span.rs
+++ b/crates/bluebellreel_batch/tests/registration_span.rs
@@ -117,7 +117,7 @@
 }
 
 /// The registration of an owner has expired. While the owner writes the next one, it
-/// asks the store who owns its job, and the job is taken over before the registration
+/// reads the owner of its job from the store, and the job is taken over before the registration
 /// exists. The answer must not count as a confirmation of the new span.
 #[test]
 fn a_confirmation_during_registration_does_not_hold() {
--- a/crates/bluebellreel_batch/tests/start_lease.rs
+++ b/crates/bluebellreel_batch/tests/start_lease.rs
@@ -30,8 +30,8 @@
     assert_eq!(lease.age(at(3500)), Duration::from_millis(2500));
 }
 
-/// Guards that an owner asks the store after its VM was suspended, before it starts an
-/// item.
+/// Guards that an owner requests a new confirmation from the store after its VM was
+/// suspended, before it starts an item.
 #[test]
 fn a_lease_does_not_outlive_a_suspension() {
     let lease = lease(1000);
@@ -42,8 +42,8 @@
     assert_eq!(lease.age(woken), Duration::from_millis(5010));
 }
 
-/// Guards that a lease is renewed before it expires, and less often when no item wants
-/// to start.
+/// Guards that a lease is renewed before it expires, and less often when no item
+/// could start.
 #[test]
 fn a_lease_is_renewed_when_an_item_wants_to_start() {
     let lease = lease(1000);
@@ -72,8 +72,8 @@
     assert!(!lease.is_due(true, at(1124)));
 }
 
-/// Guards that a call asks for the jobs with the oldest confirmations, and for none if
-/// none is due.
+/// Guards that a call confirms the jobs with the oldest confirmations, and that no call
+/// is made if no job is due.
 #[test]
 fn a_call_takes_the_jobs_that_were_confirmed_longest_ago() {
     let jobs = || (0..100u64).map(|n| (n, lease(1000 + (n * 37) % 100), n == 50));
--- a/crates/bluebellreel_batch/tests/takeover.rs
+++ b/crates/bluebellreel_batch/tests/takeover.rs
@@ -3,8 +3,9 @@
 use bluebellreel_batch::{OwnerPresence, TakeoverDecision, decide_takeover};
 
 /// An owner dies. A peer notices the silence, checks the job, and finds the owner's
-/// registration still in the store, where it remains for some seconds. The peer assumed a working owner and rechecked it only at its next regular check, so that items
-/// due in eighteen seconds lay idle for up to ten.
+/// registration still in the store, where it remains for some seconds. The peer treated
+/// the owner as working and rechecked the job only at its next regular check, so that
+/// items due in eighteen seconds did not run for up to ten.
 #[test]
 fn a_silent_owner_is_rechecked_soon() {
     for is_successor in [false, true] {
--- a/crates/bluebellreel_keeper/tests/disk.rs
+++ b/crates/bluebellreel_keeper/tests/disk.rs
@@ -65,7 +65,7 @@
     );
 }
 
-/// The disk is gone. Each write reports that, and the keeper does not end.
+/// The disk has been removed. Each write reports that, and the keeper does not end.
 #[test]
 fn a_failing_disk_is_reported() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/bluebellreel_keeper/tests/stop.rs
+++ b/crates/bluebellreel_keeper/tests/stop.rs
@@ -149,8 +149,8 @@
     panic!("the machine stalled in each attempt");
 }
 
-/// A gateway does not answer a visit. The shutdown continues without it and writes what
-/// there is.
+/// A gateway does not answer a visit. The shutdown continues without it and writes
+/// the data that the keeper has.
 #[test]
 fn an_unanswered_visit_is_abandoned() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/bluebellreel_members/tests/divergence.rs
+++ b/crates/bluebellreel_members/tests/divergence.rs
@@ -71,7 +71,8 @@
     asker.learn(peer.revision(), facts.collect(), full);
 }
 
-/// Lets one daemon ask another as `Divergence` decides, for some seconds.
+/// Lets one daemon send another the requests that `Divergence` decides on, for some
+/// seconds.
 fn compare(asker: &mut Catalog, peer: &Catalog) {
     let mut divergence = Divergence::default();
     for tick in 0..12 {
@@ -136,8 +137,8 @@
     assert_eq!(without_own_list, []);
 }
 
-/// Of two daemons with the same revision, either one may have learned late of a
-/// removal.
+/// Of two daemons with the same revision, either one may have received a removal
+/// late.
 #[test]
 fn peers_at_the_same_revision_are_asked_for_changes_only() {
     let asked = requests(400, |_| (list(9, 5), vec![list(9, 6)]));
@@ -161,7 +162,7 @@
     assert!(asked.len() > changes.count(), "all workers are asked for");
 }
 
-/// After an outage a peer keeps workers for some seconds that others know to be gone.
+/// After an outage a peer keeps workers for some seconds that others have removed.
 #[test]
 fn workers_kept_after_an_outage_cause_no_full_request() {
     let asked = requests(400, |tick| {
--- a/crates/bluebellreel_members/tests/members.rs
+++ b/crates/bluebellreel_members/tests/members.rs
@@ -55,7 +55,7 @@
 }
 
 /// The registration of a daemon was read before its first report. The report must still
-/// be recognized as the first one, as the daemon may have jobs that no peer knows of.
+/// be recognized as the first one, as the daemon may have jobs that no peer has in its list.
 #[test]
 fn the_first_report_of_a_registered_daemon_is_recognized() {
     let mut members = Members::default();
@@ -81,7 +81,7 @@
     assert_eq!(presence(&members, PEER_TIMEOUT), Presence::Gone);
 }
 
-/// A delayed list that arrives after a newer one must not bring back a registration
+/// A delayed list that arrives after a newer one must not restore a registration
 /// that has ended. The jobs of the dead daemon would not be taken over.
 #[test]
 fn an_older_list_changes_nothing() {
@@ -287,7 +287,7 @@
     assert_eq!(members.tokens("book", NOW + TICK), 100);
 }
 
-/// A daemon that lacks the reports of a single peer knows that its view is incomplete.
+/// A daemon that lacks the reports of a single peer treats its totals as incomplete.
 #[test]
 fn all_peers_are_alive_while_each_registration_has_a_report() {
     let mut members = alive_members(1);
@@ -332,7 +332,7 @@
     assert_eq!(names(&members, NOW + PEER_RETENTION * 2), ["c"]);
 }
 
-/// Watchers that are cut off from the store without knowing it are replaced by others.
+/// Watchers that are cut off from the store without noticing it are replaced by others.
 #[test]
 fn watchers_whose_last_store_answer_is_old_are_replaced() {
     let watchers = |members: &Members| -> Vec<usize> {
--- a/crates/bluebellreel_snapshot/src/progress.rs
+++ b/crates/bluebellreel_snapshot/src/progress.rs
@@ -13,8 +13,8 @@
     progress: Vec<u8>,
 }
 
-/// Backups of the progress of jobs. Each backup has an expiry time, and all backups together are
-/// limited in bytes.
+/// Backups of the progress of jobs. Each backup has an expiry time, and all backups
+/// together are limited in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProgressBackups {
     jobs: BTreeMap<JobId, Backup>,
--- a/crates/bluebellreel_snapshot/tests/snapshot.rs
+++ b/crates/bluebellreel_snapshot/tests/snapshot.rs
@@ -98,7 +98,7 @@
     assert_eq!(empty.offer(NOW), None, "no configuration");
 }
 
-/// A keeper restarts and reads its disk.
+/// A keeper that restarts reads the same snapshot from its disk.
 #[test]
 fn a_written_snapshot_is_read_again() {
     let mut before = snapshot();
