--- a/crates/bluebellreel_batch/src/job.rs
+++ b/crates/bluebellreel_batch/src/job.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Failures added when a worker reports that an item can never succeed. They exceed any
-/// limit, so the item is given up at once.
+/// Failures added when a worker reports that an item can never succeed. Such an item is
+/// given up at once, whatever its number of failures.
 const IMPOSSIBLE_FAILURES: u32 = 1;
 
 /// State of an item.
--- a/crates/bluebellreel_batch/src/progress_copies.rs
+++ b/crates/bluebellreel_batch/src/progress_copies.rs
@@ -121,8 +121,8 @@
     }
 }
 
-/// Copies of the progress of jobs owned by other daemons. Each copy has an expiry time, and all
-/// copies together are limited in bytes.
+/// Copies of the progress of jobs owned by other daemons. Each copy has an expiry time,
+/// and all copies together are limited in bytes.
 #[derive(Clone, Debug)]
 pub struct ProgressCopies {
     jobs: BTreeMap<JobId, Copy>,
--- a/crates/bluebellreel_batch/tests/registration_span.rs
+++ b/crates/bluebellreel_batch/tests/registration_span.rs
@@ -117,8 +117,8 @@
 }
 
 /// The registration of an owner has expired. While the owner writes the next one, it
-/// reads the owner of its job from the store, and the job is taken over before the registration
-/// exists. The answer must not count as a confirmation of the new span.
+/// reads the owner of its job from the store, and the job is taken over before the
+/// registration exists. The answer must not count as a confirmation of the new span.
 #[test]
 fn a_confirmation_during_registration_does_not_hold() {
     let mut registration = RegistrationSpan::default();
--- a/crates/bluebellreel_members/tests/members.rs
+++ b/crates/bluebellreel_members/tests/members.rs
@@ -55,7 +55,7 @@
 }
 
 /// The registration of a daemon was read before its first report. The report must still
-/// be recognized as the first one, as the daemon may have jobs that no peer has in its list.
+/// be recognized as the first one, as the daemon may have jobs that no peer has listed.
 #[test]
 fn the_first_report_of_a_registered_daemon_is_recognized() {
     let mut members = Members::default();
