--- a/crates/bluebellreel_entry/src/http/requests.rs
+++ b/crates/bluebellreel_entry/src/http/requests.rs
@@ -78,7 +78,7 @@
 }
 
 /// Resolves a pending claim: queries the side process that it names and records
-/// the result. An entry daemon that dies between writing the claim and recording
+/// the result. An entry daemon that ends between writing the claim and recording
 /// the outcome leaves such a claim behind.
 fn resolve(cx: &HttpContext, record: ClaimRecord, revision: i64) -> ClaimRecord {
     if record.state != ClaimState::Pending {
--- a/crates/bluebellreel_job/src/owned.rs
+++ b/crates/bluebellreel_job/src/owned.rs
@@ -78,7 +78,7 @@
         /// The results.
         results: Arc<[ItemResult]>,
     },
-    /// Record the end of the job.
+    /// Write the record of the ended job.
     Close {
         /// The job's final state.
         state: JobState,
@@ -275,7 +275,7 @@
         held.count()
     }
 
-    /// Whether a request is leased.
+    /// Whether the item of a request is leased.
     #[must_use]
     pub fn holds(&self, request: RequestId) -> bool {
         self.leases.contains_key(&request)
--- a/crates/bluebellreel_job/src/owned/poll.rs
+++ b/crates/bluebellreel_job/src/owned/poll.rs
@@ -99,7 +99,7 @@
             .find(|c| *c < last && !self.chunks.contains_key(c))
     }
 
-    /// Evicts the oldest chunk. It is read again if one of its items is retried.
+    /// Evicts the oldest input chunk from memory. It is read again if one of its items is retried.
     fn evict_oldest_chunk(&mut self) -> bool {
         let needed = self
             .record
--- a/crates/bluebellreel_job/src/owned/report.rs
+++ b/crates/bluebellreel_job/src/owned/report.rs
@@ -69,7 +69,7 @@
             BrokenReason::EngineLost | BrokenReason::SideLost => {
                 self.fail_attempt(index, &reason.to_string(), now);
             }
-            // A preemption does not count as a failed attempt, nor does a lost answer.
+            // Neither a preemption nor a lost answer counts as a failed attempt.
             BrokenReason::Preempted
             | BrokenReason::Cancelled
             | BrokenReason::Expired
@@ -196,7 +196,7 @@
     }
 
     /// Fails an item in doubt whose outcome can no longer be found, since the
-    /// incarnation of the side process that knew it has ended.
+    /// incarnation of the side process that held it has ended.
     pub fn note_outcome_lost(&mut self, attempt: AttemptId, now: Moment) {
         let Some(lease) = self.leases.remove(&attempt.request) else {
             return;
--- a/crates/bluebellreel_job/src/scheduler.rs
+++ b/crates/bluebellreel_job/src/scheduler.rs
@@ -110,7 +110,7 @@
             let Some(id) = self.next_job(models, &exhausted, now) else {
                 break;
             };
-            // A quarter of the remaining room at a time, so that one pull serves
+            // Lease a quarter of the remaining room at a time, so that one pull serves
             // several teams.
             let share = remaining.div_ceil(4);
             let Some(job) = self.jobs.get_mut(&id) else {
--- a/crates/bluebellreel_job/src/share.rs
+++ b/crates/bluebellreel_job/src/share.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time after which served tokens count for half.
+/// Time after which served tokens count half as much.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/bluebellreel_net/src/call.rs
+++ b/crates/bluebellreel_net/src/call.rs
@@ -43,7 +43,7 @@
         Ok((reply.head.status, body.map_err(|e| e.to_string())?))
     };
     timeout(max_wait, sent).await.unwrap_or_else(|_| {
-        // All pooled connections to this address may be dead.
+        // All pooled connections to this address may be broken.
         pool.drop_idle(to);
         Err("no complete response before the timeout".into())
     })
--- a/crates/bluebellreel_net/src/connection.rs
+++ b/crates/bluebellreel_net/src/connection.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Whether the kernel holds unread bytes. The runtime only knows of bytes that
+    /// Whether the kernel holds unread bytes. The runtime only reports bytes that
     /// had arrived when it last polled the socket.
     fn has_unread(&self) -> bool {
         let stream = self.stream.borrow();
@@ -233,7 +233,7 @@
     /// its way, such as a refusal sent while the request's body is arriving.
     ///
     /// Without that announcement the caller may have sent its next request. That
-    /// request stays unread, so that the caller knows that it has not run.
+    /// request stays unread, so that the caller can be sure that it has not run.
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         if this.discard_end.is_none() {
--- a/crates/bluebellreel_net/src/pool.rs
+++ b/crates/bluebellreel_net/src/pool.rs
@@ -43,7 +43,7 @@
     /// A pooled connection, or a new one if there is none.
     Any,
     /// Always a new connection. For calls that must not be repeated: a pooled
-    /// connection may be dead, or may deliver a stray response first.
+    /// connection may be broken, or may deliver a stray response first.
     Never,
 }
 
--- a/crates/bluebellreel_net/src/server.rs
+++ b/crates/bluebellreel_net/src/server.rs
@@ -223,7 +223,7 @@
 /// are connected and may have sent a request, which closing the listener would
 /// reset.
 fn accept_pending(listener: TcpListener) -> io::Result<Vec<TcpStream>> {
-    // The runtime only knows of connections that had arrived when it last polled
+    // The runtime only reports connections that had arrived when it last polled
     // the listener.
     let listener = listener.into_std()?;
     let mut streams = Vec::new();
