--- a/crates/bluebellreel_entry/src/bench.rs
+++ b/crates/bluebellreel_entry/src/bench.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Whether the daemon died before it answered.
+    /// Whether the daemon crashed before it answered.
     #[must_use]
     pub fn is_stranded(&self) -> bool {
         self.stranded
--- a/crates/bluebellreel_entry/src/data/keeper.rs
+++ b/crates/bluebellreel_entry/src/data/keeper.rs
@@ -15,7 +15,7 @@
 
 /// Interval between two checks of the volumes.
 const KEEPER_PERIOD: Duration = Duration::from_secs(1);
-/// Number of volumes per disk: volumes are added as disks are, so that new disks
+/// Number of volumes per disk: volumes are added with disks, so that new disks
 /// are used.
 const VOLUMES_PER_DISK: u32 = 8;
 /// Timeout for writing a volume's record.
--- a/crates/bluebellreel_entry/src/data/volume_map.rs
+++ b/crates/bluebellreel_entry/src/data/volume_map.rs
@@ -23,7 +23,7 @@
 pub(crate) struct VolumesSummary {
     /// Number of volumes.
     pub(crate) volumes: usize,
-    /// Volumes with only one live holder: losing it as well would lose items.
+    /// Volumes with only one live holder: if it is lost as well, items are lost.
     pub(crate) on_one_disk: usize,
     /// Volumes without a live holder.
     pub(crate) unreadable: usize,
--- a/crates/bluebellreel_entry/src/fleet/matching.rs
+++ b/crates/bluebellreel_entry/src/fleet/matching.rs
@@ -60,7 +60,7 @@
     handles.send_message(Message::Fleet(FleetMessage::MatcherElected { fence, mine }))
 }
 
-/// Tries to become the matcher until this daemon or another one is. Returns false
+/// Retries until this daemon or another one has become the matcher. Returns false
 /// once the daemon has stopped.
 fn acquire(handles: &DaemonHandles) -> bool {
     thread::sleep(MAX_ACQUIRE_DELAY.mul_f64(rand::random::<f64>()));
--- a/crates/bluebellreel_entry/src/fleet/store.rs
+++ b/crates/bluebellreel_entry/src/fleet/store.rs
@@ -33,7 +33,7 @@
     Beaten(Option<StoredManifest>),
     /// The manifest was not accepted, for this reason.
     NotDone(String),
-    /// The manifest may have been accepted; contains the reason for the doubt.
+    /// The manifest may have been accepted; contains why this is unknown.
     Unknown(String),
 }
 
--- a/crates/bluebellreel_entry/src/http/batches.rs
+++ b/crates/bluebellreel_entry/src/http/batches.rs
@@ -18,7 +18,7 @@
 /// Bytes of a job's body that one read may return.
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// `POST /v1/batches`
+/// Handles `POST /v1/batches`.
 pub(crate) fn submit(cx: &HttpContext, call: &mut CallerRequest) -> Result<Reply, ApiError> {
     let Some(key) = call.key.clone() else {
         let message = "a job needs an Idempotency-Key";
@@ -122,7 +122,7 @@
     }
 }
 
-/// `/v1/batches/{id}` and its subpaths
+/// Handles `/v1/batches/{id}` and its subpaths.
 pub(crate) fn handle(cx: &HttpContext, call: CallerRequest, rest: &str, query: &str) {
     let (id, action) = rest.split_once('/').unwrap_or((rest, ""));
     let id = JobId::from(id);
--- a/crates/bluebellreel_entry/src/http/chat.rs
+++ b/crates/bluebellreel_entry/src/http/chat.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// `POST /v1/chat/completions`
+/// Handles `POST /v1/chat/completions`.
 pub(crate) fn complete(cx: &HttpContext, mut call: CallerRequest) {
     let body = read_body(&mut call.req, cx.body_limits());
     let chat = body.and_then(|body| {
@@ -107,7 +107,7 @@
     }
 }
 
-/// `GET /v1/models`
+/// Handles `GET /v1/models`.
 pub(crate) fn models(cx: &HttpContext) -> Reply {
     let manifest = cx.manifest.get();
     let models: Vec<_> = manifest
--- a/crates/bluebellreel_entry/src/http/online.rs
+++ b/crates/bluebellreel_entry/src/http/online.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long past the deadline a handler waits for the actor before it gives up.
+/// How long past the deadline a handler waits for the actor.
 const ACTOR_GRACE: Duration = Duration::from_secs(3);
 
 /// A request in progress at the online component.
--- a/crates/bluebellreel_entry/src/http/operator.rs
+++ b/crates/bluebellreel_entry/src/http/operator.rs
@@ -8,7 +8,7 @@
 use bluebellreel_settings::Principal;
 use bluebellreel_types::{JobId, WorkerName};
 
-/// `/operator/…`
+/// Handles `/operator/…`.
 pub(crate) fn handle(cx: &HttpContext, mut req: Request, path: &str, query: &str) {
     // The operators' page: browser forms cannot set headers, so the token is in
     // the form's body, and replies are pages.
--- a/crates/bluebellreel_entry/src/http/page.rs
+++ b/crates/bluebellreel_entry/src/http/page.rs
@@ -78,7 +78,7 @@
         .replace('"', "&quot;")
 }
 
-/// `/operator`
+/// Handles `/operator`.
 pub(crate) fn handle(cx: &HttpContext, mut req: Request, _query: &str) {
     let reply = match req.method() {
         Method::Get => html(200, &token_form("")),
--- a/crates/bluebellreel_entry/src/http/requests.rs
+++ b/crates/bluebellreel_entry/src/http/requests.rs
@@ -16,7 +16,7 @@
 /// Timeout for recording the verdict.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// `GET /v1/requests/{key}`
+/// Handles `GET /v1/requests/{key}`.
 pub(crate) fn show(cx: &HttpContext, team: &TeamName, key: &str) -> Result<Reply, ApiError> {
     let found = find_claim(&cx.handles.kv, team, key).map_err(|e| unavailable(&e.to_string()))?;
     let Some((record, revision)) = found else {
@@ -78,7 +78,7 @@
 }
 
 /// Resolves a pending claim: queries the side process that it names and records
-/// the result. An entry daemon that ends between writing the claim and recording
+/// the result. An entry daemon that crashes between writing the claim and recording
 /// the outcome leaves such a claim behind.
 fn resolve(cx: &HttpContext, record: ClaimRecord, revision: i64) -> ClaimRecord {
     if record.state != ClaimState::Pending {
--- a/crates/bluebellreel_entry/src/http/services.rs
+++ b/crates/bluebellreel_entry/src/http/services.rs
@@ -12,7 +12,7 @@
 /// `Retry-After` of a call that arrived before the manifest was read.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// `/services/{name}/…`
+/// Handles `/services/{name}/…`.
 pub(crate) fn call(cx: &HttpContext, call: CallerRequest, rest: &str, query: &str) {
     answer(cx, call, |call| run(cx, call, rest, query));
 }
--- a/crates/bluebellreel_entry/src/jobs/component/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/component/tests.rs
@@ -131,7 +131,7 @@
     }
 }
 
-/// A daemon died while its successor's call queue was full. The take-over was not
+/// A daemon crashed while its successor's call queue was full. The take-over was not
 /// queued and never retried, so the job never continued.
 #[test]
 fn a_take_over_that_could_not_be_queued_is_retried() {
@@ -144,7 +144,7 @@
     assert!(fixture.retries_with_a_free_queue());
 }
 
-/// The same for a job that was taken over but whose recorded state could not be
+/// The same fault for a job that was taken over but whose recorded state could not be
 /// read because the queue was full.
 #[test]
 fn a_job_whose_opening_could_not_be_queued_is_opened_later() {
--- a/crates/bluebellreel_entry/src/jobs/store/tests.rs
+++ b/crates/bluebellreel_entry/src/jobs/store/tests.rs
@@ -112,7 +112,7 @@
 }
 
 /// Different results under the same sequence number are not a retry after a lost
-/// response. Accepted as one, the later results would be lost.
+/// response. If accepted as one, the later results would be lost.
 #[test]
 fn different_results_under_a_sequence_number_are_fenced() {
     let fixture = Fixture::new();
--- a/crates/bluebellreel_entry/src/jobs/sweep.rs
+++ b/crates/bluebellreel_entry/src/jobs/sweep.rs
@@ -290,7 +290,7 @@
             submission.id
         }
 
-        /// Leaves the chunk of an upload whose daemon died before the record was created.
+        /// Leaves the chunk of an upload whose daemon crashed before the record was created.
         fn interrupted_upload(&self, key: &str) -> JobId {
             let job = JobId::derived(&TeamName::from("school"), key);
             let upload = upload_name(self.clock.now());
@@ -314,7 +314,7 @@
         }
     }
 
-    /// A daemon died during an upload. The sweep removes the upload's chunks, but
+    /// A daemon crashed during an upload. The sweep removes the upload's chunks, but
     /// neither those of a recent upload, which may still be in progress, nor those
     /// of an accepted job.
     #[test]
--- a/crates/bluebellreel_entry/src/readiness.rs
+++ b/crates/bluebellreel_entry/src/readiness.rs
@@ -12,7 +12,7 @@
 
 /// The readiness that `/readyz` reports.
 ///
-/// Shared by the actor, which knows the workers, and the HTTP threads.
+/// Shared by the actor, which tracks the workers, and the HTTP threads.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Readiness {
     started: Arc<AtomicBool>,
--- a/crates/bluebellreel_kv/src/watch.rs
+++ b/crates/bluebellreel_kv/src/watch.rs
@@ -5,8 +5,8 @@
 use std::io::{BufRead, BufReader};
 use std::time::Duration;
 
-/// Maximum duration of one watch. Guards against a connection that has died
-/// silently and would never deliver an event again: the next watch continues from
+/// Maximum duration of one watch. Guards against a connection that has broken
+/// unnoticed and would never deliver an event again: the next watch continues from
 /// the last revision seen.
 const MAX_WATCH_DURATION: Duration = Duration::from_secs(30);
 
--- a/crates/bluebellreel_net/src/call.rs
+++ b/crates/bluebellreel_net/src/call.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Size limit of a response body, in bytes. A configuration has at most a megabyte,
+/// Size limit of a response body, in bytes. A configuration is at most a megabyte,
 /// the results of a job somewhat more.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
--- a/crates/bluebellreel_net/src/lib.rs
+++ b/crates/bluebellreel_net/src/lib.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 server and client for a single-threaded event loop.
 //!
 //! [`serve`] passes each request to a handler function; [`Pool`] sends requests and
-//! reuses connections. Failed calls say whether the server may have seen the request:
+//! reuses connections. Failed calls say whether the server may have got the request:
 //! [`SendError::Unsent`] means that no byte of it was sent, [`SendError::Unknown`]
 //! that it may have arrived.
 //!
--- a/crates/bluebellreel_net/src/server.rs
+++ b/crates/bluebellreel_net/src/server.rs
@@ -27,8 +27,8 @@
 /// Pause after a failed accept, for example when no file descriptors are left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// How long written bytes may stay unacknowledged before the connection counts as
-/// dead. A machine without power never acknowledges; with the kernel's default its
-/// connection would be held for minutes.
+/// broken. A machine without power never acknowledges; with the kernel's default its
+/// connection would stay open for minutes.
 const DEAD_PEER_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long after its accept a connection of a stopping server may stay without a
 /// request. Callers allow one second for a new connection.
