--- a/crates/bluebellreel_entry/src/fleet/component.rs
+++ b/crates/bluebellreel_entry/src/fleet/component.rs
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Tells a worker to drain if that was ordered for its current incarnation. The
-    /// side process then announces it to all daemons in its load reports.
+    /// Sends the drain order of a worker if there is one for its incarnation. The
+    /// side process then announces the drain to all daemons in its load reports.
     fn drain_if_ordered(&self, worker: &WorkerName) {
         let order = self.drains.get(worker);
         let known = self.workers.get(worker);
