--- a/crates/bluebellreel_net/src/call.rs
+++ b/crates/bluebellreel_net/src/call.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Size limit of a response body, in bytes. A configuration has at most a megabyte,
+/// Size limit of a response body, in bytes. A configuration is at most a megabyte,
 /// the results of a job somewhat more.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
@@ -43,7 +43,7 @@
         Ok((reply.head.status, body.map_err(|e| e.to_string())?))
     };
     timeout(max_wait, sent).await.unwrap_or_else(|_| {
-        // All pooled connections to this address may be dead.
+        // All pooled connections to this address may be broken.
         pool.drop_idle(to);
         Err("no complete response before the timeout".into())
     })
