--- a/crates/bluebellreel_model/src/call.rs
+++ b/crates/bluebellreel_model/src/call.rs
@@ -19,8 +19,8 @@
 const MAX_RESTARTS: u64 = 1;
 /// Number of attempts that are explored, of both daemons together.
 const MAX_ATTEMPTS: u64 = 2;
-/// The moment of all events. The model does not advance time, which would only add
-/// expiry.
+/// The moment of all events. The model does not advance time, as this would only add
+/// the expiry of calls.
 const NOW: Moment = Moment(0);
 
 /// Guards of the protocol, each of which can be disabled.
@@ -297,7 +297,7 @@
     }
 }
 
-/// A daemon finds the claim pending and asks the side process that the claim names.
+/// A daemon finds the claim pending and queries the side process that the claim names.
 fn ask_side(state: &State, guards: Guards, next: &mut Vec<State>) {
     let Some(claim) = &state.claim else { return };
     if claim.state != ClaimState::Pending {
--- a/crates/bluebellreel_model/src/owner_reads.rs
+++ b/crates/bluebellreel_model/src/owner_reads.rs
@@ -7,7 +7,7 @@
 //! once any reader has read a result, no later reader is told that the result does not
 //! exist.
 //!
-//! Only one of the two daemons meets faults. Its peer renews its entry at each tick.
+//! Only one daemon has faults. The other one renews its own entry at each tick.
 //! This loses no case, as the peer could fail only in ways in which the first daemon
 //! fails too.
 
@@ -88,9 +88,9 @@
     writing: bool,
 }
 
-/// Index of the daemon that meets faults.
+/// Index of the daemon that has faults.
 const FAULTY: usize = 0;
-/// Index of the daemon that meets no faults.
+/// Index of the daemon that has no faults.
 const PEER: usize = 1;
 
 /// Condition of a daemon.
@@ -241,7 +241,7 @@
         later.daemons[PEER].registration_span.renewed(now, now);
         next.push(later);
     }
-    // A reader asks the store if its daemon knows no owner.
+    // A reader reads from the store if its daemon knows of no owner.
     let mut replied = state.clone();
     replied.answer_reader(state.recorded);
     next.push(replied);
@@ -452,7 +452,7 @@
         && (!guards.registration_span || registration_span.covers(owned.confirmed_at, now));
     let mut replied = state.clone();
     if owned.writing {
-        // The reader asks the store instead, which `successors` covers as a separate
+        // The reader reads from the store instead, which `successors` covers as a separate
         // step.
         return;
     } else if may_answer {
--- a/crates/bluebellreel_model/src/restart.rs
+++ b/crates/bluebellreel_model/src/restart.rs
@@ -1,7 +1,7 @@
 //! A worker that restarts under the same id. One daemon counts its runs at the worker
 //! and sends a request that may run at most once.
 //!
-//! The daemon learns of the worker's new incarnation some time after the restart. Until
+//! The daemon detects the worker's new incarnation some time after the restart. Until
 //! then a message that it sends may reach either incarnation, and responses of the
 //! former one may still arrive.
 
@@ -184,7 +184,7 @@
     }
 }
 
-/// The daemon learns of the worker's new incarnation. It resets its run count and ends
+/// The daemon is notified of the worker's new incarnation. It resets its run count and ends
 /// all runs that it sent to a former incarnation.
 fn learn_incarnation(state: &State, guards: Guards) -> State {
     let mut updated = state.clone();
--- a/crates/bluebellreel_settings/src/parts.rs
+++ b/crates/bluebellreel_settings/src/parts.rs
@@ -11,7 +11,7 @@
 pub enum LogLevel {
     /// Only errors that need an operator.
     Error,
-    /// Also problems that may come to need an operator.
+    /// Also problems that may need an operator later.
     Warn,
     /// Also changes of state.
     #[default]
--- a/crates/bluebellreel_settings/src/token.rs
+++ b/crates/bluebellreel_settings/src/token.rs
@@ -4,7 +4,7 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// Whom a token authenticates.
+/// The identity that a token authenticates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Principal {
     /// A caller.
--- a/crates/bluebellreel_settings/src/vm.rs
+++ b/crates/bluebellreel_settings/src/vm.rs
@@ -42,8 +42,7 @@
 
 /// Default of `grace_s`: half of what service managers usually allow.
 const DEFAULT_GRACE_S: f64 = 5.0;
-/// Minimum of `grace_s`, in which a request can end and the disk can be written once
-/// more.
+/// Minimum of `grace_s`: enough for a request to end and for a last write to the disk.
 const MIN_GRACE_S: f64 = 1.0;
 /// Limit on `grace_s`: an hour, longer than any service manager allows.
 const MAX_GRACE_S: f64 = 3600.0;
--- a/crates/bluebellreel_side/src/drain_tracker.rs
+++ b/crates/bluebellreel_side/src/drain_tracker.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 /// Messages in transit between this side process and its entry daemons, and the
-/// entry daemons that know that it is draining.
+/// entry daemons that have been notified of its drain.
 ///
 /// Guards against an attempt that an entry daemon sends while its connection is
 /// being closed: the entry daemon would not know whether the attempt ran. An
--- a/crates/bluebellreel_types/src/outcome.rs
+++ b/crates/bluebellreel_types/src/outcome.rs
@@ -42,8 +42,8 @@
     ///
     /// Guards against a message that is delivered twice, with a restart in between:
     /// the first incarnation of the side process ran the call, the second one
-    /// refuses the duplicate as addressed to its predecessor. That refusal says
-    /// nothing about whether a call that must not be repeated has run.
+    /// refuses the duplicate as addressed to its predecessor. That refusal does
+    /// not show whether a call that must not be repeated has run.
     #[must_use]
     pub fn is_certain(self) -> bool {
         self != Self::StaleIncarnation
