--- a/crates/bluebellreel_model/src/call.rs
+++ b/crates/bluebellreel_model/src/call.rs
@@ -20,7 +20,7 @@
 /// Number of attempts that are explored, of both daemons together.
 const MAX_ATTEMPTS: u64 = 2;
 /// The moment of all events. The model does not advance time, as this would only add
-/// the expiry of calls.
+/// expiry.
 const NOW: Moment = Moment(0);
 
 /// Guards of the protocol, each of which can be disabled.
--- a/crates/bluebellreel_model/src/restart.rs
+++ b/crates/bluebellreel_model/src/restart.rs
@@ -184,7 +184,7 @@
     }
 }
 
-/// The daemon is notified of the worker's new incarnation. It resets its run count and ends
+/// The daemon detects the worker's new incarnation. It resets its run count and ends
 /// all runs that it sent to a former incarnation.
 fn learn_incarnation(state: &State, guards: Guards) -> State {
     let mut updated = state.clone();
