--- a/crates/bluebellreel_settings/src/token.rs
+++ b/crates/bluebellreel_settings/src/token.rs
@@ -4,7 +4,7 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// Whom a token authenticates.
+/// The identity that a token authenticates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Principal {
     /// A caller.
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// Finds whom a token authenticates.
+    /// Returns the identity that a token authenticates.
     ///
     /// Compares the hashes in constant time and checks every entry, so that the time
     /// taken does not reveal how much of a guess was right.
