--- a/crates/bluebellreel_gateway/src/jobs/accept.rs
+++ b/crates/bluebellreel_gateway/src/jobs/accept.rs
@@ -70,7 +70,7 @@
     let underway = gw.jobs.borrow().submissions.get(&id).cloned();
     if underway.is_none() && gw.stopping.get() {
         // A new submission would only wait until this process exits. One that is
-        // already being written may yet be accepted, so its sender must not be told
+        // already being written may yet be accepted, so its sender must not get the answer
         // that it was refused.
         let reason = "stopping";
         return answers::retry_after(
--- a/crates/bluebellreel_gateway/src/jobs/backup.rs
+++ b/crates/bluebellreel_gateway/src/jobs/backup.rs
@@ -23,7 +23,7 @@
 const COPY_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a peer's progress is kept: longer than it takes until a dead owner's
 /// entry in the store expires (3.6 s) and its successor scans for the job, and longer
-/// than an item takes.
+/// than a run of an item takes.
 const COPY_RETENTION: Duration = Duration::from_secs(20);
 
 /// What was last copied of a job, and to which daemon.
@@ -101,11 +101,11 @@
 }
 
 /// Limit on one call to a keeper when a job is taken over: a keeper that is down must
-/// not delay the job for longer than its items would save.
+/// not delay the job for longer than the restored progress would save.
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long calls to a keeper that refuses or breaks connections are retried: after a
-/// planned restart it is back within a second, and its data is worth the wait.
+/// planned restart it is back within a second, and its data saves more than the wait.
 const RESTART_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Pause between two calls to such a keeper.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
@@ -127,8 +127,8 @@
 ///
 /// A keeper that refuses or breaks the connection may be restarting, with the
 /// progress on its disk. Without a retry the items would start from scratch. Each
-/// keeper is waited for only once, so that the waits of many jobs do not add up. One
-/// that does not respond at all has lost its VM and is not waited for.
+/// keeper is waited for only once, so that the waits of many jobs do not add up. A
+/// keeper that does not respond at all has lost its VM and is not waited for.
 async fn fetch_progress(gw: &Rc<Gateway>, at: SocketAddr, id: &JobId) -> Option<Bytes> {
     let end = Instant::now() + RESTART_TIMEOUT;
     loop {
--- a/crates/bluebellreel_gateway/src/jobs/cancel.rs
+++ b/crates/bluebellreel_gateway/src/jobs/cancel.rs
@@ -145,7 +145,7 @@
 }
 
 /// Retries a cancellation until its outcome is known. The items of a job owned by
-/// this daemon have been stopped for good, so its cancellation is retried for as long
+/// this daemon have been stopped permanently, so its cancellation is retried for as long
 /// as the daemon owns the job.
 async fn retry_cancel(gw: &Rc<Gateway>, id: &JobId) {
     let is_full =
@@ -196,7 +196,7 @@
     cancel_in_store(gw, id).await
 }
 
-/// Asks the owner of a job to cancel it. Returns whether it has done so.
+/// Requests the owner of a job to cancel it. Returns whether it has done so.
 async fn cancel_at_owner(gw: &Gateway, id: &JobId) -> bool {
     let Some(owner) = owner_address(gw, id) else {
         info!(target: "jobs", job:% = id; "owner of an ended job not known");
--- a/crates/bluebellreel_gateway/src/jobs/open.rs
+++ b/crates/bluebellreel_gateway/src/jobs/open.rs
@@ -123,8 +123,8 @@
     Ok(ids)
 }
 
-/// Whether a job's tokens may be in the report of an owner that cannot name the job
-/// there, given the peers whose reports have reached the limit on named jobs.
+/// Whether the report of a job's owner may include the job's tokens without naming the
+/// job, given the peers whose reports have reached the limit on named jobs.
 fn may_be_omitted(full_reports: &[(&EntryName, &Peer)], jobs: &Jobs, id: &JobId) -> bool {
     let owner = jobs.owners.get(id);
     full_reports
--- a/crates/bluebellreel_gateway/src/jobs/own.rs
+++ b/crates/bluebellreel_gateway/src/jobs/own.rs
@@ -1,4 +1,4 @@
-//! The jobs that this daemon owns or knows of.
+//! The jobs that this daemon owns or has information on.
 
 use bluebellreel_batch::{Job, JobRecord, ProgressCopies, Stamp, StartLease, StartTerms};
 use bluebellreel_types::{EntryName, Incarnation, JobId, Moment, WorkerName};
--- a/crates/bluebellreel_gateway/src/jobs/quota.rs
+++ b/crates/bluebellreel_gateway/src/jobs/quota.rs
@@ -11,8 +11,8 @@
 use tokio::time::Instant;
 
 /// Share of a quota in percent above which acceptances go through the route's ledger.
-/// Below it, four daemons that accept concurrently without knowledge of each other
-/// still stay within the quota.
+/// Below it, up to four daemons that accept concurrently, each without the others'
+/// acceptances, still stay within the quota.
 const LEDGER_THRESHOLD_PERCENT: u64 = 25;
 
 /// Tokens that wait on a route at all daemons, as far as this daemon knows.
--- a/crates/bluebellreel_gateway/src/jobs/record.rs
+++ b/crates/bluebellreel_gateway/src/jobs/record.rs
@@ -14,7 +14,7 @@
 
 /// How long results are collected before they are recorded together. A write costs as
 /// much as a read, and items whose results are not recorded run again if this daemon
-/// dies.
+/// crashes.
 const RECORD_DELAY: Duration = Duration::from_secs(1);
 /// Interval between checks for results to record.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
--- a/crates/bluebellreel_gateway/src/jobs/takeover.rs
+++ b/crates/bluebellreel_gateway/src/jobs/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking over jobs whose owner has exited or died.
+//! Taking over jobs whose owner has exited or crashed.
 
 use super::adopt::{adopt, adopt_stored};
 use super::load::FoundRecord;
@@ -27,8 +27,8 @@
 /// Interval between scans on daemons that rely on the cleanup leader's scans: the loss of
 /// the cleanup leader itself wakes them.
 const SCAN_INTERVAL_LONG: Duration = Duration::from_secs(20);
-/// Delay of the first scan after the start, until peers have reported: they report four
-/// times a second, and to a new daemon once they have received its first report. If
+/// Delay of the first scan after the start, so that peers have reported by then: they
+/// report four times a second, and to a new daemon once they have received its report. If
 /// the whole fleet was killed, no job runs until this scan.
 const FIRST_SCAN_DELAY: Duration = Duration::from_millis(600);
 /// How long a job without an owner is left to its successor before the cleanup leader takes
@@ -218,7 +218,7 @@
     }
 }
 
-/// Whether this daemon is the first to take a job over.
+/// Whether this daemon is the one that should take a job over first.
 fn is_successor(gw: &Gateway, id: &JobId) -> bool {
     let members = gw.members.borrow();
     members.successor(id, Some(gw.me()), gw.now()).as_ref() == Some(gw.me())
@@ -240,7 +240,7 @@
 /// This daemon's view of the owner may be stale: a daemon that has just started has
 /// received no reports yet, and one that is partitioned from its peers receives none.
 /// An owner whose entry is still in the store runs its jobs and answers readers from
-/// memory. So the write also requires that the owner's entry has ended.
+/// memory. So the write also requires that the owner's entry is gone.
 async fn claim(gw: &Rc<Gateway>, id: &JobId, found: FoundRecord) -> Result<bool, KvError> {
     let before = found.record.owner.clone();
     let ended = match registration::owner_status(gw, &before).await? {
