--- a/crates/bluebellreel_gateway/src/jobs/accept.rs
+++ b/crates/bluebellreel_gateway/src/jobs/accept.rs
@@ -321,8 +321,8 @@
             .store
             .commit(txn, Instant::now() + COMMIT_RETRY_TIMEOUT)
             .await;
-        // That a retry was certainly not applied says nothing about the first
-        // attempt.
+        // Even if a retry was certainly not applied, the first attempt may have been
+        // applied.
         if let Commit::NotDone(reason) = outcome {
             outcome = Commit::Unknown(reason);
         }
--- a/crates/bluebellreel_gateway/src/jobs/own.rs
+++ b/crates/bluebellreel_gateway/src/jobs/own.rs
@@ -147,7 +147,7 @@
 /// Limit on the owners remembered, at about a hundred bytes each.
 const MAX_OWNERS: usize = 8192;
 
-/// Limit on the stored progress of peers' items, in bytes: enough for some hundred
+/// Limit on the stored progress of peers' items, in bytes: enough for hundreds of
 /// half-finished items, on a VM that may have 88 MB.
 const MAX_COPIES_BYTES: usize = 8 * 1024 * 1024;
 
--- a/crates/bluebellreel_gateway/src/lease.rs
+++ b/crates/bluebellreel_gateway/src/lease.rs
@@ -116,7 +116,7 @@
     })
 }
 
-/// Releases the lease, so that the other daemons learn of the shutdown at once.
+/// Releases the lease, so that the other daemons notice the shutdown at once.
 pub(crate) async fn unregister(gw: &Gateway) {
     let lease = gw.lease.take();
     if lease == 0 {
--- a/crates/bluebellreel_gateway/src/peer_calls.rs
+++ b/crates/bluebellreel_gateway/src/peer_calls.rs
@@ -26,8 +26,9 @@
     bluebellreel_net::call(&gw.peers, to, method, path, body, max_wait).await
 }
 
-/// Fetches the part of a peer's cluster state that is newer than `seen`. If the peer no
-/// longer knows which workers have left since then, fetches all its workers.
+/// Fetches the part of a peer's cluster state that is newer than `seen`. If the peer
+/// no longer has the record of the workers that have left since then, fetches all its
+/// workers.
 pub(crate) async fn cluster_state(
     gw: &Gateway,
     to: SocketAddr,
@@ -118,7 +119,7 @@
     call(gw, to, Method::DELETE, &path, Bytes::new(), CALL_TIMEOUT).await
 }
 
-/// Asks a peer to complete the cancellation of a job.
+/// Requests a peer to complete the cancellation of a job.
 pub(crate) async fn forward_end(gw: &Gateway, to: SocketAddr, id: &JobId) -> Result<(), PeerError> {
     let path = format!("/jobs/{id}/end");
     let (status, _) = call(gw, to, Method::PUT, &path, Bytes::new(), CALL_TIMEOUT).await?;
@@ -128,7 +129,7 @@
     Ok(())
 }
 
-/// Asks a peer to make a call to the store on this daemon's behalf.
+/// Requests a peer to make a call to the store on this daemon's behalf.
 pub(crate) async fn store(
     gw: &Gateway,
     to: SocketAddr,
--- a/crates/bluebellreel_gateway/src/registration.rs
+++ b/crates/bluebellreel_gateway/src/registration.rs
@@ -45,7 +45,7 @@
     Guard(Compare),
 }
 
-/// Asks the store whether the incarnation of the daemon that owns a job has ended.
+/// Checks in the store whether the incarnation of the daemon that owns a job has ended.
 pub(crate) async fn owner_status(gw: &Gateway, owner: &Owner) -> Result<OwnerStatus, KvError> {
     if owner.entry == *gw.me() {
         return Ok(OwnerStatus::EarlierRun);
@@ -63,7 +63,7 @@
 }
 
 /// Reads the entries of all daemons periodically, forever. A new daemon sends reports
-/// to all members that it finds, so the others learn of it without a read.
+/// to all members that it finds, so the others discover it without a read.
 pub(crate) async fn list_members(gw: Rc<Gateway>) {
     let mut early = EARLY_LIST_COUNT;
     loop {
--- a/crates/bluebellreel_gateway/src/reports/catch_up.rs
+++ b/crates/bluebellreel_gateway/src/reports/catch_up.rs
@@ -23,9 +23,9 @@
 
 /// Fetches newer state from a peer, one request at a time.
 ///
-/// All daemons learn of a change at the same moment, from the two that watch the store.
-/// Each waits a random time, longer the more peers there are, and asks any peer that has
-/// the change by then. Otherwise two daemons would have to answer hundreds at once.
+/// All daemons are notified of a change at the same moment, by the two that watch the
+/// store. Each waits a random time, longer the more peers there are, and then fetches the
+/// change from any peer that has it. Otherwise two daemons would have to answer hundreds at once.
 pub(super) fn catch_up(gw: &Rc<Gateway>, is_asking: &Rc<Cell<bool>>) {
     if is_asking.replace(true) {
         return;
--- a/crates/bluebellreel_gateway/src/reports/parts.rs
+++ b/crates/bluebellreel_gateway/src/reports/parts.rs
@@ -1,6 +1,6 @@
 //! The parts of a full report that follow the report proper and its supplement. Each
 //! version of the daemon adds parts at the end, and ignores those after the last one that
-//! it knows.
+//! it defines.
 
 use crate::gateway::Gateway;
 use bluebellreel_dispatch::{CrashNotice, CrashedRun, Fingerprint, Suspects, WorkerTag};
--- a/crates/bluebellreel_gateway/src/run.rs
+++ b/crates/bluebellreel_gateway/src/run.rs
@@ -32,7 +32,7 @@
 /// all of them within half a second.
 const ISOLATED_AFTER: Duration = Duration::from_secs(1);
 
-/// Runs a gateway until a signal asks it to stop. Returns whether every request was
+/// Runs a gateway until a signal requests it to stop. Returns whether every request was
 /// answered in full.
 ///
 /// # Errors
@@ -48,7 +48,7 @@
     })
 }
 
-/// Returns a future that completes when a signal asks the process to stop. Signals
+/// Returns a future that completes when a signal requests the process to stop. Signals
 /// that announce changed settings notify `settings_changed`. The signal handlers are
 /// installed when this function returns.
 fn stop_signal(settings_changed: Rc<Notify>) -> eyre::Result<impl Future<Output = ()>> {
--- a/crates/bluebellreel_gateway/src/upstream.rs
+++ b/crates/bluebellreel_gateway/src/upstream.rs
@@ -25,7 +25,7 @@
 pub(crate) enum NoAnswer {
     /// Nothing reached the worker.
     Unsent(String),
-    /// The worker's answer says that it did not run the request.
+    /// The worker answered that it did not run the request.
     NotRun(StatusCode),
     /// The send failed, and the request may have run.
     Unknown(String),
--- a/crates/bluebellreel_gateway/src/watching.rs
+++ b/crates/bluebellreel_gateway/src/watching.rs
@@ -262,12 +262,12 @@
     let mut succession = Succession::default();
     loop {
         // Workers may have left while this daemon was isolated. The peers that noticed
-        // may be gone as well, and those that have started since do not know of it.
+        // may be gone as well, and those that have started since have no record of these workers.
         let relist =
             gw.reconnections.get() != std::mem::replace(&mut reconnections, gw.reconnections.get());
         must_list |= relist;
-        // Each daemon must itself have the store confirm state from a snapshot. Peers
-        // cannot do it: a daemon fetches nothing from peers that know nothing newer.
+        // Each daemon must itself confirm state from a snapshot with the store. Peers
+        // cannot confirm it: a daemon fetches nothing from peers that know nothing newer.
         let is_confirmed = !gw.cluster_state.borrow().is_from_snapshot();
         let known = is_confirmed && (handler.seen)(gw) > 0;
         let is_elected = is_watcher(gw);
