--- a/crates/bluebellreel_snapshot/src/lib.rs
+++ b/crates/bluebellreel_snapshot/src/lib.rs
@@ -2,8 +2,8 @@
 //! store.
 //!
 //! A gateway keeps no state on its VM. If all gateways were killed during an outage of
-//! the store, none of them would have a route or a worker after the restart, and every
-//! caller would be refused until the outage ends. Keepers, which are small processes
+//! the store, none of them would know a route or a worker after the restart, and every
+//! caller would be refused until the store is back. Keepers, which are small processes
 //! on VMs with disks, therefore hold a [`Snapshot`]: the configuration, the workers and
 //! the gateways' addresses, as the gateways know them.
 //!
--- a/crates/bluebellreel_snapshot/src/progress.rs
+++ b/crates/bluebellreel_snapshot/src/progress.rs
@@ -13,7 +13,7 @@
     progress: Vec<u8>,
 }
 
-/// Backups of the progress of jobs. Each backup has an expiry time, and all backups together are
+/// Progress of jobs. Each backup has an expiry time, and all backups together are
 /// limited in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProgressBackups {
--- a/crates/bluebellreel_snapshot/src/slot.rs
+++ b/crates/bluebellreel_snapshot/src/slot.rs
@@ -70,8 +70,8 @@
         u64::from_le_bytes(buf)
     };
     let (sequence, length, sum) = (number(8), number(16), number(24));
-    // The body may be followed by the rest of a longer snapshot that was written to
-    // this slot before.
+    // The remainder of a longer snapshot, written to this slot before, may follow the
+    // body.
     let length = usize::try_from(length).map_err(|_| SlotError::Damaged)?;
     let body = rest.get(..length).ok_or(SlotError::Damaged)?;
     if checksum(sequence, body) != sum {
--- a/crates/bluebellreel_snapshot/src/snapshot.rs
+++ b/crates/bluebellreel_snapshot/src/snapshot.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 /// How long a snapshot is valid after a gateway that reaches the store confirmed it.
-/// Outages last from seconds to minutes. In a fleet that changes its configuration
-/// thousands of times a day, a snapshot of that age holds an outdated configuration.
+/// Outages last from seconds to minutes. In a fleet that changes its configuration some
+/// thousand times a day, the configuration is a different one after that time.
 pub const SNAPSHOT_TTL: Duration = Duration::from_mins(5);
 /// Maximum number of known gateways; a fleet has a few hundred.
 const MAX_GATEWAYS: usize = 4096;
@@ -26,7 +26,7 @@
     pub data_centre: Option<DataCentre>,
 }
 
-/// The facts and gateway addresses that a keeper holds.
+/// The facts and gateways that a keeper knows.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     configuration: Option<(i64, Vec<u8>)>,
--- a/crates/bluebellreel_snapshot/src/visit.rs
+++ b/crates/bluebellreel_snapshot/src/visit.rs
@@ -13,7 +13,7 @@
     pub entry: EntryName,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Revisions of the newest facts that it has.
+    /// Revisions of the newest facts that it knows.
     pub newest: Revisions,
     /// Whether it has these facts from the store, directly or through a peer.
     pub from_store: bool,
@@ -42,8 +42,8 @@
 ///
 /// Facts are fetched only from a gateway that has them from the store. A gateway that
 /// runs on a snapshot would make the snapshots of other keepers look younger than they
-/// are. Only a gateway that the store currently serves confirms a snapshot, as no
-/// gateway can check during an outage whether its facts are current.
+/// are. Only a gateway that the store currently serves confirms a snapshot, as in an
+/// outage no gateway knows what is current.
 #[must_use]
 pub fn visit_outcome(snapshot: &Snapshot, gateway: &GatewayState) -> VisitOutcome {
     let ours = snapshot.newest();
