--- a/crates/bluebellreel_gateway/src/crash.rs
+++ b/crates/bluebellreel_gateway/src/crash.rs
@@ -40,7 +40,7 @@
 /// [`PROBE_TIMEOUT`] at the latest; a crash that is detected later is recorded as well.
 pub(crate) async fn check_for_crash(gw: &Rc<Gateway>, run: InterruptedRun) {
     let Some(address) = ready_address(gw, &run.ticket) else {
-        // The worker is leaving, so a run that it breaks off is no sign of a crash.
+        // The worker is leaving, so a run that it breaks off does not indicate a crash.
         return;
     };
     let probing = tokio::task::spawn_local(confirm_crash(gw.clone(), run, address, gw.now()));
--- a/crates/bluebellreel_gateway/src/jobs/accept.rs
+++ b/crates/bluebellreel_gateway/src/jobs/accept.rs
@@ -31,7 +31,7 @@
 /// disconnected.
 const COMMIT_RETRY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Limit on the time that a caller waits while the store fails. After it, the
-/// caller does better to try another daemon.
+/// caller should try another daemon.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Sent to a caller whose job was not stored: time to wait before it retries.
 const RETRY_AFTER: Duration = Duration::from_millis(400);
@@ -83,7 +83,7 @@
         underway
     } else if !is_countable {
         // Listing the open jobs has failed, so the write would probably fail too. The
-        // caller is told at once that the job is not accepted.
+        // caller gets the refusal without waiting.
         warn!(target: "jobs", job:% = id; "job refused: open jobs not listed yet");
         gw.metrics.job("refused");
         let reason = "open jobs not listed yet";
--- a/crates/bluebellreel_gateway/src/jobs/cancel.rs
+++ b/crates/bluebellreel_gateway/src/jobs/cancel.rs
@@ -1,8 +1,8 @@
 //! Cancelling a job at its sender's request.
 //!
-//! A cancellation is acknowledged once it is recorded in the job's record. The
-//! attempts go on until then, even if the caller has disconnected or was told that
-//! the cancellation is not recorded yet: the sender may not send the request again.
+//! A cancellation is acknowledged once it is recorded in the job's record. Attempts
+//! to record it go on until then, even if the caller has disconnected or got the answer
+//! that the cancellation is not recorded yet: the sender may not send the request again.
 
 use super::load;
 use super::load::owned_job;
--- a/crates/bluebellreel_gateway/src/jobs/confirm.rs
+++ b/crates/bluebellreel_gateway/src/jobs/confirm.rs
@@ -130,8 +130,8 @@
     Some(failing_since.max(members.store_answered_at()))
 }
 
-/// Renews the start leases of own jobs in an endless loop, by asking the store for
-/// confirmation.
+/// Renews the start leases of own jobs in an endless loop: the store must confirm that
+/// this daemon owns the jobs.
 pub(crate) async fn renew_start_leases(gw: Rc<Gateway>) {
     let mut use_other_path = false;
     let mut is_failing = false;
--- a/crates/bluebellreel_gateway/src/jobs/hand_over.rs
+++ b/crates/bluebellreel_gateway/src/jobs/hand_over.rs
@@ -25,7 +25,7 @@
 /// How long a hand-over waits until pending results are recorded. After it, the job is
 /// handed over without them.
 const RECORD_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Interval between checks whether they are recorded.
+/// Interval between checks whether the pending results are recorded.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// How long the write of a hand-over is retried.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -198,7 +198,7 @@
 }
 
 /// Loads an open job whose record names this daemon as the owner, with the time at
-/// which the store was asked.
+/// which the read was sent.
 async fn load_own(gw: &Gateway, id: &JobId) -> Result<Option<(Job, Stamp)>, KvError> {
     let Some(found) = load::record(gw, id).await? else {
         return Ok(None);
--- a/crates/bluebellreel_gateway/src/jobs/no_route.rs
+++ b/crates/bluebellreel_gateway/src/jobs/no_route.rs
@@ -34,7 +34,7 @@
     if known.is_some_and(|k| !k.ask_at.is_past(now)) {
         return;
     }
-    // If the store has a newer configuration, it is asked again after the same time.
+    // If the store has a newer configuration, the check is repeated after the same time.
     owned.route_missing.set(Some(first));
     if known.is_some() {
         let asked = check_configuration(gw.clone(), owned.clone(), first.configuration);
--- a/crates/bluebellreel_gateway/src/jobs/own.rs
+++ b/crates/bluebellreel_gateway/src/jobs/own.rs
@@ -21,9 +21,9 @@
     /// The right to start its items, based on the store's last confirmation that
     /// this daemon owns the job.
     pub(super) lease: Cell<StartLease>,
-    /// Whether an item could start but for a missing confirmation.
+    /// Whether an item could start if the ownership were confirmed.
     pub(super) wants_start: Cell<bool>,
-    /// Held while the store is asked who owns the job.
+    /// Held during a call to the store that reads which daemon owns the job.
     pub(super) confirming: Mutex<()>,
     /// Set once an item of the job has no route.
     pub(super) route_missing: Cell<Option<RouteMissing>>,
@@ -63,7 +63,7 @@
 pub(super) struct RouteMissing {
     /// Revision of the configuration that lacks the route.
     pub(super) configuration: i64,
-    /// When the store is asked whether this is the newest configuration.
+    /// When to check with the store whether this is the newest configuration.
     pub(super) ask_at: Moment,
 }
 
@@ -109,13 +109,13 @@
     OverQuota,
 }
 
-/// All jobs that this daemon knows of.
+/// All jobs that this daemon has information on.
 pub(crate) struct Jobs {
     pub(crate) own: BTreeMap<JobId, Rc<OwnedJob>>,
     pub(crate) runs: HashMap<(JobId, usize), ItemRun>,
     /// Submissions that are being written to the store.
     pub(crate) submissions: HashMap<JobId, watch::Receiver<SubmissionOutcome>>,
-    /// Owners of other jobs, as last read.
+    /// Owners of the jobs that peers own, as last read.
     pub(crate) owners: HashMap<JobId, KnownOwner>,
     /// Jobs without an owner that another daemon should take over, with the time at
     /// which this daemon first found them so.
@@ -130,7 +130,7 @@
     tombstones: BTreeMap<JobId, Tombstone>,
     /// Jobs whose cancellation is still to be recorded.
     pub(crate) pending_cancellations: BTreeSet<JobId>,
-    /// Those of them that this stopping daemon has forwarded or is forwarding.
+    /// Those pending cancellations that this stopping daemon has forwarded or is forwarding.
     pub(super) forwarded_cancellations: BTreeSet<JobId>,
     /// Progress of the items of peers' jobs, for which this daemon is the successor.
     pub(crate) copies: ProgressCopies,
@@ -140,7 +140,7 @@
 
 /// Limit on the owned jobs, and on the cancelled jobs, named in a report, at about 20
 /// bytes each. For jobs beyond it, peers find the owner by reading the record, and a
-/// cancellation by asking the store.
+/// cancellation by reading the store.
 pub(super) const MAX_REPORTED: usize = 500;
 /// Limit on the tombstones kept, at about 40 bytes each.
 const MAX_TOMBSTONES: usize = 8192;
--- a/crates/bluebellreel_gateway/src/jobs/read.rs
+++ b/crates/bluebellreel_gateway/src/jobs/read.rs
@@ -1,6 +1,6 @@
 //! Reading results and item bodies through any daemon.
 //!
-//! The owner of a job has the newest results and is asked first. If the owner is not
+//! The owner of a job has the newest results and is called first. If the owner is not
 //! reachable, the answer comes from the store. "No such job" is answered only if the
 //! store has no record of the job.
 
@@ -152,7 +152,7 @@
     Ok(Some(page(job.items.len(), after, &job.listed)))
 }
 
-/// Waits until a result is listed at position `after`, or none can be, or until
+/// Waits until a result is listed at position `after`, no result can follow, or until
 /// `until`. For results that are being written it waits up to [`MAX_SETTLE`] longer.
 async fn wait_for_results(gw: &Gateway, owned: &OwnedJob, after: usize, until: Instant) {
     loop {
--- a/crates/bluebellreel_gateway/src/jobs/runs.rs
+++ b/crates/bluebellreel_gateway/src/jobs/runs.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Whether an item may be sent to a worker. The error is when it may be tried again.
+/// Whether an item may be sent to a worker. The error is the time of the next attempt.
 fn may_run(gw: &Gateway, next: &Next) -> Result<Permit, Moment> {
     let fingerprint = || {
         let out = outgoing(next);
@@ -272,7 +272,7 @@
 const BROKEN_OFF: &str = "broken off";
 
 /// Reads a run's events until the response is complete. The error is the reason why
-/// it is not.
+/// the response is incomplete.
 async fn read_events(
     gw: &Rc<Gateway>,
     next: &Next,
@@ -293,7 +293,7 @@
     }
 }
 
-/// The next chunk of an item's output. A restarted worker sends no more, so its
+/// The next chunk of an item's output. A restarted worker sends no more output, so its
 /// response is given up without waiting for [`SILENCE_TIMEOUT`].
 async fn next_chunk(gw: &Gateway, upstream: &mut Upstream) -> Result<Option<Bytes>, Broken> {
     let Upstream {
--- a/crates/bluebellreel_gateway/src/watching.rs
+++ b/crates/bluebellreel_gateway/src/watching.rs
@@ -56,7 +56,7 @@
 
 /// The operations by which a watched prefix is processed.
 struct WatchHandler {
-    /// Returns the revision up to which all changes are known.
+    /// Returns the revision up to which all changes were processed.
     seen: fn(&Gateway) -> i64,
     /// Processes a complete list of the prefix.
     listed: fn(&Rc<Gateway>, &[KeyValue], i64),
@@ -205,8 +205,8 @@
 /// one of another version, or one that is unreachable, may never answer.
 const MAX_STALENESS: Duration = Duration::from_secs(1);
 
-/// Whether a peer has known more than this daemon for longer than [`MAX_STALENESS`].
-/// `since` holds when that began.
+/// Whether this daemon has lacked changes that a peer has for longer than
+/// [`MAX_STALENESS`]. `since` holds the time at which it was first found to lack some.
 fn is_stale(gw: &Gateway, since: &Cell<Option<Moment>>) -> bool {
     let now = gw.now();
     let lacks = {
@@ -262,7 +262,8 @@
     let mut succession = Succession::default();
     loop {
         // Workers may have left while this daemon was isolated. The peers that noticed
-        // may be gone as well, and those that have started since have no record of these workers.
+        // may be gone as well, and those that have started since have no record of the
+        // workers.
         let relist =
             gw.reconnections.get() != std::mem::replace(&mut reconnections, gw.reconnections.get());
         must_list |= relist;
