--- a/crates/bluebellreel_gateway/src/jobs/cancel.rs
+++ b/crates/bluebellreel_gateway/src/jobs/cancel.rs
@@ -1,8 +1,8 @@
 //! Cancelling a job at its sender's request.
 //!
-//! A cancellation is acknowledged once it is recorded in the job's record. The
-//! attempts go on until then, even if the caller has disconnected or was told that
-//! the cancellation is not recorded yet: the sender may not send the request again.
+//! A cancellation is acknowledged once it is recorded in the job's record. Attempts
+//! to record it go on until then, even if the caller has disconnected or got the answer
+//! that the cancellation is not recorded yet: the sender may not send the request again.
 
 use super::load;
 use super::load::owned_job;
@@ -145,7 +145,7 @@
 }
 
 /// Retries a cancellation until its outcome is known. The items of a job owned by
-/// this daemon have been stopped for good, so its cancellation is retried for as long
+/// this daemon have been stopped permanently, so its cancellation is retried for as long
 /// as the daemon owns the job.
 async fn retry_cancel(gw: &Rc<Gateway>, id: &JobId) {
     let is_full =
@@ -196,7 +196,7 @@
     cancel_in_store(gw, id).await
 }
 
-/// Asks the owner of a job to cancel it. Returns whether it has done so.
+/// Requests the owner of a job to cancel it. Returns whether it has done so.
 async fn cancel_at_owner(gw: &Gateway, id: &JobId) -> bool {
     let Some(owner) = owner_address(gw, id) else {
         info!(target: "jobs", job:% = id; "owner of an ended job not known");
